--- a/group/class.go
+++ b/group/class.go
@@ -56,7 +56,7 @@
 	switch {
 	case now-p.classesAt > classFor:
 		return false
-	case n.Leads():
+	case n.IsLeader():
 		return n.sameDomain(p) || p.leads
 	}
 	return p.box.Name == n.lead().Name
@@ -90,7 +90,7 @@
 	domain, all := make(classMeans), make(classMeans)
 	domain.add(n.ownClasses)
 	all.add(n.ownClasses)
-	if !n.Leads() {
+	if !n.IsLeader() {
 		return classLists{toOthers: sortedClasses(domain)}
 	}
 	for _, p := range n.peers {
@@ -107,7 +107,7 @@
 
 // classesFor is what a peer is told.
 func (n *Node) classesFor(p *peer, lists classLists) []*wire.GroupClass {
-	if n.Leads() && n.sameDomain(p) {
+	if n.IsLeader() && n.sameDomain(p) {
 		return lists.toDomain
 	}
 	return lists.toOthers
--- a/group/count.go
+++ b/group/count.go
@@ -41,7 +41,7 @@
 		return false
 	}
 	for _, p := range n.peers {
-		if tells := n.Leads() || p.box.Name == n.lead().Name; tells && !n.gone(now, p) {
+		if tells := n.IsLeader() || p.box.Name == n.lead().Name; tells && !n.gone(now, p) {
 			return true
 		}
 	}
--- a/group/cutoff.go
+++ b/group/cutoff.go
@@ -13,7 +13,7 @@
 // Unheard lists, for a lead, the domains whose leads were heard once and are heard no more: they may be cut off, or without a
 // living box.
 func (n *Node) Unheard(now time.Duration) []string {
-	if !n.Leads() {
+	if !n.IsLeader() {
 		return nil
 	}
 	heard := make(map[string]bool)
@@ -38,7 +38,7 @@
 		return
 	}
 	n.cutOff = domains
-	if n.Leads() {
+	if n.IsLeader() {
 		n.lastBeat = never
 	}
 }
--- a/group/hear.go
+++ b/group/hear.go
@@ -129,12 +129,12 @@
 	case m.Hello:
 		reply := n.message(now)
 		reply.Boxes = n.listFor(p.box.Domain, now)
-		if n.Leads() && n.sameDomain(p) {
+		if n.IsLeader() && n.sameDomain(p) {
 			reply.Sharers = n.packSharers(now)
 		}
 		reply.Classes = n.classesFor(p, n.packClasses(now))
 		n.send(p.box.Address, reply)
-	case m.Leads && n.sameDomain(p) && n.Leads():
+	case m.Leads && n.sameDomain(p) && n.IsLeader():
 		n.send(p.box.Address, n.message(now)) // it does not know of this box yet
 	case n.takesForLead(now, p, m):
 		reply := n.message(now)
@@ -148,5 +148,5 @@
 // take itself for the lead.
 func (n *Node) takesForLead(now time.Duration, p *peer, m *wire.GroupMessage) bool {
 	isBeat := !m.Leads && !m.Leaving && len(m.Boxes) == 0 && KindOf(m) == KindBeat // an answer names boxes
-	return isBeat && n.sameDomain(p) && !n.Leads() && n.lead().Name != p.box.Name && now-n.heardLead() < n.cfg.Timing.Silence
+	return isBeat && n.sameDomain(p) && !n.IsLeader() && n.lead().Name != p.box.Name && now-n.heardLead() < n.cfg.Timing.Silence
 }
--- a/group/kept.go
+++ b/group/kept.go
@@ -86,7 +86,7 @@
 		list = list[:room]
 	}
 	n.keptHeard = append(n.keptHeard, list...)
-	if !n.Leads() {
+	if !n.IsLeader() {
 		return
 	}
 	if p.lastKept == nil {
@@ -107,7 +107,7 @@
 		return
 	}
 	list := n.keptNews[:min(len(n.keptNews), maxKept)]
-	if n.Leads() {
+	if n.IsLeader() {
 		n.tellKeptAsLead(now, list)
 	} else if p := n.peers[n.lead().Name]; p != nil && p.leads {
 		n.sendKept([]*peer{p}, list, scopeDomain, func(keptNews) bool { return true })
--- a/group/lane.go
+++ b/group/lane.go
@@ -27,7 +27,7 @@
 
 // decidesLanes reports whether this box is the strongest lead that it hears of.
 func (n *Node) decidesLanes(now time.Duration) bool {
-	return n.Leads() && n.strongestLead(now) == n.cfg.Self
+	return n.IsLeader() && n.strongestLead(now) == n.cfg.Self
 }
 
 // strongestLead is the strongest of the leads of all domains that are heard.
@@ -37,7 +37,7 @@
 
 // followed is the box whose division this one takes over.
 func (n *Node) followed(now time.Duration) *wire.GroupBox {
-	if n.Leads() {
+	if n.IsLeader() {
 		return n.strongestLead(now)
 	}
 	return n.lead()
--- a/group/lead.go
+++ b/group/lead.go
@@ -8,8 +8,8 @@
 // Lead is the name of the box that leads the domain.
 func (n *Node) Lead() string { return n.lead().Name }
 
-// Leads reports whether this box leads its domain.
-func (n *Node) Leads() bool { return n.lead() == n.cfg.Self }
+// IsLeader reports whether this box leads its domain.
+func (n *Node) IsLeader() bool { return n.lead() == n.cfg.Self }
 
 // lead is the best box of the domain that is not known to be silent. It is looked for
 // anew when what it depends on has changed: each message and each look at who reads asks.
--- a/group/limits.go
+++ b/group/limits.go
@@ -34,7 +34,7 @@
 // TellLimits notes what is new, to be told. A member tells what it has read itself: all else comes from
 // its lead, which told the others as well.
 func (n *Node) TellLimits(list []balance.Named) {
-	if n.Leads() {
+	if n.IsLeader() {
 		n.limits.tell(list)
 		return
 	}
--- a/group/load.go
+++ b/group/load.go
@@ -37,7 +37,7 @@
 
 // tellLoads tells all there is, where that is due.
 func (n *Node) tellLoads(now time.Duration) {
-	if n.Leads() {
+	if n.IsLeader() {
 		n.tellLoadsAsLead(now)
 		return
 	}
--- a/group/loadnews.go
+++ b/group/loadnews.go
@@ -19,7 +19,7 @@
 
 // noteChanges notes where two lists differ.
 func (n *Node) noteChanges(before, after Loads) {
-	if !n.Leads() {
+	if !n.IsLeader() {
 		return
 	}
 	for key, load := range after {
@@ -36,7 +36,7 @@
 
 // FlushLoads tells what has changed, unless that was done a moment ago.
 func (n *Node) FlushLoads(now time.Duration) {
-	if !n.Leads() {
+	if !n.IsLeader() {
 		clear(n.changed)
 		n.flushAsMember(now)
 		return
@@ -141,7 +141,7 @@
 		n.mergeLoads(&p.beyond, changes)
 	case !n.sameDomain(p) || m.Scope == scopeOwn:
 		n.mergeLoads(&p.loads, changes)
-	case p.box.Name == n.lead().Name && !n.Leads() && p.told:
+	case p.box.Name == n.lead().Name && !n.IsLeader() && p.told:
 		for key, load := range changes {
 			n.setOther(key, load.Minus(p.toldLoads[key]))
 		}
@@ -158,7 +158,7 @@
 			continue
 		}
 		setLoad(*list, key, load)
-		if n.Leads() {
+		if n.IsLeader() {
 			n.changed[key] = struct{}{}
 		}
 	}
--- a/group/member_bench_test.go
+++ b/group/member_bench_test.go
@@ -15,7 +15,7 @@
 	t.pass(2 * time.Second)
 	for _, name := range []string{boxName(0, 50), boxName(0, 0)} {
 		n := t.boxes[name].node
-		b.Logf("%s leads %v peers %d others %d", name, n.Leads(), len(n.peers), len(n.others))
+		b.Logf("%s leads %v peers %d others %d", name, n.IsLeader(), len(n.peers), len(n.others))
 		run := func(what string, f func()) {
 			b.Run(name+"/"+what, func(b *testing.B) {
 				for b.Loop() {
--- a/group/node.go
+++ b/group/node.go
@@ -256,7 +256,7 @@
 // Leave tells the boxes of the domain that this box is about to end, so that another leads,
 // and those that lead others, if it led.
 func (n *Node) Leave(now time.Duration) {
-	led := n.Leads()
+	led := n.IsLeader()
 	n.leaving, n.chosen = true, nil
 	m := n.message(now)
 	for _, p := range n.peers {
--- a/group/node_test.go
+++ b/group/node_test.go
@@ -113,7 +113,7 @@
 	w.start("alone", "domain0", 1, true)
 	w.run(2 * time.Second)
 	is.Equal(w.behind(), nil)
-	is.True(w.boxes["alone"].node.Leads())
+	is.True(w.boxes["alone"].node.IsLeader())
 }
 
 func TestABoxWhoseClockWasSetBackIsHeardAgain(t *testing.T) {
--- a/group/published.go
+++ b/group/published.go
@@ -117,7 +117,7 @@
 		return
 	}
 	n.cfg.Changed(changes)
-	if !n.Leads() {
+	if !n.IsLeader() {
 		return
 	}
 	messages := n.itemMessages(now, from, changes)
@@ -164,7 +164,7 @@
 	}
 	n.confirmed = max(n.confirmed, known)
 	n.tell(now, changes, from)
-	if !n.Leads() {
+	if !n.IsLeader() {
 		n.sendAll(n.lead().Address, n.itemMessages(now, from, changes))
 	}
 }
--- a/group/reads.go
+++ b/group/reads.go
@@ -64,7 +64,7 @@
 // readsForAll reports whether this box is the strongest of the leads that can read.
 func (n *Node) readsForAll(now time.Duration) bool {
 	canRead := func(p *peer) bool { return p.reads }
-	return n.Leads() && n.bestLead(now, canRead) == n.cfg.Self
+	return n.IsLeader() && n.bestLead(now, canRead) == n.cfg.Self
 }
 
 // bestLead is the strongest of this domain's lead and those leads of other domains that are
@@ -101,7 +101,7 @@
 // a row.
 func (n *Node) ReadPause(failures int) time.Duration {
 	longest := memberReadPause
-	if n.Leads() || n.cfg.Mirror.Revision() == 0 {
+	if n.IsLeader() || n.cfg.Mirror.Revision() == 0 {
 		longest = leadReadPause
 	}
 	pause := firstReadPause
--- a/group/restart_test.go
+++ b/group/restart_test.go
@@ -132,7 +132,7 @@
 		w.run(within)
 		leads := 0
 		for _, name := range w.names {
-			if w.boxes[name].node.Leads() {
+			if w.boxes[name].node.IsLeader() {
 				leads++
 			}
 		}
--- a/group/spread.go
+++ b/group/spread.go
@@ -99,7 +99,7 @@
 	}
 	s.told = now
 	list := s.takeNews()
-	if !n.Leads() {
+	if !n.IsLeader() {
 		s.send(n, []*peer{n.peers[n.lead().Name]}, list, false)
 		return
 	}
@@ -140,7 +140,7 @@
 			break
 		}
 		s.heard = append(s.heard, x)
-		if n.Leads() && !n.sameDomain(p) && len(s.abroad) < maxSpreadWaiting {
+		if n.IsLeader() && !n.sameDomain(p) && len(s.abroad) < maxSpreadWaiting {
 			s.abroad[s.of.key(x)] = x
 		}
 	}
--- a/group/takeover_test.go
+++ b/group/takeover_test.go
@@ -51,7 +51,7 @@
 			led := false
 			for range 60 {
 				w.run(50 * time.Millisecond)
-				led = led || w.boxes[next].node.Leads()
+				led = led || w.boxes[next].node.IsLeader()
 				for _, box := range []string{next, member} {
 					if got := w.openOthers(box); got < before-4 || got > before {
 						t.Errorf("%v: %s believes %d, want %d to %d", w.now, box, got, before-4, before)
--- a/group/talk.go
+++ b/group/talk.go
@@ -38,7 +38,7 @@
 		return
 	}
 	n.lastBeat = now
-	if n.Leads() {
+	if n.IsLeader() {
 		n.most = max(n.most, n.allBoxes(now))
 		n.mostHere = max(n.mostHere, n.domainBoxes(now))
 		n.beatAll(now)
@@ -63,7 +63,7 @@
 	if now-max(p.heard, n.waitsFrom) > n.cfg.Timing.Silence {
 		p.silent, n.chosen = true, nil
 		n.follow(now, n.lead().Name)
-		if n.Leads() {
+		if n.IsLeader() {
 			n.lastBeat = never // the others are to know at once
 		}
 	}
@@ -224,7 +224,7 @@
 		WithheldDigest: n.suspects.digest,
 		LimitsDigest:   n.limits.digest,
 	}
-	if n.Leads() {
+	if n.IsLeader() {
 		m.Leads, m.Reads = true, !n.readFails
 		m.DomainBoxes, m.AllBoxes = uint32(n.domainBoxes(now)), uint32(n.most)
 		m.Lanes = n.packLanes(now)
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -27,7 +27,7 @@
 	r := m.relay
 	now := r.now()
 	unheard := m.node.Unheard(now)
-	left, told := r.cutOff(now, m.node.Leads(), m.node.CutOff(now))
+	left, told := r.cutOff(now, m.node.IsLeader(), m.node.CutOff(now))
 	m.node.SetCutOff(left)
 	for _, domain := range left {
 		if !slices.Contains(m.left, domain) && (slices.Contains(told, domain) || slices.Contains(unheard, domain)) {
