--- a/relay/lives_test.go
+++ b/relay/lives_test.go
@@ -240,16 +240,16 @@
 	missing := make(map[string]time.Duration)
 	u := upstreamOf("u")
 	u.Born = 100
-	r.takeNews(News{Upstream: u}, 0, missing)
-	r.takeNews(News{Gone: "u"}, r.now()+time.Hour, missing)
+	r.takeNews(Update{Upstream: u}, 0, missing)
+	r.takeNews(Update{Gone: "u"}, r.now()+time.Hour, missing)
 	later := *u
 	later.Born = 200
-	r.takeNews(News{Upstream: &later}, 0, missing)
+	r.takeNews(Update{Upstream: &later}, 0, missing)
 	is.Equal(len(missing), 0)
 	is.Equal(r.fleet.Get("u").Born, int64(200))
-	r.takeNews(News{Upstream: u}, 0, missing)
+	r.takeNews(Update{Upstream: u}, 0, missing)
 	is.Equal(r.fleet.Get("u").Born, int64(200))
-	r.takeNews(News{Unusable: "u"}, r.now()+time.Hour, missing)
+	r.takeNews(Update{Unusable: "u"}, r.now()+time.Hour, missing)
 	is.Equal(r.fleet.Get("u"), nil)
 	is.NoErr(r.cfg.Log.Close())
 }
--- a/relay/news.go
+++ b/relay/news.go
@@ -11,9 +11,9 @@
 	"github.com/doormast/doormast/route"
 )
 
-// News is what an item says that was published; one of its fields is set, or none
+// Update is what an item says that was published; one of its fields is set, or none
 // where the item is of no concern.
-type News struct {
+type Update struct {
 	Document *route.Document
 	Upstream *balance.Upstream
 	Gone     string // id of an upstream whose entry is gone
@@ -25,7 +25,7 @@
 
 // takeNews takes what was published. An upstream whose entry goes before the end of
 // doubt is only noted in missing, since the entry may come back.
-func (r *Relay) takeNews(n News, doubt time.Duration, missing map[string]time.Duration) {
+func (r *Relay) takeNews(n Update, doubt time.Duration, missing map[string]time.Duration) {
 	switch {
 	case n.Document != nil:
 		r.takeDocument(n.Document)
@@ -193,7 +193,7 @@
 		news, err := m.relay.cfg.Decode(item)
 		if err != nil {
 			m.logRefused(item, err)
-			news = News{Unusable: news.Unusable}
+			news = Update{Unusable: news.Unusable}
 		}
 		m.relay.takeNews(news, m.node.Doubt(), m.missing)
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -35,7 +35,7 @@
 	// Publisher is read for the document and the list of upstreams, which Decode
 	// makes of what lies there.
 	Publisher mirror.Publisher
-	Decode    func(mirror.Item) (News, error)
+	Decode    func(mirror.Item) (Update, error)
 	Log       *Log // the relay never closes it
 	Budget    balance.BudgetConfig
 	Cold      ColdBounds
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -206,29 +206,29 @@
 
 // decode reads the board's items: a document, that a domain is evacuated, or upstreams by
 // their ids.
-func decode(it mirror.Item) (News, error) {
+func decode(it mirror.Item) (Update, error) {
 	if it.Key == "document" {
 		var d route.Document
 		if err := json.Unmarshal(it.Value, &d); err != nil {
-			return News{}, err
+			return Update{}, err
 		}
 		doc, err := route.New(d)
-		return News{Document: doc}, err
+		return Update{Document: doc}, err
 	}
 	if domain, ok := strings.CutPrefix(it.Key, "evacuate/"); ok {
 		if it.Gone {
-			return News{TakenBack: domain}, nil
+			return Update{TakenBack: domain}, nil
 		}
-		return News{Evacuated: domain}, nil
+		return Update{Evacuated: domain}, nil
 	}
 	if it.Gone {
-		return News{Gone: it.Key}, nil
+		return Update{Gone: it.Key}, nil
 	}
 	u := new(balance.Upstream)
 	if err := json.Unmarshal(it.Value, u); err != nil {
-		return News{Unusable: it.Key}, err
+		return Update{Unusable: it.Key}, err
 	}
-	return News{Upstream: u}, nil
+	return Update{Upstream: u}, nil
 }
 
 // bench is a relay with what surrounds it.
--- a/relay/take_bench_test.go
+++ b/relay/take_bench_test.go
@@ -20,9 +20,9 @@
 				b.StartTimer()
 				for i := range n {
 					u := balance.Upstream{ID: fmt.Sprintf("u%d", i), Born: 5, Service: "s", Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Domain: fmt.Sprintf("d%d", i%5), Slots: 64, Revision: 1}
-					x.relay.takeNews(News{Upstream: &u}, 0, nil)
+					x.relay.takeNews(Update{Upstream: &u}, 0, nil)
 				}
-				x.relay.takeNews(News{Document: doc}, 0, nil)
+				x.relay.takeNews(Update{Document: doc}, 0, nil)
 			}
 		})
 	}
