--- a/balance/allowed_test.go
+++ b/balance/allowed_test.go
@@ -208,7 +208,7 @@
 	is.Equal(f.send(time.Second, 0), "u0") // the request that looks whether the limit holds
 	is.Equal(f.send(2*time.Second, 0), "")
 	is.True(f.LimitLeft(2*time.Second, "s") > 0)
-	f.Says(3*time.Second, Life{ID: "u0"}, Statement{Sent: 2 * time.Second, Read: 3 * time.Second})
+	f.Says(3*time.Second, Incarnation{ID: "u0"}, Statement{Sent: 2 * time.Second, Read: 3 * time.Second})
 	is.Equal(f.send(3*time.Second, 0), "u0")
 }
 
@@ -240,10 +240,10 @@
 	}
 	r := Request{Service: "s"}
 	waits, goes := f.Open(2*time.Second, "u0", r), f.Open(2*time.Second, "u1", r)
-	before := f.Sent(2*time.Second, Life{ID: "u0"}, time.Minute)
+	before := f.Sent(2*time.Second, Incarnation{ID: "u0"}, time.Minute)
 	f.names(2100*time.Millisecond, "u0", 1)
 	is.True(!waits.MayGo(2200 * time.Millisecond))
-	is.Equal(f.Sent(2200*time.Millisecond, Life{ID: "u0"}, time.Minute), before-1) // it was not sent
+	is.Equal(f.Sent(2200*time.Millisecond, Incarnation{ID: "u0"}, time.Minute), before-1) // it was not sent
 	is.True(goes.MayGo(2200 * time.Millisecond))
 }
 
--- a/balance/back_test.go
+++ b/balance/back_test.go
@@ -37,7 +37,7 @@
 			for i := range c.lost {
 				f.Open(time.Second, fmt.Sprint("u", i), prompt(1)).Close(time.Second, Unreachable)
 			}
-			is.True(f.ReachedLife(back, Life{ID: "u0"}))
+			is.True(f.ReachedLife(back, Incarnation{ID: "u0"}))
 			if c.entry > 0 {
 				u := *f.Get("u0")
 				u.ColdFor = c.entry
@@ -63,7 +63,7 @@
 		id := fmt.Sprint("u", i)
 		now += 10 * time.Second
 		f.Open(now, id, prompt(1)).Close(now, Unreachable)
-		is.True(f.ReachedLife(now+time.Second, Life{ID: id}))
+		is.True(f.ReachedLife(now+time.Second, Incarnation{ID: id}))
 		is.True(!f.bears(now+time.Second, f.byID[id])) // it may have started again
 		f.Told(now+5*time.Second, 0)
 	}
@@ -115,7 +115,7 @@
 		f.Open(0, id, prompt(1)).Close(0, Unreachable)
 	}
 	is.Equal(len(f.Unreached()), 3)
-	f.ReachedLife(time.Second, Life{ID: "u1"})
+	f.ReachedLife(time.Second, Incarnation{ID: "u1"})
 	for _, id := range []string{"u1", "u7"} {
 		is.True(!f.bears(time.Second, f.byID[id]))
 	}
@@ -156,7 +156,7 @@
 		if trial := back + time.Duration(n%5)*100*time.Millisecond; now >= trial && !reached[n] {
 			reached[n] = true
 			for j := 0; j < 90; j += 3 {
-				f.ReachedLife(now, Life{ID: fmt.Sprint("u", j)})
+				f.ReachedLife(now, Incarnation{ID: fmt.Sprint("u", j)})
 			}
 		}
 		choice, ok := f.Place(now, prompt(uint64(i)+1), nil)
--- a/balance/history.go
+++ b/balance/history.go
@@ -80,7 +80,7 @@
 }
 
 // Sent is how many requests this box sent to an upstream in the span before a moment.
-func (f *Fleet) Sent(now time.Duration, l Life, span time.Duration) int {
+func (f *Fleet) Sent(now time.Duration, l Incarnation, span time.Duration) int {
 	if h := f.histories[l.Key()]; h != nil {
 		return h.within(now, span)
 	}
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -63,9 +63,9 @@
 	is := is.New(t)
 	f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 	f.Put(0, entryOf("u", 200, 1))
-	is.True(!f.SaysLeaving(Life{"u", 100}))
-	is.True(f.Accepts(2*time.Second, Life{"u", 200}))
-	is.True(f.SaysLeaving(Life{"v", 100}))
+	is.True(!f.SaysLeaving(Incarnation{"u", 100}))
+	is.True(f.Accepts(2*time.Second, Incarnation{"u", 200}))
+	is.True(f.SaysLeaving(Incarnation{"v", 100}))
 	f.Put(0, Upstream{ID: "v", Born: 100, Service: "s", Address: "10.1.0.2:1"})
 	is.True(f.Get("v").Leaving)
 }
@@ -73,7 +73,7 @@
 // A request that waits for a connection is not sent where its upstream has come to leave, or its domain to be evacuated.
 func TestWhatIsPlacedIsLookedAtBeforeItIsSent(t *testing.T) {
 	for name, do := range map[string]func(*Fleet){
-		"it says that it is leaving": func(f *Fleet) { f.SaysLeaving(Life{"u", 100}) },
+		"it says that it is leaving": func(f *Fleet) { f.SaysLeaving(Incarnation{"u", 100}) },
 		"its entry says so":          func(f *Fleet) { f.Put(0, leaving(entryOf("u", 100, 2))) },
 		"its domain is evacuated":    func(f *Fleet) { f.Evacuate("d1") },
 	} {
@@ -81,9 +81,9 @@
 			is := is.New(t)
 			f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 			f.Put(0, entryOf("u", 100, 1))
-			is.True(f.Accepts(2*time.Second, Life{"u", 100}))
+			is.True(f.Accepts(2*time.Second, Incarnation{"u", 100}))
 			do(f)
-			is.True(!f.Accepts(2*time.Second, Life{"u", 100}))
+			is.True(!f.Accepts(2*time.Second, Incarnation{"u", 100}))
 		})
 	}
 }
@@ -98,7 +98,7 @@
 		return f.LackedFor(now, "s")
 	}
 	is.Equal(lacks(time.Second), time.Duration(0))
-	f.SaysLeaving(Life{"u", 100})
+	f.SaysLeaving(Incarnation{"u", 100})
 	is.Equal(lacks(2*time.Second), time.Duration(0)) // the first that finds none
 	is.Equal(lacks(4*time.Second), 2*time.Second)
 	f.Put(5*time.Second, entryOf("u", 200, 2))
@@ -146,6 +146,6 @@
 	f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 	f.Put(0, leaving(entryOf("u", 100, 1)))
 	f.Put(time.Second, entryOf("u", 200, 2))
-	is.True(!f.Unproven(Life{"u", 200}))
-	is.True(f.Accepts(2*time.Second, Life{"u", 200}))
+	is.True(!f.Unproven(Incarnation{"u", 200}))
+	is.True(f.Accepts(2*time.Second, Incarnation{"u", 200}))
 }
--- a/balance/life.go
+++ b/balance/life.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// Life is an upstream from one of its starts to its end.
-type Life struct {
+// Incarnation is an upstream from one of its starts to its end.
+type Incarnation struct {
 	ID   string
 	Born int64 // when it started, Unix ms as its own entry says; 0: not known
 }
 
 // Life is the life that an entry tells of.
-func (u Upstream) Life() Life { return Life{u.ID, u.Born} }
+func (u Upstream) Life() Incarnation { return Incarnation{u.ID, u.Born} }
 
 // Key identifies a life where boxes tell each other of it. So what they tell of an earlier
 // life names nobody at a box that knows a later one, and the other way round.
-func (l Life) Key() uint32 {
+func (l Incarnation) Key() uint32 {
 	if l.Born == 0 {
 		return Key(l.ID)
 	}
@@ -31,7 +31,7 @@
 
 // After reports whether this is a later life of the same upstream than another. One that names
 // its start is later than one that does not: writers begin to name it with a start.
-func (l Life) After(o Life) bool { return l.ID == o.ID && l.Born > o.Born }
+func (l Incarnation) After(o Incarnation) bool { return l.ID == o.ID && l.Born > o.Born }
 
 // lastLife is what is remembered of the last known life of an upstream, for as long as the box
 // runs, also after its entry went.
@@ -126,14 +126,14 @@
 }
 
 // hasLeft reports whether a life is known to take no new requests.
-func (f *Fleet) hasLeft(l Life) bool {
+func (f *Fleet) hasLeft(l Incarnation) bool {
 	last := f.lives[l.ID]
 	return last.entry.Born == l.Born && last.leaving
 }
 
 // SaysLeaving notes that a life says in an answer that it takes no new requests, and reports whether that is new. No entry
 // takes it back: entries are older than answers.
-func (f *Fleet) SaysLeaving(l Life) bool {
+func (f *Fleet) SaysLeaving(l Incarnation) bool {
 	last := f.lives[l.ID]
 	if l.Born < last.entry.Born || f.hasLeft(l) {
 		return false
@@ -151,13 +151,13 @@
 
 // Unproven reports whether a life gets nothing until it is proved that it is not leaving: answers that said so were taken for those of the
 // life before.
-func (f *Fleet) Unproven(l Life) bool {
+func (f *Fleet) Unproven(l Incarnation) bool {
 	last := f.lives[l.ID]
 	return last.entry.Born == l.Born && last.unproven
 }
 
 // Proved notes that a life has been asked, and what it said was noted.
-func (f *Fleet) Proved(l Life) {
+func (f *Fleet) Proved(l Incarnation) {
 	if !f.Unproven(l) {
 		return
 	}
@@ -171,7 +171,7 @@
 
 // Accepts reports whether requests may be sent to a life that they were placed at: it may have come to leave since, or
 // asked for a pause.
-func (f *Fleet) Accepts(now time.Duration, l Life) bool {
+func (f *Fleet) Accepts(now time.Duration, l Incarnation) bool {
 	if f.hasLeft(l) || f.PausedFor(now, l) > 0 {
 		return false
 	}
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -214,7 +214,7 @@
 	f.Open(0, "u", prompt(7)).Close(0, Closed)
 	news := []Kept{{PartKey(7), m.key}}
 	f.NoteKept(time.Minute, news)
-	is.True(f.ReachedLife(time.Minute, Life{"u", 100}))
+	is.True(f.ReachedLife(time.Minute, Incarnation{"u", 100}))
 	f.NoteKept(time.Minute+newsLag/2, news)
 	is.True(!f.kept.holds(time.Minute+newsLag/2, PartKey(7), m))
 	f.NoteKept(time.Minute+newsLag, news)
@@ -226,9 +226,9 @@
 	f := knowing(3)
 	f.Put(0, entryOf("u", 200, 1))
 	f.Open(0, "u", prompt(7)).Close(0, Unreachable)
-	is.True(!f.ReachedLife(0, Life{"u", 100}))
+	is.True(!f.ReachedLife(0, Incarnation{"u", 100}))
 	is.True(f.byID["u"].out)
-	is.True(f.ReachedLife(0, Life{"u", 200}))
+	is.True(f.ReachedLife(0, Incarnation{"u", 200}))
 	is.True(!f.byID["u"].out)
 }
 
@@ -269,7 +269,7 @@
 func TestAnAddressGoesBackToWhoHasIt(t *testing.T) {
 	for name, end := range map[string]func(f *Fleet){
 		"the upstream says who it is": func(f *Fleet) {
-			f.Named(time.Second, Life{"false", 900}, "true")
+			f.Named(time.Second, Incarnation{"false", 900}, "true")
 		},
 		"the entry goes": func(f *Fleet) { f.Remove("false") },
 	} {
@@ -289,7 +289,7 @@
 			f.Put(time.Second, entryOf("false", 900, 5)) // what is known to have ended takes nothing
 			is.Equal(f.IDs(), []string{"true"})
 			f.Remove("true")
-			f.Named(time.Second, Life{"none", 1}, "true")
+			f.Named(time.Second, Incarnation{"none", 1}, "true")
 		})
 	}
 }
@@ -340,7 +340,7 @@
 				hearer.Put(0, u)
 			}
 			hearer.Put(0, entryOf("false", 900, 2))
-			finder.Named(time.Second, Life{"false", 900}, "true")
+			finder.Named(time.Second, Incarnation{"false", 900}, "true")
 			hearer.NoteKept(time.Second, finder.KeptNews())
 			for _, u := range c.then {
 				hearer.Put(2*time.Second, u)
--- a/balance/list.go
+++ b/balance/list.go
@@ -194,7 +194,7 @@
 
 // Named notes that an upstream which was meant answered that it is another one: that one has
 // the address, if its entry waits for it.
-func (f *Fleet) Named(now time.Duration, meant Life, said string) {
+func (f *Fleet) Named(now time.Duration, meant Incarnation, said string) {
 	m, waits := f.byID[meant.ID], f.waiting[said]
 	if m == nil || m.Life() != meant || waits == nil || waits.Address != m.Address {
 		return
--- a/balance/lives_test.go
+++ b/balance/lives_test.go
@@ -15,9 +15,9 @@
 	now    time.Duration
 	boxes  []*Fleet
 	born   map[string]int64
-	sent   map[Life]map[uint32]time.Duration // when a part was last sent to a life, by any box
-	signs  []map[Life]time.Duration          // when a box had a sign that a life has ended
-	seen   []map[string]int64                // by box: the last life that it knew
+	sent   map[Incarnation]map[uint32]time.Duration // when a part was last sent to a life, by any box
+	signs  []map[Incarnation]time.Duration          // when a box had a sign that a life has ended
+	seen   []map[string]int64                       // by box: the last life that it knew
 	open   [][]openRun
 	onWay  []toldNews
 	latest uint64 // revision
@@ -26,7 +26,7 @@
 // openRun is a request that is open on a life.
 type openRun struct {
 	ticket *Ticket
-	life   Life
+	life   Incarnation
 }
 
 // toldNews is what one box tells another, with when.
@@ -43,10 +43,10 @@
 )
 
 func newLivesWorld(t *rapid.T) *livesWorld {
-	w := &livesWorld{t: t, born: make(map[string]int64), sent: make(map[Life]map[uint32]time.Duration)}
+	w := &livesWorld{t: t, born: make(map[string]int64), sent: make(map[Incarnation]map[uint32]time.Duration)}
 	for range worldBoxes {
 		w.boxes = append(w.boxes, knowing(0))
-		w.signs = append(w.signs, make(map[Life]time.Duration))
+		w.signs = append(w.signs, make(map[Incarnation]time.Duration))
 		w.seen = append(w.seen, make(map[string]int64))
 		w.open = append(w.open, nil)
 	}
@@ -106,7 +106,7 @@
 }
 
 // member is a life that a box has listed, or nil.
-func (w *livesWorld) member(box int, l Life) *member {
+func (w *livesWorld) member(box int, l Incarnation) *member {
 	if m := w.boxes[box].byID[l.ID]; m != nil && m.Life() == l {
 		return m
 	}
--- a/balance/pause.go
+++ b/balance/pause.go
@@ -30,7 +30,7 @@
 }
 
 // Pause notes that a life asks this box for a pause from now on, and returns until when it lasts.
-func (f *Fleet) Pause(now time.Duration, l Life, length time.Duration) (till time.Duration) {
+func (f *Fleet) Pause(now time.Duration, l Incarnation, length time.Duration) (till time.Duration) {
 	key := l.Key()
 	p := f.pauses[key]
 	if p == nil {
@@ -93,7 +93,7 @@
 }
 
 // PausedFor is how long an upstream wants nothing from this box; 0: it asked for no pause.
-func (f *Fleet) PausedFor(now time.Duration, l Life) time.Duration {
+func (f *Fleet) PausedFor(now time.Duration, l Incarnation) time.Duration {
 	m := f.byID[l.ID]
 	if m == nil || m.Life() != l || f.pauseOf(m) == nil {
 		return 0
--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -33,8 +33,8 @@
 		{"nothing else", entryOf("u", 100, 1), nil, false},
 		{"its entry written again", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 100, 2))}, false},
 		{"its entry lapses and returns", entryOf("u", 0, 1), []func(*Fleet){gone, put(entryOf("u", 0, 3))}, false},
-		{"a shorter one is asked for later", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Life{"u", 100}, time.Second) }}, false},
-		{"an earlier life asks", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Life{"u", 50}, time.Hour) }}, false},
+		{"a shorter one is asked for later", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Incarnation{"u", 100}, time.Second) }}, false},
+		{"an earlier life asks", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Incarnation{"u", 50}, time.Hour) }}, false},
 		{"a later life", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
 		{"orders fall", counting(entryOf("u", 0, 1), 5), []func(*Fleet){put(counting(entryOf("u", 0, 2), 1))}, true},
 		{"another one at its address", entryOf("u", 0, 1), []func(*Fleet){put(Upstream{ID: "v", Service: "s", Address: "10.1.0.1:1", Domain: "d1", Slots: 8, Revision: 9})}, true},
@@ -70,7 +70,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				length := time.Duration(rapid.IntRange(1, 3000).Draw(t, "length")) * time.Millisecond
-				f.Pause(now, Life{ID: id}, length)
+				f.Pause(now, Incarnation{ID: id}, length)
 				till[id] = max(till[id], now+length)
 			case 1:
 				if len(open) > 0 {
@@ -102,7 +102,7 @@
 func TestRequestsReturnInGrowingNumbersAfterAPause(t *testing.T) {
 	is := is.New(t)
 	f := pausing(1)
-	f.Pause(0, Life{ID: "u0"}, time.Second)
+	f.Pause(0, Incarnation{ID: "u0"}, time.Second)
 	now := 2 * time.Second
 	var waves []int
 	for range 5 {
@@ -129,7 +129,7 @@
 		t.Run(fmt.Sprint(outcome), func(t *testing.T) {
 			is := is.New(t)
 			f := pausing(1)
-			f.Pause(0, Life{ID: "u0"}, time.Second)
+			f.Pause(0, Incarnation{ID: "u0"}, time.Second)
 			now := 2 * time.Second
 			first := f.Open(now, "u0", plain)
 			_, ok := f.Place(now, plain, nil)
@@ -150,9 +150,9 @@
 	u := *f.Get("u0")
 	u.Slots = 1
 	f.Put(0, u)
-	f.Pause(0, Life{ID: "u0"}, time.Second)
+	f.Pause(0, Incarnation{ID: "u0"}, time.Second)
 	first := f.Open(2*time.Second, "u0", plain)
-	f.Pause(2100*time.Millisecond, Life{ID: "u0"}, 10*time.Second)
+	f.Pause(2100*time.Millisecond, Incarnation{ID: "u0"}, 10*time.Second)
 	first.Close(2200*time.Millisecond, Answered)
 	_, ok := f.Place(3*time.Second, plain, nil)
 	is.True(!ok)
@@ -164,7 +164,7 @@
 func TestWhoReturnsFirstAfterAPause(t *testing.T) {
 	is := is.New(t)
 	f := pausing(1)
-	f.Pause(0, Life{ID: "u0"}, time.Second)
+	f.Pause(0, Incarnation{ID: "u0"}, time.Second)
 	now := 2 * time.Second
 	may := func(urgency int, waited bool) bool {
 		_, ok := f.Place(now, Request{Service: "s", Urgency: urgency, Waited: waited}, nil)
@@ -185,12 +185,12 @@
 func TestHowLongAPauseKeepsARequest(t *testing.T) {
 	is := is.New(t)
 	f := pausing(3)
-	f.Pause(0, Life{ID: "u0"}, 10*time.Second)
-	f.Pause(0, Life{ID: "u1"}, 5*time.Second)
+	f.Pause(0, Incarnation{ID: "u0"}, 10*time.Second)
+	f.Pause(0, Incarnation{ID: "u1"}, 5*time.Second)
 	is.Equal(f.PauseLeft(0, plain, nil), time.Duration(0)) // u2 takes it
 	left := f.PauseLeft(0, plain, []string{"u2"})
 	is.True(left >= 5*time.Second && left < 10*time.Second)
-	f.SaysLeaving(Life{ID: "u1"})
+	f.SaysLeaving(Incarnation{ID: "u1"})
 	is.True(f.PauseLeft(0, plain, []string{"u2"}) >= 10*time.Second)
 	is.Equal(f.PauseLeft(0, plain, []string{"u0", "u2"}), time.Duration(0)) // nothing is there
 }
@@ -202,7 +202,7 @@
 	for box := range 50 {
 		f := pausing(1)
 		f.SetSharers(Sharers{Box: fmt.Sprint(box)})
-		till := f.Pause(0, Life{ID: "u0"}, 2*time.Second)
+		till := f.Pause(0, Incarnation{ID: "u0"}, 2*time.Second)
 		is.True(till >= 2*time.Second && till < 2200*time.Millisecond)
 		ends[till] = true
 	}
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -116,7 +116,7 @@
 }
 
 // UnreachedLife notes that a trial connection to a life of an upstream did not come up.
-func (f *Fleet) UnreachedLife(now time.Duration, l Life) {
+func (f *Fleet) UnreachedLife(now time.Duration, l Incarnation) {
 	if m := f.byID[l.ID]; m != nil && m.Life() == l {
 		f.unreached(now, m)
 	}
@@ -179,7 +179,7 @@
 
 // ReachedLife notes that a trial connection to a life of an upstream came up, and reports
 // whether it is still the one that is listed.
-func (f *Fleet) ReachedLife(now time.Duration, l Life) bool {
+func (f *Fleet) ReachedLife(now time.Duration, l Incarnation) bool {
 	m := f.byID[l.ID]
 	if m == nil || m.Life() != l {
 		return false
--- a/balance/suspects.go
+++ b/balance/suspects.go
@@ -77,7 +77,7 @@
 
 // CutOff notes that an upstream closed or reset the connection under a run of a content, and
 // reports whether that is withheld from now on: the upstream is known to have ended.
-func (s *Suspects) CutOff(now time.Duration, content uint64, l Life) (withheld bool) {
+func (s *Suspects) CutOff(now time.Duration, content uint64, l Incarnation) (withheld bool) {
 	life := l.Key()
 	if at, isOver := s.ended[life]; isOver && now-at < endedFor {
 		return s.add(now, content, life)
@@ -93,7 +93,7 @@
 
 // Ended notes that an upstream has ended, neither planned nor told. It returns the contents that
 // were cut off there and are withheld from now on, and whether the end was not known before.
-func (s *Suspects) Ended(now time.Duration, l Life) (withheld []uint64, isNew bool) {
+func (s *Suspects) Ended(now time.Duration, l Incarnation) (withheld []uint64, isNew bool) {
 	life := l.Key()
 	at, isOver := s.ended[life]
 	isNew = !isOver || now-at >= endedFor
@@ -188,7 +188,7 @@
 
 // Alive notes that an upstream has answered a run that began at a moment: where it was found to
 // have ended before that, it had not.
-func (s *Suspects) Alive(l Life, began time.Duration) {
+func (s *Suspects) Alive(l Incarnation, began time.Duration) {
 	life := l.Key()
 	s.cuts = slices.DeleteFunc(s.cuts, func(c cut) bool { return c.life == life && c.at < began })
 	if !s.claimed(life, began) {
--- a/group/fatal_replay_test.go
+++ b/group/fatal_replay_test.go
@@ -14,7 +14,7 @@
 type fatalRun struct {
 	box    *testBox
 	name   string // of the box
-	life   balance.Life
+	life   balance.Incarnation
 	begins time.Duration
 	ends   time.Duration
 	again  bool // the box may send it once more
@@ -56,7 +56,7 @@
 	d.sent = append(d.sent, d.w.now)
 	begins := d.w.now + time.Duration(50+d.w.random.IntN(300))*time.Millisecond
 	ends := begins + time.Duration(10+d.w.random.IntN(100))*time.Millisecond
-	d.runs = append(d.runs, fatalRun{b, name, balance.Life{ID: fmt.Sprint("u", len(d.sent))}, begins, ends, again})
+	d.runs = append(d.runs, fatalRun{b, name, balance.Incarnation{ID: fmt.Sprint("u", len(d.sent))}, begins, ends, again})
 }
 
 // step looks at one run.
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -36,7 +36,7 @@
 type headUnderWay struct {
 	box  *testBox
 	name string // of the box
-	life balance.Life
+	life balance.Incarnation
 	told balance.Statement
 	at   time.Duration
 	done func()
--- a/group/suspects_test.go
+++ b/group/suspects_test.go
@@ -46,8 +46,8 @@
 // end has an upstream end under a content that a box runs.
 func (h *holders) end(name string, content uint64, id string) {
 	s := h.tables[name]
-	s.CutOff(h.w.now, content, balance.Life{ID: id})
-	s.Ended(h.w.now, balance.Life{ID: id})
+	s.CutOff(h.w.now, content, balance.Incarnation{ID: id})
+	s.Ended(h.w.now, balance.Incarnation{ID: id})
 }
 
 // withhold lists the boxes that withhold a content.
--- a/relay/conns.go
+++ b/relay/conns.go
@@ -31,7 +31,7 @@
 type conn struct {
 	net.Conn
 	reader   *bufio.Reader
-	life     balance.Life // of its upstream, that was listed when it was opened
+	life     balance.Incarnation // of its upstream, that was listed when it was opened
 	opened   time.Time
 	keepTill time.Time // it may be used again up to then
 }
@@ -176,14 +176,14 @@
 }
 
 // isOver reports whether a life is known to be over.
-func (p *conns) isOver(l balance.Life) bool {
+func (p *conns) isOver(l balance.Incarnation) bool {
 	born, ended := p.over[l.ID]
 	return ended && l.Born <= born
 }
 
 // end closes the idle connections of a life that is over; those that are in use are closed
 // when their answers have ended.
-func (p *conns) end(l balance.Life) {
+func (p *conns) end(l balance.Incarnation) {
 	if l.Born > 0 {
 		p.mu.Lock()
 		p.over[l.ID] = max(l.Born, p.over[l.ID])
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -54,7 +54,7 @@
 	lead := &wire.GroupMessage{Sender: &wire.GroupBox{Name: "lead", Domain: "d0", Boot: 1, Strength: 9}, Leads: true, CutOff: []string{"d1"}}
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
-	m.relay.fleet.ReachedLife(m.relay.now(), balance.Life{ID: "u1"})
+	m.relay.fleet.ReachedLife(m.relay.now(), balance.Incarnation{ID: "u1"})
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOff(), nil)
@@ -70,7 +70,7 @@
 	}
 	is.Equal(m.relay.fleet.CutOff(), nil)
 	for i := 1; i < 6; i += 2 {
-		m.relay.fleet.UnreachedLife(m.relay.now(), balance.Life{ID: fmt.Sprintf("u%d", i)})
+		m.relay.fleet.UnreachedLife(m.relay.now(), balance.Incarnation{ID: fmt.Sprintf("u%d", i)})
 	}
 	m.shareCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOff(), []string{"d1"})
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -36,14 +36,14 @@
 	caller  *caller     // nil where its connection is none of the box's callers'
 	release func() bool // undoes the closing of the current connection by ctx
 
-	tried         []balance.Life // upstreams it was sent to, or that could not be reached
-	sent          int            // runs begun
-	unsent        int            // upstreams that could not be reached
-	paid          bool           // its next run has been taken from the retry budget
-	mayHave       bool           // a run may have happened
-	cutOff        int            // runs under which the upstream closed or reset the connection
-	refusalStatus int            // status of the last refusal by an upstream
-	instead       string         // id of the upstream that gave it, where that is not the one meant
+	tried         []balance.Incarnation // upstreams it was sent to, or that could not be reached
+	sent          int                   // runs begun
+	unsent        int                   // upstreams that could not be reached
+	paid          bool                  // its next run has been taken from the retry budget
+	mayHave       bool                  // a run may have happened
+	cutOff        int                   // runs under which the upstream closed or reset the connection
+	refusalStatus int                   // status of the last refusal by an upstream
+	instead       string                // id of the upstream that gave it, where that is not the one meant
 	ticket        *balance.Ticket
 	upstream      balance.Upstream
 	fetched       bool          // its upstream was told of another that keeps the prompt
--- a/relay/lives.go
+++ b/relay/lives.go
@@ -88,11 +88,11 @@
 }
 
 // lifeOf is the life that an upstream is listed in.
-func (r *Relay) lifeOf(id string) balance.Life {
+func (r *Relay) lifeOf(id string) balance.Incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u, _ := r.listed(id)
-	return balance.Life{ID: id, Born: u.Born}
+	return balance.Incarnation{ID: id, Born: u.Born}
 }
 
 // isPresent reports whether an upstream is listed in the life that it was chosen in. The caller
@@ -130,7 +130,7 @@
 }
 
 // takeName takes in that an upstream that was meant answered that it is another.
-func (r *Relay) takeName(meant balance.Life, said string) {
+func (r *Relay) takeName(meant balance.Incarnation, said string) {
 	r.mu.Lock()
 	r.fleet.Named(r.now(), meant, said)
 	r.mu.Unlock()
--- a/relay/news.go
+++ b/relay/news.go
@@ -64,7 +64,7 @@
 	asks    bool   // it is to be asked whether it is leaving
 	other   string // the one whose address it has taken over
 	// It was not leaving: nobody told of its end.
-	otherEnded *balance.Life
+	otherEnded *balance.Incarnation
 }
 
 // putUpstream lists an upstream, or renews what is known of it.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -93,7 +93,7 @@
 	runs       map[*exchange]*conn // the connections on which requests run
 	waiting    map[string]*waiting // requests that wait for the end of a pause, by service
 	// Lives of which it is being found out whether they have ended; closed when that is known.
-	finding map[balance.Life]chan struct{}
+	finding map[balance.Incarnation]chan struct{}
 
 	trials   chan struct{} // readable when an upstream could not be reached
 	stopping atomic.Bool
@@ -122,7 +122,7 @@
 		trials:     make(chan struct{}, 1),
 		runs:       make(map[*exchange]*conn),
 		waiting:    make(map[string]*waiting),
-		finding:    make(map[balance.Life]chan struct{}),
+		finding:    make(map[balance.Incarnation]chan struct{}),
 		stats:      newStats(),
 	}
 	r.startWall.Store(r.start.UnixNano())
--- a/relay/said.go
+++ b/relay/said.go
@@ -67,7 +67,7 @@
 }
 
 // noteLeaving notes that a life says that it is leaving: from now on it is sent nothing.
-func (r *Relay) noteLeaving(life balance.Life, request string) {
+func (r *Relay) noteLeaving(life balance.Incarnation, request string) {
 	r.mu.Lock()
 	isNew := r.fleet.SaysLeaving(life)
 	r.mu.Unlock()
@@ -126,7 +126,7 @@
 }
 
 // isPaused reports whether a life wants nothing from this box for now.
-func (r *Relay) isPaused(l balance.Life) bool {
+func (r *Relay) isPaused(l balance.Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fleet.PausedFor(r.now(), l) > 0
--- a/relay/said_test.go
+++ b/relay/said_test.go
@@ -173,9 +173,9 @@
 
 // An upstream came to leave, or asked for a pause, while a request waited for a connection to it: the request goes elsewhere.
 func TestARequestThatWaitedForAConnectionIsNotSentToWhatTakesNone(t *testing.T) {
-	for name, says := range map[string]func(r *Relay, l balance.Life){
-		"it is leaving": func(r *Relay, l balance.Life) { r.fleet.SaysLeaving(l) },
-		"it pauses":     func(r *Relay, l balance.Life) { r.fleet.Pause(r.now(), l, time.Minute) },
+	for name, says := range map[string]func(r *Relay, l balance.Incarnation){
+		"it is leaving": func(r *Relay, l balance.Incarnation) { r.fleet.SaysLeaving(l) },
+		"it pauses":     func(r *Relay, l balance.Incarnation) { r.fleet.Pause(r.now(), l, time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -258,7 +258,7 @@
 			b.until(func() bool {
 				b.relay.mu.Lock()
 				defer b.relay.mu.Unlock()
-				return !b.relay.fleet.Unproven(balance.Life{ID: "u", Born: 200})
+				return !b.relay.fleet.Unproven(balance.Incarnation{ID: "u", Born: 200})
 			})
 			got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "again"))
 			is.Equal(got.status == http.StatusOK, !says)
--- a/relay/trial.go
+++ b/relay/trial.go
@@ -83,7 +83,7 @@
 // run again: it goes on elsewhere, instead of waiting until the connection is known
 // to be dead. It is only called once a trial has failed as well: engines that are overrun
 // let connections wait too.
-func (r *Relay) moveRuns(l balance.Life) {
+func (r *Relay) moveRuns(l balance.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for x, c := range r.runs {
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -102,7 +102,7 @@
 }
 
 // noteEnd notes that a life of an upstream has ended, unless it was leaving or is listed no more.
-func (r *Relay) noteEnd(life balance.Life) {
+func (r *Relay) noteEnd(life balance.Incarnation) {
 	r.mu.Lock()
 	u, isListed := r.listed(life.ID)
 	r.mu.Unlock()
@@ -112,7 +112,7 @@
 }
 
 // holdAgainst holds the end of an upstream that nobody told of against what was cut off there.
-func (r *Relay) holdAgainst(life balance.Life) {
+func (r *Relay) holdAgainst(life balance.Incarnation) {
 	if r.cfg.Off[balance.Withholding] {
 		return
 	}
