--- a/relay/lives_test.go
+++ b/relay/lives_test.go
@@ -241,7 +241,7 @@
 	u := upstreamOf("u")
 	u.Born = 100
 	r.takeNews(Update{Upstream: u}, 0, missing)
-	r.takeNews(Update{Gone: "u"}, r.now()+time.Hour, missing)
+	r.takeNews(Update{Removed: "u"}, r.now()+time.Hour, missing)
 	later := *u
 	later.Born = 200
 	r.takeNews(Update{Upstream: &later}, 0, missing)
--- a/relay/news.go
+++ b/relay/news.go
@@ -16,7 +16,7 @@
 type Update struct {
 	Document *route.Document
 	Upstream *balance.Upstream
-	Gone     string // id of an upstream whose entry is gone
+	Removed  string // id of an upstream whose entry is gone
 	Unusable string // id of an upstream whose entry names none that can be used
 	// Evacuated is a failure domain to whose upstreams nothing more is to be sent, and
 	// TakenBack one that was evacuated and is so no longer.
@@ -39,11 +39,11 @@
 		r.evacuate(n.Evacuated)
 	case n.TakenBack != "":
 		r.takeBack(n.TakenBack)
-	case n.Gone == "":
+	case n.Removed == "":
 	case r.now() < doubt:
-		missing[n.Gone] = doubt
+		missing[n.Removed] = doubt
 	default:
-		r.dropUpstream(n.Gone, "gone from the list")
+		r.dropUpstream(n.Removed, "gone from the list")
 	}
 }
 
--- a/relay/news_test.go
+++ b/relay/news_test.go
@@ -50,12 +50,12 @@
 	r := &Relay{start: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConns(nil)}
 	missing := make(map[string]time.Duration)
 	r.takeNews(Update{Upstream: upstreamOf("u1")}, 0, missing)
-	r.takeNews(Update{Gone: "u1"}, r.now()+time.Hour, missing)
+	r.takeNews(Update{Removed: "u1"}, r.now()+time.Hour, missing)
 	is.True(r.fleet.Get("u1") != nil)
 	is.Equal(len(missing), 1)
 	r.takeNews(Update{Upstream: upstreamOf("u1")}, 0, missing) // it is back
 	is.Equal(len(missing), 0)
-	r.takeNews(Update{Gone: "u1"}, 0, missing) // outside of doubt it goes at once
+	r.takeNews(Update{Removed: "u1"}, 0, missing) // outside of doubt it goes at once
 	is.True(r.fleet.Get("u1") == nil)
 	is.NoErr(r.cfg.Log.Close())
 }
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -222,7 +222,7 @@
 		return Update{Evacuated: domain}, nil
 	}
 	if it.Gone {
-		return Update{Gone: it.Key}, nil
+		return Update{Removed: it.Key}, nil
 	}
 	u := new(balance.Upstream)
 	if err := json.Unmarshal(it.Value, u); err != nil {
