--- a/relay/lives_test.go
+++ b/relay/lives_test.go
@@ -249,7 +249,7 @@
 	is.Equal(r.fleet.Get("u").Born, int64(200))
 	r.takeNews(Update{Upstream: u}, 0, missing)
 	is.Equal(r.fleet.Get("u").Born, int64(200))
-	r.takeNews(Update{Unusable: "u"}, r.now()+time.Hour, missing)
+	r.takeNews(Update{Invalid: "u"}, r.now()+time.Hour, missing)
 	is.Equal(r.fleet.Get("u"), nil)
 	is.NoErr(r.cfg.Log.Close())
 }
--- a/relay/news.go
+++ b/relay/news.go
@@ -17,7 +17,7 @@
 	Document *route.Document
 	Upstream *balance.Upstream
 	Removed  string // id of an upstream whose entry is gone
-	Unusable string // id of an upstream whose entry names none that can be used
+	Invalid  string // id of an upstream whose entry names none that can be used
 	// Evacuated is a failure domain to whose upstreams nothing more is to be sent, and
 	// TakenBack one that was evacuated and is so no longer.
 	Evacuated, TakenBack string
@@ -32,9 +32,9 @@
 	case n.Upstream != nil:
 		delete(missing, n.Upstream.ID)
 		r.takeUpstream(*n.Upstream)
-	case n.Unusable != "":
-		delete(missing, n.Unusable)
-		r.dropUpstream(n.Unusable, "entry unusable")
+	case n.Invalid != "":
+		delete(missing, n.Invalid)
+		r.dropUpstream(n.Invalid, "entry unusable")
 	case n.Evacuated != "":
 		r.evacuate(n.Evacuated)
 	case n.TakenBack != "":
@@ -193,7 +193,7 @@
 		news, err := m.relay.cfg.Decode(item)
 		if err != nil {
 			m.logRefused(item, err)
-			news = Update{Unusable: news.Unusable}
+			news = Update{Invalid: news.Invalid}
 		}
 		m.relay.takeNews(news, m.node.Doubt(), m.missing)
 	}
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -226,7 +226,7 @@
 	}
 	u := new(balance.Upstream)
 	if err := json.Unmarshal(it.Value, u); err != nil {
-		return Update{Unusable: it.Key}, err
+		return Update{Invalid: it.Key}, err
 	}
 	return Update{Upstream: u}, nil
 }
