--- a/relay/news.go
+++ b/relay/news.go
@@ -19,8 +19,8 @@
 	Removed  string // id of an upstream whose entry is gone
 	Invalid  string // id of an upstream whose entry names none that can be used
 	// Evacuated is a failure domain to whose upstreams nothing more is to be sent, and
-	// TakenBack one that was evacuated and is so no longer.
-	Evacuated, TakenBack string
+	// Restored one that was evacuated and is so no longer.
+	Evacuated, Restored string
 }
 
 // takeNews takes what was published. An upstream whose entry goes before the end of
@@ -37,8 +37,8 @@
 		r.dropUpstream(n.Invalid, "entry unusable")
 	case n.Evacuated != "":
 		r.evacuate(n.Evacuated)
-	case n.TakenBack != "":
-		r.takeBack(n.TakenBack)
+	case n.Restored != "":
+		r.takeBack(n.Restored)
 	case n.Removed == "":
 	case r.now() < doubt:
 		missing[n.Removed] = doubt
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -217,7 +217,7 @@
 	}
 	if domain, ok := strings.CutPrefix(it.Key, "evacuate/"); ok {
 		if it.Gone {
-			return Update{TakenBack: domain}, nil
+			return Update{Restored: domain}, nil
 		}
 		return Update{Evacuated: domain}, nil
 	}
