--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -115,7 +115,7 @@
 // whyRefused says what an upstream's refusal tells besides: the id of the upstream that has the
 // address now; no error where that is the one that was meant, or not told.
 func (r *Relay) whyRefused(h *fasthttp.ResponseHeader, meant string) (id string, err error) {
-	started := headerValue(h, r.cfg.Protocol.Started)
+	started := headerValue(h, r.cfg.Protocol.CurrentInstance)
 	if h.StatusCode() == fasthttp.StatusMisdirectedRequest && started != "" && started != meant {
 		return started, errReplaced
 	}
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -8,22 +8,22 @@
 // Protocol names the headers that the relay reads and sets, and reads those that
 // describe a prompt. A header that a deployment lacks is an empty text.
 type Protocol struct {
-	RequestID  string // identifies one attempt of a caller; comes back in its answer
-	TimeLeft   string // milliseconds the caller will wait; milliseconds left for the upstream
-	Key        string // the caller's secret; not passed on
-	Customer   string // set for the upstream: who holds the key
-	Instance   string // set for the upstream: the start of it that is meant
-	Started    string // in an upstream's refusal: the start of it that is there
-	Limit      string // in an upstream's answer: requests a second that it takes from all boxes together
-	Leaving    string // in an upstream's answer: 1 where it is leaving
-	RetryAfter string // in an upstream's refusal: for how long it wants no requests from this box
-	NotRun     string // in an upstream's refusal: it has not run the request
-	Signature  string // in an upstream's answer: who gave it; the relay only passes it on
-	Priority   string // set for the upstream, 0 first
-	LastEvent  string // the last event of a stream that was seen
-	Memory     string // set for the upstream: the copy that a run goes on from
-	Fetch      string // set for the upstream: IP:port of another that keeps the prompt
-	Priorities int    // how many values Priority has, from 0
+	RequestID       string // identifies one attempt of a caller; comes back in its answer
+	TimeLeft        string // milliseconds the caller will wait; milliseconds left for the upstream
+	Key             string // the caller's secret; not passed on
+	Customer        string // set for the upstream: who holds the key
+	Instance        string // set for the upstream: the start of it that is meant
+	CurrentInstance string // in an upstream's refusal: the start of it that is there
+	Limit           string // in an upstream's answer: requests a second that it takes from all boxes together
+	Leaving         string // in an upstream's answer: 1 where it is leaving
+	RetryAfter      string // in an upstream's refusal: for how long it wants no requests from this box
+	NotRun          string // in an upstream's refusal: it has not run the request
+	Signature       string // in an upstream's answer: who gave it; the relay only passes it on
+	Priority        string // set for the upstream, 0 first
+	LastEvent       string // the last event of a stream that was seen
+	Memory          string // set for the upstream: the copy that a run goes on from
+	Fetch           string // set for the upstream: IP:port of another that keeps the prompt
+	Priorities      int    // how many values Priority has, from 0
 
 	// Reserved are further headers that only a box may set. An upstream acts on them, so
 	// one that a caller made up takes memory or a place there that serves nobody, or has
