--- a/relay/outgoing.go
+++ b/relay/outgoing.go
@@ -42,7 +42,7 @@
 	}
 	if len(q.prompt.Parts) > 0 {
 		writeHeader(&b, p.Priority, strconv.Itoa(n.urgency))
-		writeHeader(&b, p.Fetch, n.fetch)
+		writeHeader(&b, p.FetchFrom, n.fetch)
 		writeHeader(&b, p.KVHandle, n.memory)
 	}
 	writeHeader(&b, p.LastEvent, n.lastSeen)
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -22,7 +22,7 @@
 	Priority        string // set for the upstream, 0 first
 	LastEvent       string // the last event of a stream that was seen
 	KVHandle        string // set for the upstream: the copy that a run goes on from
-	Fetch           string // set for the upstream: IP:port of another that keeps the prompt
+	FetchFrom       string // set for the upstream: IP:port of another that keeps the prompt
 	Priorities      int    // how many values Priority has, from 0
 
 	// Reserved are further headers that only a box may set. An upstream acts on them, so
@@ -62,7 +62,7 @@
 
 // own lists the headers that never go on as the caller sent them.
 func (p *Protocol) own() []string {
-	list := []string{p.TimeLeft, p.Key, p.Customer, p.Instance, p.Priority, p.LastEvent, p.Fetch, p.KVHandle}
+	list := []string{p.TimeLeft, p.Key, p.Customer, p.Instance, p.Priority, p.LastEvent, p.FetchFrom, p.KVHandle}
 	for _, h := range p.Reserved {
 		list = append(list, h.Name)
 	}
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -24,7 +24,7 @@
 // testProtocol is a deployment's words in these tests.
 var testProtocol = Protocol{
 	RequestID: "X-Id", TimeLeft: "X-Left", Key: "X-Key", Customer: "X-Customer", Instance: "X-Instance", CurrentInstance: "X-Started", NotRun: "X-Not-Run", Limit: "X-Limit", Leaving: "X-Leaving", RetryAfter: "Retry-After",
-	Signature: "X-Sign", Priority: "X-Priority", LastEvent: "X-Last", Fetch: "X-Fetch", KVHandle: "X-Memory", Priorities: 10,
+	Signature: "X-Sign", Priority: "X-Priority", LastEvent: "X-Last", FetchFrom: "X-Fetch", KVHandle: "X-Memory", Priorities: 10,
 	Reserved:  []ReservedHeader{{Name: "X-Aside", Purpose: "a place is set aside"}},
 	Described: []string{"X-Parts"},
 	Prompt: func(get func(string) string) Prompt {
