--- a/group/lead.go
+++ b/group/lead.go
@@ -5,8 +5,8 @@
 
 import "github.com/doormast/doormast/wire"
 
-// Lead is the name of the box that leads the domain.
-func (n *Node) Lead() string { return n.lead().Name }
+// LeaderName is the name of the box that leads the domain.
+func (n *Node) LeaderName() string { return n.lead().Name }
 
 // IsLeader reports whether this box leads its domain.
 func (n *Node) IsLeader() bool { return n.lead() == n.cfg.Self }
--- a/group/node_test.go
+++ b/group/node_test.go
@@ -21,7 +21,7 @@
 	is.Equal(len(w.behind()), 0)
 	for _, name := range w.names {
 		b := w.boxes[name]
-		is.Equal(b.node.Lead(), boxName(int(b.self.Domain[6]-'0'), 0))
+		is.Equal(b.node.LeaderName(), boxName(int(b.self.Domain[6]-'0'), 0))
 		is.Equal(b.node.Boxes(), 60)
 	}
 	w.calls = 0
@@ -124,7 +124,7 @@
 	b := w.start(boxName(0, 0), domainName(0), 100, false)
 	b.self.Boot = 1 // before its own earlier start
 	w.run(5 * time.Second)
-	is.Equal(w.boxes[boxName(0, 2)].node.Lead(), boxName(0, 0))
+	is.Equal(w.boxes[boxName(0, 2)].node.LeaderName(), boxName(0, 0))
 }
 
 func TestALeadThatLeavesIsFollowedAtOnce(t *testing.T) {
@@ -134,7 +134,7 @@
 	w.run(5 * time.Second)
 	w.boxes[boxName(0, 0)].node.Leave(w.now)
 	w.run(100 * time.Millisecond)
-	is.Equal(w.boxes[boxName(0, 3)].node.Lead(), boxName(0, 1))
+	is.Equal(w.boxes[boxName(0, 3)].node.LeaderName(), boxName(0, 1))
 }
 
 func TestAgeIsNeverUnderstated(t *testing.T) {
--- a/group/reads.go
+++ b/group/reads.go
@@ -116,6 +116,6 @@
 
 // leadIsBlind reports whether the lead said last that it cannot read.
 func (n *Node) leadIsBlind() bool {
-	p := n.peers[n.Lead()]
+	p := n.peers[n.LeaderName()]
 	return p != nil && p.leads && !p.reads
 }
--- a/group/search_test.go
+++ b/group/search_test.go
@@ -182,7 +182,7 @@
 	leads := make(map[string]string) // by domain
 	want := w.division(otherLead)
 	for name, b := range w.boxes {
-		lead := b.node.Lead()
+		lead := b.node.LeaderName()
 		if other, ok := leads[b.self.Domain]; ok && other != lead {
 			t.Fatalf("%s: %s and %s are both taken for the lead", namesOf(path), lead, other)
 		}
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -31,7 +31,7 @@
 	m.node.SetCutOff(left)
 	for _, domain := range left {
 		if !slices.Contains(m.left, domain) && (slices.Contains(told, domain) || slices.Contains(unheard, domain)) {
-			r.cfg.Log.Event("domain", "cut off", Fields{"domain": domain, "told_by": m.node.Lead(), "unheard": unheard})
+			r.cfg.Log.Event("domain", "cut off", Fields{"domain": domain, "told_by": m.node.LeaderName(), "unheard": unheard})
 			r.moveRunsFrom(domain)
 			r.tryLater()
 		}
--- a/relay/members.go
+++ b/relay/members.go
@@ -215,7 +215,7 @@
 }
 
 func (m *members) showLead() {
-	if lead := m.node.Lead(); lead != m.leadName() {
+	if lead := m.node.LeaderName(); lead != m.leadName() {
 		m.lead.Store(&lead)
 		m.relay.cfg.Log.Event("group", "led by", Fields{"box": lead, "boxes": m.node.Boxes(), "age_ms": m.relay.age().Milliseconds()})
 	}
