--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -29,9 +29,9 @@
 	// one that a caller made up takes memory or a place there that serves nobody, or has
 	// its request rejected.
 	Reserved []ReservedHeader
-	// Described are the headers that say what is to be run. They go on even where a caller
+	// PromptHeaders are the headers that say what is to be run. They go on even where a caller
 	// names them among those of its connection: without them another request would run.
-	Described []string
+	PromptHeaders []string
 
 	// MoveCall has an upstream copy the memory of a request's run to another one's address, IP:port,
 	// and stop the run; Moved reads its answer, which came from IP:port. DropCall frees a copy. Nil where runs cannot move.
@@ -70,7 +70,7 @@
 }
 
 // vital lists the headers that go on whatever the caller says of its connection.
-func (p *Protocol) vital() []string { return append([]string{p.RequestID}, p.Described...) }
+func (p *Protocol) vital() []string { return append([]string{p.RequestID}, p.PromptHeaders...) }
 
 // Prompt describes what a request asks of a model.
 type Prompt struct {
