--- a/balance/allowed_test.go
+++ b/balance/allowed_test.go
@@ -25,7 +25,7 @@
 
 // names has an upstream name a limit at a moment.
 func (f *Fleet) names(now time.Duration, id string, perSecond float64) {
-	f.Says(now, f.byID[id].Life(), Statement{Named: true, PerSecond: perSecond, Sent: now - 1, Read: now})
+	f.Says(now, f.byID[id].Incarnation(), Statement{Named: true, PerSecond: perSecond, Sent: now - 1, Read: now})
 }
 
 func TestWhatALimitLetsThrough(t *testing.T) {
--- a/balance/back_test.go
+++ b/balance/back_test.go
@@ -89,9 +89,9 @@
 			case what == 2:
 				f.Told(now, now-time.Duration(rapid.IntRange(0, 3000).Draw(t, "age"))*time.Millisecond)
 			case what == 3:
-				f.UnreachedLife(now, m.Life())
+				f.UnreachedLife(now, m.Incarnation())
 			default:
-				f.ReachedLife(now, m.Life())
+				f.ReachedLife(now, m.Incarnation())
 			}
 			lost := 0
 			for _, m := range f.byID {
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -42,18 +42,18 @@
 			is := is.New(t)
 			f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 			f.Put(0, c.first)
-			is.True(f.SaysLeaving(c.first.Life()))
-			is.True(!f.SaysLeaving(c.first.Life())) // it is not new
-			is.True(!f.Accepts(2*time.Second, c.first.Life()))
+			is.True(f.SaysLeaving(c.first.Incarnation()))
+			is.True(!f.SaysLeaving(c.first.Incarnation())) // it is not new
+			is.True(!f.Accepts(2*time.Second, c.first.Incarnation()))
 			for _, do := range c.then {
 				do(f)
 			}
 			if u, known := f.Present("u"); known {
-				f.Proved(u.Life()) // it does not say so again
+				f.Proved(u.Incarnation()) // it does not say so again
 			}
 			choice, used := f.Place(2*time.Second, Request{Service: "s"}, nil)
 			is.Equal(used, c.used)
-			is.True(!used || f.Accepts(2*time.Second, choice.Upstream.Life()))
+			is.True(!used || f.Accepts(2*time.Second, choice.Upstream.Incarnation()))
 		})
 	}
 }
@@ -124,9 +124,9 @@
 				is := is.New(t)
 				f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 				f.Put(0, entries[0])
-				f.SaysLeaving(entries[0].Life())
+				f.SaysLeaving(entries[0].Incarnation())
 				f.Put(time.Second, entries[1])
-				next := entries[1].Life()
+				next := entries[1].Incarnation()
 				is.True(f.Unproven(next))
 				is.True(!place(f))
 				if says {
--- a/balance/life.go
+++ b/balance/life.go
@@ -17,8 +17,8 @@
 	Born int64 // when it started, Unix ms as its own entry says; 0: not known
 }
 
-// Life is the life that an entry tells of.
-func (u Upstream) Life() Incarnation { return Incarnation{u.ID, u.Born} }
+// Incarnation is the life that an entry tells of.
+func (u Upstream) Incarnation() Incarnation { return Incarnation{u.ID, u.Born} }
 
 // Key identifies a life where boxes tell each other of it. So what they tell of an earlier
 // life names nobody at a box that knows a later one, and the other way round.
@@ -64,7 +64,7 @@
 // bound on its memory would be passed by as much as it holds.
 func (f *Fleet) takeWork(m *member) {
 	before := f.gone[m.ID]
-	if before == nil || before.Life() != m.Life() || isAnother(before.Upstream, m.Upstream) {
+	if before == nil || before.Incarnation() != m.Incarnation() || isAnother(before.Upstream, m.Upstream) {
 		return
 	}
 	m.work, before.work, before.heir = before.work, work{}, m
@@ -143,7 +143,7 @@
 	}
 	last.entry.ID, last.entry.Born, last.leaving, last.said = l.ID, l.Born, true, true
 	f.setLife(last)
-	if m := f.byID[l.ID]; m != nil && m.Life() == l {
+	if m := f.byID[l.ID]; m != nil && m.Incarnation() == l {
 		m.Leaving = true
 	}
 	return true
@@ -164,7 +164,7 @@
 	last := f.lives[l.ID]
 	last.unproven = false
 	f.setLife(last)
-	if m := f.byID[l.ID]; m != nil && m.Life() == l {
+	if m := f.byID[l.ID]; m != nil && m.Incarnation() == l {
 		m.unproven = false
 	}
 }
@@ -176,7 +176,7 @@
 		return false
 	}
 	m := f.byID[l.ID]
-	return m == nil || m.Life() != l || !m.closed()
+	return m == nil || m.Incarnation() != l || !m.closed()
 }
 
 // Present is what the entry of an upstream says, also where another one has its address; false where
@@ -200,7 +200,7 @@
 // is named, only a count that falls shows it: one that is leaving and then ready may also be an
 // entry that came late.
 func isAnother(before, u Upstream) bool {
-	if u.Life().After(before.Life()) {
+	if u.Incarnation().After(before.Incarnation()) {
 		return true
 	}
 	unnamed := u.Born == 0 && before.Born == 0
--- a/balance/list.go
+++ b/balance/list.go
@@ -51,7 +51,7 @@
 	if f.serves(u.Service) && isAnother(f.lives[u.ID].entry, u) {
 		f.nextLife(u)
 	}
-	u.Leaving = u.Leaving || f.hasLeft(u.Life())
+	u.Leaving = u.Leaving || f.hasLeft(u.Incarnation())
 	f.remember(u)
 	return u
 }
@@ -60,7 +60,7 @@
 func (f *Fleet) nextLife(u Upstream) {
 	said := f.lives[u.ID].said
 	delete(f.lives, u.ID)
-	delete(f.pauses, u.Life().Key()) // lives that name no start have the same
+	delete(f.pauses, u.Incarnation().Key()) // lives that name no start have the same
 	f.setLife(lastLife{entry: u, unproven: said})
 }
 
@@ -71,7 +71,7 @@
 	if holder.ended && !f.isLeaving(u) {
 		return true
 	}
-	if f.hasLeft(u.Life()) && !holder.Leaving {
+	if f.hasLeft(u.Incarnation()) && !holder.Leaving {
 		return false
 	}
 	order := later(u, holder.Upstream)
@@ -101,8 +101,8 @@
 		f.listed = now
 	}
 	s := f.serviceOf(u.Service)
-	m := &member{Upstream: u, service: s, inLanes: weight(u.ID, laneKey), since: now, moved: longAgo, brokeAt: longAgo, key: u.Life().Key(), coldTill: longAgo, evacuated: f.evacuated[u.Domain]}
-	m.unproven = f.Unproven(u.Life())
+	m := &member{Upstream: u, service: s, inLanes: weight(u.ID, laneKey), since: now, moved: longAgo, brokeAt: longAgo, key: u.Incarnation().Key(), coldTill: longAgo, evacuated: f.evacuated[u.Domain]}
+	m.unproven = f.Unproven(u.Incarnation())
 	m.history = f.historyOf(m.key)
 	f.recall(m)
 	f.takeWork(m)
@@ -190,13 +190,13 @@
 
 // isLeaving reports whether an upstream takes no new requests, by its entry or by what is known
 // of its life.
-func (f *Fleet) isLeaving(u Upstream) bool { return u.Leaving || f.hasLeft(u.Life()) }
+func (f *Fleet) isLeaving(u Upstream) bool { return u.Leaving || f.hasLeft(u.Incarnation()) }
 
 // Named notes that an upstream which was meant answered that it is another one: that one has
 // the address, if its entry waits for it.
 func (f *Fleet) Named(now time.Duration, meant Incarnation, said string) {
 	m, waits := f.byID[meant.ID], f.waiting[said]
-	if m == nil || m.Life() != meant || waits == nil || waits.Address != m.Address {
+	if m == nil || m.Incarnation() != meant || waits == nil || waits.Address != m.Address {
 		return
 	}
 	u := *waits
--- a/balance/lives_test.go
+++ b/balance/lives_test.go
@@ -76,7 +76,7 @@
 	if !ok {
 		return
 	}
-	life := c.Upstream.Life()
+	life := c.Upstream.Incarnation()
 	if w.sent[life] == nil {
 		w.sent[life] = make(map[uint32]time.Duration)
 	}
@@ -107,7 +107,7 @@
 
 // member is a life that a box has listed, or nil.
 func (w *livesWorld) member(box int, l Incarnation) *member {
-	if m := w.boxes[box].byID[l.ID]; m != nil && m.Life() == l {
+	if m := w.boxes[box].byID[l.ID]; m != nil && m.Incarnation() == l {
 		return m
 	}
 	return nil
@@ -185,7 +185,7 @@
 func (w *livesWorld) checkKept(box int, f *Fleet) {
 	for part, list := range f.kept.keepers {
 		for _, x := range list {
-			life := x.member.Life()
+			life := x.member.Incarnation()
 			at, wasSent := w.sent[life][part]
 			if !f.lists(x.member) || !wasSent {
 				w.t.Fatalf("box %d believes that %v keeps part %d", box, life, part)
@@ -200,8 +200,8 @@
 // checkLoads: a load of others that is believed of a life is not greater than what was sent to it.
 func (w *livesWorld) checkLoads(box int, f *Fleet) {
 	for _, m := range f.byID {
-		if m.others.upTo(Levels-1).Open > 0 && len(w.sent[m.Life()]) == 0 {
-			w.t.Fatalf("box %d believes that others use %v", box, m.Life())
+		if m.others.upTo(Levels-1).Open > 0 && len(w.sent[m.Incarnation()]) == 0 {
+			w.t.Fatalf("box %d believes that others use %v", box, m.Incarnation())
 		}
 	}
 }
--- a/balance/pause.go
+++ b/balance/pause.go
@@ -95,7 +95,7 @@
 // PausedFor is how long an upstream wants nothing from this box; 0: it asked for no pause.
 func (f *Fleet) PausedFor(now time.Duration, l Incarnation) time.Duration {
 	m := f.byID[l.ID]
-	if m == nil || m.Life() != l || f.pauseOf(m) == nil {
+	if m == nil || m.Incarnation() != l || f.pauseOf(m) == nil {
 		return 0
 	}
 	return max(0, f.pauses[m.key].till-now)
--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -43,7 +43,7 @@
 			is := is.New(t)
 			f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 			f.Put(0, c.first)
-			f.Pause(0, c.first.Life(), 10*time.Second)
+			f.Pause(0, c.first.Incarnation(), 10*time.Second)
 			for _, do := range c.then {
 				do(f)
 			}
@@ -52,7 +52,7 @@
 			is.True(used || choice.Passed == 1)
 			choice, used = f.Place(12*time.Second, plain, nil)
 			is.True(used)
-			is.True(f.Accepts(12*time.Second, choice.Upstream.Life()))
+			is.True(f.Accepts(12*time.Second, choice.Upstream.Incarnation()))
 		})
 	}
 }
@@ -220,7 +220,7 @@
 	is.True(len(tight) > 0 && len(tight) < 12)
 	for id, m := range f.byID {
 		if !tight[id] {
-			f.Pause(10*time.Second, m.Life(), time.Minute)
+			f.Pause(10*time.Second, m.Incarnation(), time.Minute)
 		}
 	}
 	choice, ok := f.Place(11*time.Second, letter(1), nil)
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -117,7 +117,7 @@
 
 // UnreachedLife notes that a trial connection to a life of an upstream did not come up.
 func (f *Fleet) UnreachedLife(now time.Duration, l Incarnation) {
-	if m := f.byID[l.ID]; m != nil && m.Life() == l {
+	if m := f.byID[l.ID]; m != nil && m.Incarnation() == l {
 		f.unreached(now, m)
 	}
 }
@@ -181,7 +181,7 @@
 // whether it is still the one that is listed.
 func (f *Fleet) ReachedLife(now time.Duration, l Incarnation) bool {
 	m := f.byID[l.ID]
-	if m == nil || m.Life() != l {
+	if m == nil || m.Incarnation() != l {
 		return false
 	}
 	f.reached(now, m)
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -171,7 +171,7 @@
 	if told.Named && u.named == 0 {
 		u.named = reads
 	}
-	d.heads = append(d.heads, headUnderWay{box: b, name: name, life: u.Life(), told: told, at: reads, done: func() { ticket.Close(d.w.now, balance.Answered) }})
+	d.heads = append(d.heads, headUnderWay{box: b, name: name, life: u.Incarnation(), told: told, at: reads, done: func() { ticket.Close(d.w.now, balance.Answered) }})
 }
 
 // readHeads hands boxes the heads that have come.
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -88,7 +88,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case !r.fleet.Accepts(r.now(), x.upstream.Life()):
+	case !r.fleet.Accepts(r.now(), x.upstream.Incarnation()):
 		return errTakesNone
 	case x.ticket != nil && !x.ticket.MayGo(r.now()):
 		return errLimit
@@ -100,7 +100,7 @@
 func (r *Relay) takesNone(u balance.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.fleet.Accepts(r.now(), u.Life()) || r.fleet.TakesNoMore(r.now(), u.ID)
+	return !r.fleet.Accepts(r.now(), u.Incarnation()) || r.fleet.TakesNoMore(r.now(), u.ID)
 }
 
 // What an upstream came to say while the request waited for a connection.
--- a/relay/conns.go
+++ b/relay/conns.go
@@ -60,7 +60,7 @@
 func (p *conns) get(ctx context.Context, u balance.Upstream, service string) (*conn, error) {
 	id := u.ID
 	for c := p.takeIdle(id); c != nil; c = p.takeIdle(id) {
-		if c.life == u.Life() && time.Now().Before(c.keepTill) && c.quiet() {
+		if c.life == u.Incarnation() && time.Now().Before(c.keepTill) && c.quiet() {
 			return c, nil
 		}
 		p.drop(c)
@@ -99,7 +99,7 @@
 	if p.cameUp != nil {
 		p.cameUp(u.ID, time.Since(began))
 	}
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), life: u.Life(), opened: time.Now()}, nil
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), life: u.Incarnation(), opened: time.Now()}, nil
 }
 
 // quiet reports whether the upstream has neither closed the connection nor sent
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -79,9 +79,9 @@
 	}
 	r.mu.Lock()
 	if err == nil {
-		r.fleet.ReachedLife(r.now(), u.Life())
+		r.fleet.ReachedLife(r.now(), u.Incarnation())
 	} else {
-		r.fleet.UnreachedLife(r.now(), u.Life())
+		r.fleet.UnreachedLife(r.now(), u.Incarnation())
 	}
 	r.mu.Unlock()
 	if err != nil {
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -88,7 +88,7 @@
 	r.mu.Lock()
 	now := r.now()
 	u, isListed := r.fleet.ByKey(c.Life)
-	sent := r.fleet.Sent(now, u.Life(), limitSpan)
+	sent := r.fleet.Sent(now, u.Incarnation(), limitSpan)
 	limit, _ := r.fleet.Limit(now, u.ID)
 	r.mu.Unlock()
 	if !isListed {
--- a/relay/lives.go
+++ b/relay/lives.go
@@ -22,9 +22,9 @@
 		"address_before": before.Address, "service": u.Service, "age_ms": r.age().Milliseconds()})
 	r.stats.count("upstreams_started_again")
 	if !before.Leaving {
-		r.noteEnd(before.Life())
+		r.noteEnd(before.Incarnation())
 	}
-	r.conns.end(before.Life())
+	r.conns.end(before.Incarnation())
 }
 
 // endEarlierRuns ends the runs on earlier lives of an upstream that may run again. At its own
@@ -57,7 +57,7 @@
 	defer r.mu.Unlock()
 	runs := make(map[string][]*conn)
 	for x, c := range r.runs {
-		if x.route.Again() && u.Life().After(c.life) && c.openedBefore(now, u.Born) {
+		if x.route.Again() && u.Incarnation().After(c.life) && c.openedBefore(now, u.Born) {
 			address := c.RemoteAddr().String()
 			runs[address] = append(runs[address], c)
 		}
@@ -99,7 +99,7 @@
 // holds the relay's mu.
 func (r *Relay) isPresent(u balance.Upstream) bool {
 	present, isListed := r.listed(u.ID)
-	return isListed && present.Life() == u.Life()
+	return isListed && present.Incarnation() == u.Incarnation()
 }
 
 // isOver reports whether another life of an upstream has followed.
@@ -122,7 +122,7 @@
 func (x *exchange) triedPresent() []string {
 	ids := make([]string, 0, len(x.tried))
 	for _, l := range x.tried {
-		if u := x.relay.fleet.Get(l.ID); u == nil || u.Life() == l {
+		if u := x.relay.fleet.Get(l.ID); u == nil || u.Incarnation() == l {
 			ids = append(ids, l.ID)
 		}
 	}
--- a/relay/lives_test.go
+++ b/relay/lives_test.go
@@ -163,7 +163,7 @@
 	life := balance.Upstream{ID: "u", Born: 100, Address: u.listener.Addr().String()}
 	c, err := p.get(context.Background(), life, "s")
 	is.NoErr(err)
-	p.end(life.Life())
+	p.end(life.Incarnation())
 	p.keep(c, time.Minute)
 	is.Equal(len(p.idle["u"]), 0)
 	is.Equal(p.open["u"], 0)
--- a/relay/move.go
+++ b/relay/move.go
@@ -64,7 +64,7 @@
 	if r.cfg.Protocol.MoveCall == nil || x.move != nil || x.moved || x.withheldFor() > 0 {
 		return
 	}
-	if r.isPaused(x.upstream.Life()) || !x.route.Resumable && r.takesNone(x.upstream) {
+	if r.isPaused(x.upstream.Incarnation()) || !x.route.Resumable && r.takesNone(x.upstream) {
 		return // where the copy finds no room, it could go on neither there nor elsewhere
 	}
 	p := balance.Progress{Events: x.events.total, Between: x.pace.recent, Left: x.left()}
--- a/relay/news.go
+++ b/relay/news.go
@@ -75,13 +75,13 @@
 	c.before, _ = r.listed(u.ID)
 	c.other = r.fleet.Put(r.now(), u)
 	if o, known := r.fleet.Present(c.other); known && !o.Leaving {
-		life := o.Life()
+		life := o.Incarnation()
 		c.otherEnded = &life
 	}
 	c.present, c.listed = r.listed(u.ID)
 	r.wakeWaiting(u.Service)
 	c.serves = r.fleet.Serves(u.ID)
-	c.asks = c.listed && r.fleet.Unproven(c.present.Life())
+	c.asks = c.listed && r.fleet.Unproven(c.present.Incarnation())
 	return c
 }
 
@@ -95,7 +95,7 @@
 		return // its address has another one, or it is of an earlier life
 	}
 	u = c.present
-	if c.serves && c.before.ID != "" && u.Life().After(c.before.Life()) {
+	if c.serves && c.before.ID != "" && u.Incarnation().After(c.before.Incarnation()) {
 		r.startedAgain(c.before, u)
 	}
 	if c.asks {
@@ -108,7 +108,7 @@
 	if c.otherEnded != nil {
 		r.holdAgainst(*c.otherEnded)
 	}
-	if c.before.Life() == u.Life() && c.before.Leaving == u.Leaving {
+	if c.before.Incarnation() == u.Incarnation() && c.before.Leaving == u.Leaving {
 		return
 	}
 	if c.serves {
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -101,10 +101,10 @@
 	}
 	x.settle(outcome)
 	if isUnreached(outcome) && errors.Is(err, syscall.ECONNREFUSED) || outcome == balance.Ended {
-		x.relay.noteEnd(x.upstream.Life())
+		x.relay.noteEnd(x.upstream.Incarnation())
 	}
 	if outcome == balance.Ended {
-		x.relay.takeName(x.upstream.Life(), x.instead)
+		x.relay.takeName(x.upstream.Incarnation(), x.instead)
 	}
 	x.leaveUnreached(outcome)
 	if outcome == balance.Broken {
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -135,7 +135,7 @@
 // send sends the request for a run. With runAnswered, either the whole body has been read
 // or the stream's first events are pending.
 func (x *exchange) send(n run) (runState, []byte) {
-	x.tried = append(x.tried, x.upstream.Life())
+	x.tried = append(x.tried, x.upstream.Incarnation())
 	state, a, err := x.attempt(x.relay.outgoing(x.request, n))
 	if errors.Is(err, errTakesNone) {
 		x.tried = x.tried[:len(x.tried)-1] // it may wait for it
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -160,7 +160,7 @@
 			continue
 		}
 		asked[c.life.ID] = true
-		if u := r.fleet.Get(c.life.ID); u != nil && u.Life() == c.life {
+		if u := r.fleet.Get(c.life.ID); u != nil && u.Incarnation() == c.life {
 			list = append(list, suspect{x, c, w, *u, x.service})
 		}
 	}
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -61,7 +61,7 @@
 	}
 	content, u := x.contentOf(), x.upstream
 	r.mu.Lock()
-	withheld := r.endedUnder.CutOff(r.now(), content, u.Life())
+	withheld := r.endedUnder.CutOff(r.now(), content, u.Incarnation())
 	suspected := r.endedUnder.Suspected(content)
 	r.mu.Unlock()
 	if withheld {
@@ -76,7 +76,7 @@
 
 // findOut finds out whether an upstream has ended, once at a time; what it returns is closed when that is known.
 func (r *Relay) findOut(u balance.Upstream) <-chan struct{} {
-	life := u.Life()
+	life := u.Incarnation()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if found := r.finding[life]; found != nil {
@@ -106,7 +106,7 @@
 	r.mu.Lock()
 	u, isListed := r.listed(life.ID)
 	r.mu.Unlock()
-	if isListed && (u.Life() != life || !u.Leaving) {
+	if isListed && (u.Incarnation() != life || !u.Leaving) {
 		r.holdAgainst(life)
 	}
 }
@@ -136,7 +136,7 @@
 		return
 	}
 	r.endedUnder.Answered(r.now(), x.contentOf())
-	r.endedUnder.Alive(x.upstream.Life(), x.ticket.Opened())
+	r.endedUnder.Alive(x.upstream.Incarnation(), x.ticket.Opened())
 }
 
 // holdBack writes the lines about contents that are withheld from now on, and ends the runs of them that
