--- a/balance/allowed_test.go
+++ b/balance/allowed_test.go
@@ -10,7 +10,7 @@
 )
 
 // testNamed are bounds as a deployment has them.
-var testNamed = NamedBounds{Span: 4 * time.Second, Overshoot: 1.5, Slack: 5}
+var testNamed = LimitBounds{Span: 4 * time.Second, Overshoot: 1.5, Slack: 5}
 
 // needyFleet is one box of a domain before upstreams of two.
 func needyFleet(boxes int, upstreams int) *Fleet {
@@ -52,7 +52,7 @@
 		})
 	}
 	is := is.New(t)
-	requests, _ := NamedBounds{Span: 4 * time.Second}.lets(2) // nothing may be sent beside the limit
+	requests, _ := LimitBounds{Span: 4 * time.Second}.lets(2) // nothing may be sent beside the limit
 	is.Equal(requests, 4)
 }
 
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -71,7 +71,7 @@
 	// Regions holds the region of each failure domain, as far as they are divided into such.
 	Regions map[string]string
 	Tuning  Tuning
-	Named   NamedBounds // of limits that upstreams name
+	Named   LimitBounds // of limits that upstreams name
 	Off     Off         // the mechanisms that are switched off
 	// FirstStart says that no box ran before: what nobody is known to have sent to an
 	// upstream has been sent to none.
--- a/balance/limitpart.go
+++ b/balance/limitpart.go
@@ -9,8 +9,8 @@
 
 import "time"
 
-// NamedBounds is how far a limit that an upstream names may be passed.
-type NamedBounds struct {
+// LimitBounds is how far a limit that an upstream names may be passed.
+type LimitBounds struct {
 	Span      time.Duration // over which requests are counted
 	Overshoot float64       // times what the limit lets through in the span
 	Slack     float64       // and so many requests besides
@@ -28,7 +28,7 @@
 )
 
 // lets is what all boxes together may send under a limit: so many requests within a span.
-func (b NamedBounds) lets(perSecond float64) (requests int, span time.Duration) {
+func (b LimitBounds) lets(perSecond float64) (requests int, span time.Duration) {
 	span = b.Span + mostOnWay
 	bound := max(b.Overshoot, 1)*perSecond*b.Span.Seconds() + b.Slack
 	requests = int(min(perSecond*span.Seconds(), bound/2))
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -67,7 +67,7 @@
 }
 
 // boundsOfDay are those that boxes keep to.
-var boundsOfDay = balance.NamedBounds{Span: limitSpan, Overshoot: limitTimes, Slack: limitSlack}
+var boundsOfDay = balance.LimitBounds{Span: limitSpan, Overshoot: limitTimes, Slack: limitSlack}
 
 // newNeedyDay starts boxes and upstreams, each spread over the domains.
 func newNeedyDay(t testing.TB, cfg needyConfig) *needyDay {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -39,7 +39,7 @@
 	Log       *Log // the relay never closes it
 	Budget    balance.BudgetConfig
 	Cold      ColdBounds
-	Limits    balance.NamedBounds // of the limits that upstreams name
+	Limits    balance.LimitBounds // of the limits that upstreams name
 	Tuning    balance.Tuning
 	Off       balance.Off // the mechanisms that are switched off
 	// FirstStart says that no box ran before, so that nothing is left of an
--- a/settings/relay.go
+++ b/settings/relay.go
@@ -84,12 +84,12 @@
 const limitSpanUsual = 4 * time.Second
 
 // Limits are the bounds of the limits that upstreams name.
-func (b RelayBounds) Limits() balance.NamedBounds {
+func (b RelayBounds) Limits() balance.LimitBounds {
 	span := seconds(b.LimitSpanSeconds)
 	if span == 0 {
 		span = limitSpanUsual
 	}
-	return balance.NamedBounds{Span: span, Overshoot: b.LimitOvershoot, Slack: b.LimitSlack}
+	return balance.LimitBounds{Span: span, Overshoot: b.LimitOvershoot, Slack: b.LimitSlack}
 }
 
 // Strength orders boxes by what they can carry for others: the processor first, and
