--- a/group/member_bench_test.go
+++ b/group/member_bench_test.go
@@ -25,7 +25,7 @@
 		}
 		run("sharers", func() { n.Sharers(t.now) })
 		run("classes", func() { n.Classes(t.now) })
-		run("reads", func() { n.Reads(t.now) })
+		run("reads", func() { n.ShouldRead(t.now) })
 		run("watch", func() { n.WatchFor(t.now) })
 		run("lanes", func() { n.Lanes(t.now) })
 		run("informed", func() { n.Informed(t.now) })
--- a/group/reads.go
+++ b/group/reads.go
@@ -29,8 +29,8 @@
 	memberReadPause = 2 * time.Second
 )
 
-// Reads reports whether this box should read what is published itself.
-func (n *Node) Reads(now time.Duration) bool {
+// ShouldRead reports whether this box should read what is published itself.
+func (n *Node) ShouldRead(now time.Duration) bool {
 	t := n.cfg.Timing
 	if !n.cfg.FirstStart && n.cfg.Mirror.Revision() == 0 {
 		return n.readsAfterRestart(now)
--- a/group/reads_test.go
+++ b/group/reads_test.go
@@ -144,14 +144,14 @@
 	w := newWorld(t, 57)
 	b := w.start("a", "domain0", 1, false)
 	b.node.cfg.Seeds = []string{"b"}
-	is.True(!b.node.Reads(w.now))
+	is.True(!b.node.ShouldRead(w.now))
 	other := &wire.GroupBox{Name: "b", Domain: "domain0", Address: "b", Pulls: "pulls of b", Boot: 1, Strength: 9}
 	w.now += 100 * time.Millisecond
 	b.node.Handle(w.now, &wire.GroupMessage{Sender: other, Leads: true, Revision: 5})
 	_, pull := b.node.Drain()
 	is.Equal(pull, "pulls of b")
-	is.True(!b.node.Reads(w.now + DefaultTiming.Others))
-	is.True(b.node.Reads(w.now + DefaultTiming.Pull))
+	is.True(!b.node.ShouldRead(w.now + DefaultTiming.Others))
+	is.True(b.node.ShouldRead(w.now + DefaultTiming.Pull))
 	b.node.PullFailed()
-	is.True(b.node.Reads(w.now))
+	is.True(b.node.ShouldRead(w.now))
 }
--- a/group/store_test.go
+++ b/group/store_test.go
@@ -21,7 +21,7 @@
 
 // readPages goes on with a box's reading of everything.
 func (w *world) readPages(b *testBox) {
-	if b.asking || w.now < b.next || !b.node.Reads(w.now) {
+	if b.asking || w.now < b.next || !b.node.ShouldRead(w.now) {
 		return
 	}
 	if b.page == 0 {
--- a/group/world_test.go
+++ b/group/world_test.go
@@ -299,7 +299,7 @@
 		return
 	}
 	if b.reading == 0 {
-		if w.now < b.next || !b.node.Reads(w.now) {
+		if w.now < b.next || !b.node.ShouldRead(w.now) {
 			return
 		}
 		w.calls++
--- a/relay/members.go
+++ b/relay/members.go
@@ -199,7 +199,7 @@
 func (m *members) showReads() {
 	now := m.relay.now()
 	m.watch.Store(int64(m.node.WatchFor(now)))
-	reads := m.node.Reads(now)
+	reads := m.node.ShouldRead(now)
 	if before := m.reads.Swap(reads); before || !reads {
 		return
 	}
