--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -41,8 +41,8 @@
 
 	// ReportCall asks an upstream what runs there; Reported reads of the answer what it tells of a
 	// request, false where it tells nothing. Nil where upstreams tell nothing of their runs.
-	ReportCall func() UpstreamCall
-	Reported   func(status int, body []byte, request string) (Report, bool)
+	ReportCall  func() UpstreamCall
+	ParseReport func(status int, body []byte, request string) (Report, bool)
 
 	// Prompt reads the description of a prompt; get returns a header's value.
 	Prompt func(get func(name string) string) Prompt
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -203,7 +203,7 @@
 	if err != nil {
 		return Report{}, err
 	}
-	report, ok := r.cfg.Protocol.Reported(a.header.StatusCode(), body, s.exchange.request.id)
+	report, ok := r.cfg.Protocol.ParseReport(a.header.StatusCode(), body, s.exchange.request.id)
 	if report.Leaving {
 		r.noteLeaving(c.life, s.exchange.request.id)
 	}
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -23,7 +23,7 @@
 func tellingProtocol() Protocol {
 	p := testProtocol
 	p.ReportCall = func() UpstreamCall { return UpstreamCall{Method: http.MethodGet, Path: "/tell"} }
-	p.Reported = func(status int, body []byte, _ string) (Report, bool) {
+	p.ParseReport = func(status int, body []byte, _ string) (Report, bool) {
 		var report Report
 		return report, status == http.StatusOK && json.Unmarshal(body, &report) == nil
 	}
