--- a/balance/life.go
+++ b/balance/life.go
@@ -13,8 +13,8 @@
 
 // Incarnation is an upstream from one of its starts to its end.
 type Incarnation struct {
-	ID   string
-	Born int64 // when it started, Unix ms as its own entry says; 0: not known
+	ID        string
+	StartedAt int64 // when it started, Unix ms as its own entry says; 0: not known
 }
 
 // Incarnation is the life that an entry tells of.
@@ -23,15 +23,15 @@
 // Key identifies a life where boxes tell each other of it. So what they tell of an earlier
 // life names nobody at a box that knows a later one, and the other way round.
 func (l Incarnation) Key() uint32 {
-	if l.Born == 0 {
+	if l.StartedAt == 0 {
 		return Key(l.ID)
 	}
-	return Key(l.ID + "\x00" + strconv.FormatInt(l.Born, 10))
+	return Key(l.ID + "\x00" + strconv.FormatInt(l.StartedAt, 10))
 }
 
 // After reports whether this is a later life of the same upstream than another. One that names
 // its start is later than one that does not: writers begin to name it with a start.
-func (l Incarnation) After(o Incarnation) bool { return l.ID == o.ID && l.Born > o.Born }
+func (l Incarnation) After(o Incarnation) bool { return l.ID == o.ID && l.StartedAt > o.StartedAt }
 
 // lastLife is what is remembered of the last known life of an upstream, for as long as the box
 // runs, also after its entry went.
@@ -128,20 +128,20 @@
 // hasLeft reports whether a life is known to take no new requests.
 func (f *Fleet) hasLeft(l Incarnation) bool {
 	last := f.lives[l.ID]
-	return last.entry.Born == l.Born && last.leaving
+	return last.entry.Born == l.StartedAt && last.leaving
 }
 
 // SaysLeaving notes that a life says in an answer that it takes no new requests, and reports whether that is new. No entry
 // takes it back: entries are older than answers.
 func (f *Fleet) SaysLeaving(l Incarnation) bool {
 	last := f.lives[l.ID]
-	if l.Born < last.entry.Born || f.hasLeft(l) {
+	if l.StartedAt < last.entry.Born || f.hasLeft(l) {
 		return false
 	}
-	if l.Born > last.entry.Born {
+	if l.StartedAt > last.entry.Born {
 		last = lastLife{}
 	}
-	last.entry.ID, last.entry.Born, last.leaving, last.said = l.ID, l.Born, true, true
+	last.entry.ID, last.entry.Born, last.leaving, last.said = l.ID, l.StartedAt, true, true
 	f.setLife(last)
 	if m := f.byID[l.ID]; m != nil && m.Incarnation() == l {
 		m.Leaving = true
@@ -153,7 +153,7 @@
 // life before.
 func (f *Fleet) Unproven(l Incarnation) bool {
 	last := f.lives[l.ID]
-	return last.entry.Born == l.Born && last.unproven
+	return last.entry.Born == l.StartedAt && last.unproven
 }
 
 // Proved notes that a life has been asked, and what it said was noted.
--- a/balance/suspects_test.go
+++ b/balance/suspects_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func lifeOf(n int) Incarnation { return Incarnation{ID: fmt.Sprint("u", n), Born: 1} }
+func lifeOf(n int) Incarnation { return Incarnation{ID: fmt.Sprint("u", n), StartedAt: 1} }
 
 // endsUnder has an upstream end under contents.
 func endsUnder(s *Suspects, now time.Duration, n int, contents ...uint64) []uint64 {
--- a/cell/ends.go
+++ b/cell/ends.go
@@ -60,7 +60,7 @@
 		seen = seenEnd{n.now, seen.count + 1}
 		n.seenEnds[l.upstream] = seen
 	}
-	life := balance.Incarnation{ID: n.cfg.Box + "/" + l.upstream, Born: int64(n.cfg.Boot) + seen.count}
+	life := balance.Incarnation{ID: n.cfg.Box + "/" + l.upstream, StartedAt: int64(n.cfg.Boot) + seen.count}
 	n.ends.CutOff(n.now, l.req.Content, life)
 	n.ends.Ended(n.now, life)
 	n.tellEnds()
--- a/relay/conns.go
+++ b/relay/conns.go
@@ -178,15 +178,15 @@
 // isOver reports whether a life is known to be over.
 func (p *conns) isOver(l balance.Incarnation) bool {
 	born, ended := p.over[l.ID]
-	return ended && l.Born <= born
+	return ended && l.StartedAt <= born
 }
 
 // end closes the idle connections of a life that is over; those that are in use are closed
 // when their answers have ended.
 func (p *conns) end(l balance.Incarnation) {
-	if l.Born > 0 {
+	if l.StartedAt > 0 {
 		p.mu.Lock()
-		p.over[l.ID] = max(l.Born, p.over[l.ID])
+		p.over[l.ID] = max(l.StartedAt, p.over[l.ID])
 		p.mu.Unlock()
 	}
 	p.forget(l.ID)
--- a/relay/lives.go
+++ b/relay/lives.go
@@ -92,7 +92,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u, _ := r.listed(id)
-	return balance.Incarnation{ID: id, Born: u.Born}
+	return balance.Incarnation{ID: id, StartedAt: u.Born}
 }
 
 // isPresent reports whether an upstream is listed in the life that it was chosen in. The caller
@@ -134,7 +134,7 @@
 	r.mu.Lock()
 	r.fleet.Named(r.now(), meant, said)
 	r.mu.Unlock()
-	r.cfg.Log.Event("upstream", "is another", Fields{"upstream": meant.ID, "born": meant.Born, "said": said})
+	r.cfg.Log.Event("upstream", "is another", Fields{"upstream": meant.ID, "born": meant.StartedAt, "said": said})
 }
 
 // maxRefused bounds the entries that are known to have been named in the log.
--- a/relay/said.go
+++ b/relay/said.go
@@ -75,7 +75,7 @@
 		return
 	}
 	r.stats.count(leavingSaid)
-	r.cfg.Log.Event("upstream", "says that it is leaving", Fields{"upstream": life.ID, "born": life.Born, "id": request, "list_age_ms": r.age().Milliseconds()})
+	r.cfg.Log.Event("upstream", "says that it is leaving", Fields{"upstream": life.ID, "born": life.StartedAt, "id": request, "list_age_ms": r.age().Milliseconds()})
 }
 
 // prove asks a life whether it is leaving. The one before had said so; where the box heard late that the upstream has started again, that
@@ -109,7 +109,7 @@
 	if asked.sent == "" {
 		return
 	}
-	fields := Fields{"upstream": life.ID, "born": life.Born, "id": request, "asked": asked.sent, "pause_ms": asked.length.Milliseconds()}
+	fields := Fields{"upstream": life.ID, "born": life.StartedAt, "id": request, "asked": asked.sent, "pause_ms": asked.length.Milliseconds()}
 	if asked.err != nil {
 		fields["why"] = asked.err.Error()
 		r.stats.count(pausesUnread)
--- a/relay/trial.go
+++ b/relay/trial.go
@@ -75,7 +75,7 @@
 	isListed := r.fleet.ReachedLife(r.now(), life)
 	r.mu.Unlock()
 	if isListed {
-		r.cfg.Log.Event("upstream", "reached again", Fields{"upstream": id, "born": life.Born})
+		r.cfg.Log.Event("upstream", "reached again", Fields{"upstream": id, "born": life.StartedAt})
 	}
 }
 
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -122,7 +122,7 @@
 	if !isNew {
 		return
 	}
-	r.cfg.Log.Event("upstream", "ended", Fields{"upstream": life.ID, "born": life.Born, "age_ms": r.age().Milliseconds()})
+	r.cfg.Log.Event("upstream", "ended", Fields{"upstream": life.ID, "born": life.StartedAt, "age_ms": r.age().Milliseconds()})
 	r.holdBack(withheld, "seen here")
 }
 
