--- a/balance/allowed.go
+++ b/balance/allowed.go
@@ -18,7 +18,7 @@
 }
 
 // TakeNamed takes in what other boxes told of limits.
-func (f *Fleet) TakeNamed(now time.Duration, list []Named) []LimitChange {
+func (f *Fleet) TakeNamed(now time.Duration, list []LimitReport) []LimitChange {
 	changes := f.limits.take(now, list)
 	f.noteLimits(now, changes...)
 	return changes
@@ -36,10 +36,10 @@
 }
 
 // NamedNews returns, once, what others are to be told of limits.
-func (f *Fleet) NamedNews(now time.Duration) []Named { return f.limits.newsOf(now) }
+func (f *Fleet) NamedNews(now time.Duration) []LimitReport { return f.limits.newsOf(now) }
 
 // NamedAll lists all that is known of limits, and those that hold alone.
-func (f *Fleet) NamedAll(now time.Duration) (known, inForce []Named) { return f.limits.all(now) }
+func (f *Fleet) NamedAll(now time.Duration) (known, inForce []LimitReport) { return f.limits.all(now) }
 
 // ForgetNamed forgets limits that are of no concern any more.
 func (f *Fleet) ForgetNamed(now time.Duration) {
--- a/balance/allowed_test.go
+++ b/balance/allowed_test.go
@@ -150,7 +150,7 @@
 		f.Open(time.Duration(i)*50*time.Millisecond, "u1", Request{Service: "s"}).Close(time.Duration(i)*50*time.Millisecond, Answered)
 	}
 	named, told := 2*time.Second, 2900*time.Millisecond
-	f.TakeNamed(told, []Named{{Life: f.keyOf("u0"), PerSecond: 1, Since: told - named, Read: told - named}})
+	f.TakeNamed(told, []LimitReport{{Life: f.keyOf("u0"), PerSecond: 1, Since: told - named, Read: told - named}})
 	is.True(f.TakesNoMore(named+4100*time.Millisecond, "u0"))
 	is.True(f.TakesNoMore(told+3900*time.Millisecond, "u0"))
 	is.True(!f.TakesNoMore(named+5*time.Second, "u0"))
--- a/balance/named_test.go
+++ b/balance/named_test.go
@@ -107,20 +107,20 @@
 
 // What no box can mean says nothing.
 func TestWhatIsToldOfALimitAndIsNoneIsPassedOver(t *testing.T) {
-	for _, told := range []Named{{PerSecond: -1}, {PerSecond: math.NaN()}, {PerSecond: 1, Read: -time.Second}, {PerSecond: 1, Since: -1}} {
+	for _, told := range []LimitReport{{PerSecond: -1}, {PerSecond: math.NaN()}, {PerSecond: 1, Read: -time.Second}, {PerSecond: 1, Since: -1}} {
 		t.Run(fmt.Sprint(told), func(t *testing.T) {
 			is := is.New(t)
 			var l limits
-			is.Equal(len(l.take(time.Minute, []Named{told})), 0)
+			is.Equal(len(l.take(time.Minute, []LimitReport{told})), 0)
 			is.Equal(len(l.byLife), 0)
 		})
 	}
 	is := is.New(t)
 	var l limits
-	l.take(time.Minute, []Named{{Life: 1, PerSecond: math.Inf(1)}})
+	l.take(time.Minute, []LimitReport{{Life: 1, PerSecond: math.Inf(1)}})
 	is.Equal(l.of(1).perSecond, float64(NoLimit))
 	for life := range uint32(2 * leastNamed) {
-		l.take(time.Minute, []Named{{Life: life, PerSecond: 1}})
+		l.take(time.Minute, []LimitReport{{Life: life, PerSecond: 1}})
 	}
 	is.Equal(len(l.byLife), leastNamed)
 }
--- a/balance/namednews.go
+++ b/balance/namednews.go
@@ -18,8 +18,8 @@
 // be the later: messages take a while.
 const toldAbout = time.Second
 
-// Named is what a box knows of the limit of an upstream, as boxes tell each other of it. Times are ages.
-type Named struct {
+// LimitReport is what a box knows of the limit of an upstream, as boxes tell each other of it. Times are ages.
+type LimitReport struct {
 	Life      uint32 // Key of it
 	PerSecond float64
 	Since     time.Duration // it was first named, or had fallen much
@@ -30,13 +30,13 @@
 }
 
 // told is what others are told of a limit.
-func (x *named) told(now time.Duration, life uint32) Named {
-	return Named{Life: life, PerSecond: x.perSecond, Since: now - x.since, Read: now - x.read, HasEnded: x.ended > longAgo, Ended: now - x.ended}
+func (x *named) told(now time.Duration, life uint32) LimitReport {
+	return LimitReport{Life: life, PerSecond: x.perSecond, Since: now - x.since, Read: now - x.read, HasEnded: x.ended > longAgo, Ended: now - x.ended}
 }
 
 // newsOf returns, once, what others are to be told, in order.
-func (l *limits) newsOf(now time.Duration) []Named {
-	var list []Named
+func (l *limits) newsOf(now time.Duration) []LimitReport {
+	var list []LimitReport
 	for _, life := range slices.Sorted(maps.Keys(l.news)) {
 		if x := l.byLife[life]; x != nil {
 			told := x.told(now, life)
@@ -49,7 +49,7 @@
 }
 
 // all lists what is known, in order, and the limits that hold alone.
-func (l *limits) all(now time.Duration) (known, inForce []Named) {
+func (l *limits) all(now time.Duration) (known, inForce []LimitReport) {
 	for _, life := range slices.Sorted(maps.Keys(l.byLife)) {
 		x := l.byLife[life]
 		told := x.told(now, life)
@@ -62,7 +62,7 @@
 }
 
 // DigestOfNamed is the same for the same limits, and 0 for none.
-func DigestOfNamed(inForce []Named) uint64 {
+func DigestOfNamed(inForce []LimitReport) uint64 {
 	var sum uint64
 	for _, x := range inForce {
 		b := binary.LittleEndian.AppendUint32(nil, x.Life)
@@ -73,7 +73,7 @@
 }
 
 // take takes in what another box tells.
-func (l *limits) take(now time.Duration, list []Named) []LimitChange {
+func (l *limits) take(now time.Duration, list []LimitReport) []LimitChange {
 	var changes []LimitChange
 	for _, t := range list {
 		if !(t.PerSecond >= 0) || t.Read < 0 || t.Since < 0 || t.Ended < 0 {
@@ -92,7 +92,7 @@
 }
 
 // merge takes in what another box knows of the same life.
-func (x *named) merge(now time.Duration, t Named) {
+func (x *named) merge(now time.Duration, t LimitReport) {
 	if t.HasEnded {
 		x.ended = max(x.ended, now-t.Ended)
 	}
--- a/group/node.go
+++ b/group/node.go
@@ -192,8 +192,8 @@
 
 	sharers map[uint32]time.Duration // by hash of a box's name: when the lead told of it
 
-	suspects spread[balance.Suspect] // requests that upstreams end under
-	limits   spread[balance.Named]   // limits that upstreams name
+	suspects spread[balance.Suspect]     // requests that upstreams end under
+	limits   spread[balance.LimitReport] // limits that upstreams name
 
 	keptNews  []keptNews     // to be told
 	keptHeard []balance.Kept // told by others, and not yet taken over
