--- a/group/member_bench_test.go
+++ b/group/member_bench_test.go
@@ -26,7 +26,7 @@
 		run("sharers", func() { n.Sharers(t.now) })
 		run("classes", func() { n.Classes(t.now) })
 		run("reads", func() { n.ShouldRead(t.now) })
-		run("watch", func() { n.WatchFor(t.now) })
+		run("watch", func() { n.WatchTimeout(t.now) })
 		run("lanes", func() { n.Lanes(t.now) })
 		run("informed", func() { n.Informed(t.now) })
 		run("confirmed", func() { n.Confirmed() })
--- a/group/reads.go
+++ b/group/reads.go
@@ -84,10 +84,10 @@
 	return p.leads && !p.leaving && now-p.heard < n.cfg.Timing.Silence
 }
 
-// WatchFor is how long this box's reading may wait for a change. Where other leads hear from
+// WatchTimeout is how long this box's reading may wait for a change. Where other leads hear from
 // it, that is a beat less, so that the members of their domains, who hear of it a beat later,
 // know as much as they would from a reader of their own.
-func (n *Node) WatchFor(now time.Duration) time.Duration {
+func (n *Node) WatchTimeout(now time.Duration) time.Duration {
 	t := n.cfg.Timing
 	for _, p := range n.peers {
 		if !n.sameDomain(p) && n.leadIsHeard(now, p) {
--- a/group/world_test.go
+++ b/group/world_test.go
@@ -304,7 +304,7 @@
 		}
 		w.calls++
 		b.asked, b.whole, b.began = b.copy.Revision(), b.copy.Revision() == 0, w.now
-		b.waits = b.node.WatchFor(w.now)
+		b.waits = b.node.WatchTimeout(w.now)
 		b.reading = w.now + b.waits
 		if b.whole {
 			b.reading = w.now + step
--- a/relay/members.go
+++ b/relay/members.go
@@ -198,7 +198,7 @@
 // showReads tells the reader whether this box is to read, and wakes it.
 func (m *members) showReads() {
 	now := m.relay.now()
-	m.watch.Store(int64(m.node.WatchFor(now)))
+	m.watch.Store(int64(m.node.WatchTimeout(now)))
 	reads := m.node.ShouldRead(now)
 	if before := m.reads.Swap(reads); before || !reads {
 		return
