--- a/relay/move.go
+++ b/relay/move.go
@@ -110,7 +110,7 @@
 		m.copied <- Copy{}
 		return
 	}
-	m.copied <- r.cfg.Protocol.Moved(m.from.Address, status, body)
+	m.copied <- r.cfg.Protocol.ParseMove(m.from.Address, status, body)
 }
 
 // call makes a call to an upstream that is no request of a caller.
--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -21,7 +21,7 @@
 	p.MoveCall = func(request, to string) UpstreamCall {
 		return UpstreamCall{Method: http.MethodPost, Path: "/copy", Body: []byte(`"` + request + " " + to + `"`)}
 	}
-	p.Moved = func(from string, status int, body []byte) Copy {
+	p.ParseMove = func(from string, status int, body []byte) Copy {
 		return Copy{Name: string(body), Memory: from + "/" + string(body), Done: status == http.StatusOK}
 	}
 	p.DropCall = func(name string) UpstreamCall { return UpstreamCall{Method: http.MethodDelete, Path: "/copy/" + name} }
