--- a/balance/active_test.go
+++ b/balance/active_test.go
@@ -48,7 +48,7 @@
 				f.Remove(id)
 			case 1:
 				service := rapid.SampledFrom([]string{"s", "other"}).Draw(t, "service")
-				f.Put(now, Upstream{ID: id, Service: service, Slots: rapid.IntRange(1, 9).Draw(t, "slots"), Born: int64(rapid.IntRange(1, 3).Draw(t, "born"))})
+				f.Put(now, Upstream{ID: id, Service: service, Slots: rapid.IntRange(1, 9).Draw(t, "slots"), StartedAt: int64(rapid.IntRange(1, 3).Draw(t, "born"))})
 			case 2:
 				f.NoteOthers(map[LoadKey]Load{{f.keyOf(id), 2}: {Unread: 640 * rapid.IntRange(0, 1).Draw(t, "unread"), Open: 1}})
 			case 3:
--- a/balance/allowed_test.go
+++ b/balance/allowed_test.go
@@ -179,7 +179,7 @@
 	is.Equal(f.send(2*time.Second, 0), "")
 	is.True(f.LimitLeft(2*time.Second, "s") > 0)
 	next := *f.Get("u0")
-	next.Born = 7
+	next.StartedAt = 7
 	f.Put(3*time.Second, next)
 	is.Equal(f.send(3*time.Second, 0), "u0")
 }
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -14,13 +14,13 @@
 
 // Upstream is an engine or a plain service as its own entry describes it.
 type Upstream struct {
-	ID      string // a new start has a new one, or the same and a later Born
-	Born    int64  // when it started, Unix ms; 0: not known
-	Service string
-	Address string // IP:port
-	Domain  string // failure domain
-	Slots   int    // requests it runs at once
-	Leaving bool   // it takes no new requests
+	ID        string // a new start has a new one, or the same and a later Born
+	StartedAt int64  // when it started, Unix ms; 0: not known
+	Service   string
+	Address   string // IP:port
+	Domain    string // failure domain
+	Slots     int    // requests it runs at once
+	Leaving   bool   // it takes no new requests
 	// ColdFor is how much longer it is cold, as its entry says.
 	ColdFor  time.Duration
 	Revision uint64 // of its entry; of two that name the same address and no start, the greater one holds
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -28,7 +28,7 @@
 		{"the same where no start is named", entryOf("u", 0, 1), []func(*Fleet){gone, put(entryOf("u", 0, 3))}, false},
 		{"the list read anew", entryOf("u", 0, 1), []func(*Fleet){put(entryOf("u", 0, 1)), put(entryOf("u", 0, 1))}, false},
 		{"its service dropped and back", entryOf("u", 0, 1), []func(*Fleet){services("x"), services("s")}, false},
-		{"another writer's entry under its id", entryOf("u", 0, 1), []func(*Fleet){services("s"), put(Upstream{ID: "u", Born: 500, Service: "x"}), put(entryOf("u", 0, 4))}, false},
+		{"another writer's entry under its id", entryOf("u", 0, 1), []func(*Fleet){services("s"), put(Upstream{ID: "u", StartedAt: 500, Service: "x"}), put(entryOf("u", 0, 4))}, false},
 		{"an entry of an earlier life", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 50, 9))}, false},
 		{"orders go on rising", counting(entryOf("u", 0, 1), 5), []func(*Fleet){gone, put(counting(entryOf("u", 0, 3), 6))}, false},
 		{"a later life", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
@@ -66,7 +66,7 @@
 	is.True(!f.SaysLeaving(Incarnation{"u", 100}))
 	is.True(f.Accepts(2*time.Second, Incarnation{"u", 200}))
 	is.True(f.SaysLeaving(Incarnation{"v", 100}))
-	f.Put(0, Upstream{ID: "v", Born: 100, Service: "s", Address: "10.1.0.2:1"})
+	f.Put(0, Upstream{ID: "v", StartedAt: 100, Service: "s", Address: "10.1.0.2:1"})
 	is.True(f.Get("v").Leaving)
 }
 
--- a/balance/life.go
+++ b/balance/life.go
@@ -18,7 +18,7 @@
 }
 
 // Incarnation is the life that an entry tells of.
-func (u Upstream) Incarnation() Incarnation { return Incarnation{u.ID, u.Born} }
+func (u Upstream) Incarnation() Incarnation { return Incarnation{u.ID, u.StartedAt} }
 
 // Key identifies a life where boxes tell each other of it. So what they tell of an earlier
 // life names nobody at a box that knows a later one, and the other way round.
@@ -53,7 +53,7 @@
 
 // recall takes over what is remembered of a life that is listed again.
 func (f *Fleet) recall(m *member) {
-	if last := f.lives[m.ID]; m.Born != 0 && last.entry.Born == m.Born {
+	if last := f.lives[m.ID]; m.StartedAt != 0 && last.entry.StartedAt == m.StartedAt {
 		m.doubtTill = last.doubtTill
 		m.doubted = m.doubtTill > 0
 		m.ended = last.ended
@@ -92,16 +92,18 @@
 func (m *member) hasOpen() bool { return m.work.upTo(Levels-1).Open > 0 }
 
 // isPast reports whether an entry tells of a life before the last one that is known.
-func (f *Fleet) isPast(u Upstream) bool { return u.Born != 0 && u.Born < f.lives[u.ID].entry.Born }
+func (f *Fleet) isPast(u Upstream) bool {
+	return u.StartedAt != 0 && u.StartedAt < f.lives[u.ID].entry.StartedAt
+}
 
 // remember notes a life. What an entry of a service that is not named tells does not count: it
 // may come from another writer.
 func (f *Fleet) remember(u Upstream) {
 	last := f.lives[u.ID]
-	if u.Born < last.entry.Born || !f.serves(u.Service) {
+	if u.StartedAt < last.entry.StartedAt || !f.serves(u.Service) {
 		return
 	}
-	if last.entry.Born != u.Born {
+	if last.entry.StartedAt != u.StartedAt {
 		last = lastLife{}
 	}
 	last.entry, last.leaving = u, last.leaving || u.Leaving
@@ -128,20 +130,20 @@
 // hasLeft reports whether a life is known to take no new requests.
 func (f *Fleet) hasLeft(l Incarnation) bool {
 	last := f.lives[l.ID]
-	return last.entry.Born == l.StartedAt && last.leaving
+	return last.entry.StartedAt == l.StartedAt && last.leaving
 }
 
 // SaysLeaving notes that a life says in an answer that it takes no new requests, and reports whether that is new. No entry
 // takes it back: entries are older than answers.
 func (f *Fleet) SaysLeaving(l Incarnation) bool {
 	last := f.lives[l.ID]
-	if l.StartedAt < last.entry.Born || f.hasLeft(l) {
+	if l.StartedAt < last.entry.StartedAt || f.hasLeft(l) {
 		return false
 	}
-	if l.StartedAt > last.entry.Born {
+	if l.StartedAt > last.entry.StartedAt {
 		last = lastLife{}
 	}
-	last.entry.ID, last.entry.Born, last.leaving, last.said = l.ID, l.StartedAt, true, true
+	last.entry.ID, last.entry.StartedAt, last.leaving, last.said = l.ID, l.StartedAt, true, true
 	f.setLife(last)
 	if m := f.byID[l.ID]; m != nil && m.Incarnation() == l {
 		m.Leaving = true
@@ -153,7 +155,7 @@
 // life before.
 func (f *Fleet) Unproven(l Incarnation) bool {
 	last := f.lives[l.ID]
-	return last.entry.Born == l.StartedAt && last.unproven
+	return last.entry.StartedAt == l.StartedAt && last.unproven
 }
 
 // Proved notes that a life has been asked, and what it said was noted.
@@ -203,7 +205,7 @@
 	if u.Incarnation().After(before.Incarnation()) {
 		return true
 	}
-	unnamed := u.Born == 0 && before.Born == 0
+	unnamed := u.StartedAt == 0 && before.StartedAt == 0
 	return unnamed && u.Counts && before.Counts && u.Revision > before.Revision && u.Orders < before.Orders
 }
 
@@ -251,7 +253,7 @@
 
 // rememberDoubt notes the doubt about a life for when its entry goes and comes back.
 func (f *Fleet) rememberDoubt(m *member) {
-	if last, known := f.lives[m.ID]; known && last.entry.Born == m.Born {
+	if last, known := f.lives[m.ID]; known && last.entry.StartedAt == m.StartedAt {
 		last.doubtTill = m.doubtTill
 		f.lives[m.ID] = last
 	}
@@ -259,7 +261,7 @@
 
 // rememberEnd notes that a life has ended for when its entry goes and comes back.
 func (f *Fleet) rememberEnd(m *member) {
-	if last, known := f.lives[m.ID]; known && last.entry.Born == m.Born {
+	if last, known := f.lives[m.ID]; known && last.entry.StartedAt == m.StartedAt {
 		last.ended = true
 		f.lives[m.ID] = last
 	}
@@ -278,8 +280,8 @@
 // later compares two entries that name the same address, by their starts and then by their
 // revisions; 0 where neither says more than the other.
 func later(a, b Upstream) int {
-	if a.Born != 0 || b.Born != 0 {
-		return cmp.Compare(a.Born, b.Born)
+	if a.StartedAt != 0 || b.StartedAt != 0 {
+		return cmp.Compare(a.StartedAt, b.StartedAt)
 	}
 	return cmp.Compare(a.Revision, b.Revision)
 }
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -11,7 +11,7 @@
 
 // entryOf is an entry of an upstream that names its start.
 func entryOf(id string, born int64, revision uint64) Upstream {
-	return Upstream{ID: id, Born: born, Service: "s", Address: "10.1.0.1:1", Domain: "d1", Slots: 8, Revision: revision}
+	return Upstream{ID: id, StartedAt: born, Service: "s", Address: "10.1.0.1:1", Domain: "d1", Slots: 8, Revision: revision}
 }
 
 func leaving(u Upstream) Upstream {
@@ -59,7 +59,7 @@
 			before := f.byID["u"]
 			f.Put(time.Minute, c.entries[last])
 			u := f.Get("u")
-			is.Equal(u.Born, c.born)
+			is.Equal(u.StartedAt, c.born)
 			is.Equal(u.Leaving, c.leaving)
 			is.Equal(f.byID["u"] != before, c.anew)
 		})
@@ -450,7 +450,7 @@
 	const upstreams = maxLives + 100
 	f := NewFleet(Config{Domain: "d", Tuning: DefaultTuning})
 	entry := func(i int, born int64) Upstream {
-		return Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Domain: "d", Slots: 1, Born: born}
+		return Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Domain: "d", Slots: 1, StartedAt: born}
 	}
 	for i := range 2 * upstreams {
 		f.Put(0, entry(i, 2))
--- a/balance/list.go
+++ b/balance/list.go
@@ -45,8 +45,8 @@
 	case before == nil:
 	case isAnother(*before, u), before.Service != u.Service:
 		f.remove(u.ID)
-	case u.Born == 0:
-		u.Born = before.Born // an entry that names no start tells of the life that is known
+	case u.StartedAt == 0:
+		u.StartedAt = before.StartedAt // an entry that names no start tells of the life that is known
 	}
 	if f.serves(u.Service) && isAnother(f.lives[u.ID].entry, u) {
 		f.nextLife(u)
@@ -75,7 +75,7 @@
 		return false
 	}
 	order := later(u, holder.Upstream)
-	return order > 0 || order == 0 && u.Born == 0
+	return order > 0 || order == 0 && u.StartedAt == 0
 }
 
 // wait puts an upstream aside whose address another one has, until that one goes.
--- a/balance/lives_test.go
+++ b/balance/lives_test.go
@@ -64,7 +64,7 @@
 	if rapid.Bool().Draw(w.t, "old") {
 		revision = uint64(rapid.IntRange(1, int(w.latest)).Draw(w.t, "revision"))
 	}
-	return Upstream{ID: id, Born: born, Service: "s", Address: id, Domain: "d1", Slots: 8, Revision: revision,
+	return Upstream{ID: id, StartedAt: born, Service: "s", Address: id, Domain: "d1", Slots: 8, Revision: revision,
 		Leaving: rapid.IntRange(0, 5).Draw(w.t, "leaving") == 0}
 }
 
@@ -170,10 +170,10 @@
 func (w *livesWorld) check() {
 	for i, f := range w.boxes {
 		for id, m := range f.byID {
-			if m.Born < w.seen[i][id] {
-				w.t.Fatalf("box %d went back to life %d of %s", i, m.Born, id)
+			if m.StartedAt < w.seen[i][id] {
+				w.t.Fatalf("box %d went back to life %d of %s", i, m.StartedAt, id)
 			}
-			w.seen[i][id] = m.Born
+			w.seen[i][id] = m.StartedAt
 		}
 		w.checkKept(i, f)
 		w.checkLoads(i, f)
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -98,7 +98,7 @@
 	if !c.Named {
 		event, counter = "names no limit any more", limitsEnded
 	}
-	fields := Fields{"upstream": u.ID, "born": u.Born, "per_second": c.PerSecond, "before": c.Before, "source": "seen here", "id": request,
+	fields := Fields{"upstream": u.ID, "born": u.StartedAt, "per_second": c.PerSecond, "before": c.Before, "source": "seen here", "id": request,
 		"sent_lately": sent, "span_ms": limitSpan.Milliseconds(), "ration": limit.Ration, "ration_span_ms": limit.Span.Milliseconds()}
 	if c.Told {
 		fields["source"], fields["age_ms"] = "told", c.Age.Milliseconds()
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -242,7 +242,7 @@
 	n.untilNamed(b)
 	_, known := b.limitOf("u0")
 	is.True(known)
-	u := balance.Upstream{ID: "u0", Born: 5, Service: "s", Address: n.list[0].listener.Addr().String(), Domain: "d", Slots: 8}
+	u := balance.Upstream{ID: "u0", StartedAt: 5, Service: "s", Address: n.list[0].listener.Addr().String(), Domain: "d", Slots: 8}
 	b.board.set("u0", u, false)
 	b.until(func() bool { return b.log.contains(`"msg":"upstream: started again"`) })
 	_, known = b.limitOf("u0")
--- a/relay/lives.go
+++ b/relay/lives.go
@@ -18,7 +18,7 @@
 
 // startedAgain ends what is left of a life that another one of the upstream has followed.
 func (r *Relay) startedAgain(before, u balance.Upstream) {
-	r.cfg.Log.Event("upstream", "started again", Fields{"upstream": u.ID, "born": u.Born, "before": before.Born, "address": u.Address,
+	r.cfg.Log.Event("upstream", "started again", Fields{"upstream": u.ID, "born": u.StartedAt, "before": before.StartedAt, "address": u.Address,
 		"address_before": before.Address, "service": u.Service, "age_ms": r.age().Milliseconds()})
 	r.stats.count("upstreams_started_again")
 	if !before.Leaving {
@@ -57,7 +57,7 @@
 	defer r.mu.Unlock()
 	runs := make(map[string][]*conn)
 	for x, c := range r.runs {
-		if x.route.Again() && u.Incarnation().After(c.life) && c.openedBefore(now, u.Born) {
+		if x.route.Again() && u.Incarnation().After(c.life) && c.openedBefore(now, u.StartedAt) {
 			address := c.RemoteAddr().String()
 			runs[address] = append(runs[address], c)
 		}
@@ -92,7 +92,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u, _ := r.listed(id)
-	return balance.Incarnation{ID: id, StartedAt: u.Born}
+	return balance.Incarnation{ID: id, StartedAt: u.StartedAt}
 }
 
 // isPresent reports whether an upstream is listed in the life that it was chosen in. The caller
--- a/relay/lives_test.go
+++ b/relay/lives_test.go
@@ -19,7 +19,7 @@
 
 // listBorn lists an upstream in a life.
 func (b *bench) listBorn(s *stub, born int64, leaving bool) {
-	b.board.set(s.id, balance.Upstream{ID: s.id, Born: born, Service: "s", Address: s.listener.Addr().String(), Domain: "d", Slots: 8, Leaving: leaving}, false)
+	b.board.set(s.id, balance.Upstream{ID: s.id, StartedAt: born, Service: "s", Address: s.listener.Addr().String(), Domain: "d", Slots: 8, Leaving: leaving}, false)
 }
 
 // bornOf is the life that the relay has an upstream listed in; -1 where it is not listed.
@@ -27,7 +27,7 @@
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	if u := b.relay.fleet.Get(id); u != nil {
-		return u.Born
+		return u.StartedAt
 	}
 	return -1
 }
@@ -127,14 +127,14 @@
 	b.await("u", 100)
 	is.True(!gets())
 	b.listBorn(u, 100, false) // an entry that came late: one that is leaving stays so
-	b.board.set("mark", balance.Upstream{ID: "mark", Service: "x", Born: 1}, false)
+	b.board.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 1}, false)
 	b.await("mark", 1)
 	is.True(!gets())
 	b.listBorn(u, 200, false)
 	b.await("u", 200)
 	is.True(gets())
 	b.listBorn(u, 100, true) // of the earlier life, whatever its revision
-	b.board.set("mark", balance.Upstream{ID: "mark", Service: "x", Born: 2}, false)
+	b.board.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 2}, false)
 	b.await("mark", 2)
 	is.Equal(b.bornOf("u"), int64(200))
 	is.True(gets())
@@ -160,19 +160,19 @@
 	is := is.New(t)
 	u := newStub(t, "u", answerOK("ok"))
 	p := newConns(func(string) int { return 9 })
-	life := balance.Upstream{ID: "u", Born: 100, Address: u.listener.Addr().String()}
+	life := balance.Upstream{ID: "u", StartedAt: 100, Address: u.listener.Addr().String()}
 	c, err := p.get(context.Background(), life, "s")
 	is.NoErr(err)
 	p.end(life.Incarnation())
 	p.keep(c, time.Minute)
 	is.Equal(len(p.idle["u"]), 0)
 	is.Equal(p.open["u"], 0)
-	life.Born = 200
+	life.StartedAt = 200
 	c, err = p.get(context.Background(), life, "s")
 	is.NoErr(err)
 	p.keep(c, time.Minute)
 	is.Equal(len(p.idle["u"]), 1)
-	life.Born = 300 // one that was kept is not handed out for another life either
+	life.StartedAt = 300 // one that was kept is not handed out for another life either
 	other, err := p.get(context.Background(), life, "s")
 	is.NoErr(err)
 	is.True(other != c)
@@ -239,16 +239,16 @@
 	r := &Relay{start: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConns(nil), stats: newStats()}
 	missing := make(map[string]time.Duration)
 	u := upstreamOf("u")
-	u.Born = 100
+	u.StartedAt = 100
 	r.takeNews(Update{Upstream: u}, 0, missing)
 	r.takeNews(Update{Removed: "u"}, r.now()+time.Hour, missing)
 	later := *u
-	later.Born = 200
+	later.StartedAt = 200
 	r.takeNews(Update{Upstream: &later}, 0, missing)
 	is.Equal(len(missing), 0)
-	is.Equal(r.fleet.Get("u").Born, int64(200))
+	is.Equal(r.fleet.Get("u").StartedAt, int64(200))
 	r.takeNews(Update{Upstream: u}, 0, missing)
-	is.Equal(r.fleet.Get("u").Born, int64(200))
+	is.Equal(r.fleet.Get("u").StartedAt, int64(200))
 	r.takeNews(Update{Invalid: "u"}, r.now()+time.Hour, missing)
 	is.Equal(r.fleet.Get("u"), nil)
 	is.NoErr(r.cfg.Log.Close())
@@ -288,7 +288,7 @@
 	b := newBench(t, u)
 	b.listBorn(u, 100, false)
 	b.await("true", 100)
-	b.board.set("false", balance.Upstream{ID: "false", Born: 900, Service: "s", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.board.set("false", balance.Upstream{ID: "false", StartedAt: 900, Service: "s", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.await("false", 900)
 	is.Equal(b.bornOf("true"), int64(-1))
 	is.Equal(b.do(b.request("GET", "/safe/x", "")).body, "ok") // one refusal, and the second run is answered
@@ -303,11 +303,11 @@
 	b := newBench(t, u)
 	b.listBorn(u, 100, false)
 	b.await("u", 100)
-	b.board.set("x", balance.Upstream{ID: "x", Born: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.board.set("x", balance.Upstream{ID: "x", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.await("x", 900)
 	is.Equal(b.bornOf("u"), int64(100))
 	is.Equal(b.do(b.request("POST", "/once/x", "")).body, "ok")
-	b.board.set("u", balance.Upstream{ID: "u", Born: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.board.set("u", balance.Upstream{ID: "u", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.await("u", 900) // and at a sound one's key it does no more harm than that this one is not used
 	is.Equal(b.do(b.request("POST", "/once/x", "")).status, 503)
 	b.listBorn(u, 100, false)
--- a/relay/news.go
+++ b/relay/news.go
@@ -89,9 +89,9 @@
 // life before.
 func (r *Relay) takeUpstream(u balance.Upstream) {
 	c := r.putUpstream(u)
-	if !c.listed || u.Born != 0 && u.Born < c.present.Born {
-		r.cfg.Log.Event("upstream", "entry passed over", Fields{"upstream": u.ID, "born": u.Born, "address": u.Address, "revision": u.Revision,
-			"listed": c.listed, "present": c.present.Born})
+	if !c.listed || u.StartedAt != 0 && u.StartedAt < c.present.StartedAt {
+		r.cfg.Log.Event("upstream", "entry passed over", Fields{"upstream": u.ID, "born": u.StartedAt, "address": u.Address, "revision": u.Revision,
+			"listed": c.listed, "present": c.present.StartedAt})
 		return // its address has another one, or it is of an earlier life
 	}
 	u = c.present
@@ -114,7 +114,7 @@
 	if c.serves {
 		r.endEarlierRuns(u)
 	}
-	r.cfg.Log.Event("upstream", "listed", Fields{"upstream": u.ID, "born": u.Born, "service": u.Service, "named": c.serves, "address": u.Address,
+	r.cfg.Log.Event("upstream", "listed", Fields{"upstream": u.ID, "born": u.StartedAt, "service": u.Service, "named": c.serves, "address": u.Address,
 		"leaving": u.Leaving, "cold_ms": u.ColdFor.Milliseconds()})
 }
 
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -164,7 +164,7 @@
 
 func (x *exchange) logFailed(state runState, outcome balance.Outcome, err error) {
 	r := x.relay
-	fields := Fields{"id": x.request.id, "upstream": x.upstream.ID, "born": x.upstream.Born, "service": x.service, "state": runNames[state], "runs": x.sent, "status": x.refusalStatus,
+	fields := Fields{"id": x.request.id, "upstream": x.upstream.ID, "born": x.upstream.StartedAt, "service": x.service, "state": runNames[state], "runs": x.sent, "status": x.refusalStatus,
 		"budget_left": x.budgetLeft(), "loads_age_ms": r.members.loadsAge().Milliseconds()}
 	if err != nil {
 		fields["error"] = err.Error()
--- a/relay/outcome_test.go
+++ b/relay/outcome_test.go
@@ -60,7 +60,7 @@
 	r.mu.Unlock()
 
 	x := &exchange{relay: r, request: &request{}, ctx: context.Background(), upstream: present}
-	x.upstream.Born = 100
+	x.upstream.StartedAt = 100
 	x.failed(runUnsent, syscall.ECONNREFUSED)
 	is.Equal(resting(), 1)
 	r.mu.Lock()
@@ -68,7 +68,7 @@
 	x.ticket = r.fleet.Open(r.now(), "u", balance.Request{Service: "s"})
 	r.mu.Unlock()
 	is.Equal(len(lost), 1) // nobody has put it down to u
-	x.upstream.Born = 200
+	x.upstream.StartedAt = 200
 	x.failed(runUnsent, syscall.ECONNREFUSED)
 	is.Equal(resting(), 0)
 	b.until(func() bool { return b.log.contains("out of reach") })
--- a/relay/said.go
+++ b/relay/said.go
@@ -84,7 +84,7 @@
 	if r.cfg.Protocol.ReportCall != nil && r.cfg.Protocol.Leaving != "" {
 		ctx, cancel := context.WithTimeout(context.Background(), askWait)
 		defer cancel()
-		fields := Fields{"upstream": u.ID, "born": u.Born}
+		fields := Fields{"upstream": u.ID, "born": u.StartedAt}
 		if _, _, err := r.call(ctx, u, u.Service, r.cfg.Protocol.ReportCall()); err != nil {
 			fields["error"] = err.Error()
 		}
@@ -135,6 +135,6 @@
 // logPausesOver writes the lines about upstreams that are used as before their pauses.
 func (r *Relay) logPausesOver(list []balance.Upstream) {
 	for _, u := range list {
-		r.cfg.Log.Event("upstream", "used as before its pause", Fields{"upstream": u.ID, "born": u.Born})
+		r.cfg.Log.Event("upstream", "used as before its pause", Fields{"upstream": u.ID, "born": u.StartedAt})
 	}
 }
--- a/relay/take_bench_test.go
+++ b/relay/take_bench_test.go
@@ -19,7 +19,7 @@
 				doc, _ := route.New(testDocument(1))
 				b.StartTimer()
 				for i := range n {
-					u := balance.Upstream{ID: fmt.Sprintf("u%d", i), Born: 5, Service: "s", Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Domain: fmt.Sprintf("d%d", i%5), Slots: 64, Revision: 1}
+					u := balance.Upstream{ID: fmt.Sprintf("u%d", i), StartedAt: 5, Service: "s", Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Domain: fmt.Sprintf("d%d", i%5), Slots: 64, Revision: 1}
 					x.relay.takeNews(Update{Upstream: &u}, 0, nil)
 				}
 				x.relay.takeNews(Update{Document: doc}, 0, nil)
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -226,7 +226,7 @@
 
 // list publishes an upstream's entry.
 func (w *world) list(u *upstream, leaving bool) {
-	it, err := platform.UpstreamItem(balance.Upstream{ID: u.id, Born: u.born, Service: u.service, Address: u.gate.address(), Domain: u.domain, Slots: 32, Leaving: leaving,
+	it, err := platform.UpstreamItem(balance.Upstream{ID: u.id, StartedAt: u.born, Service: u.service, Address: u.gate.address(), Domain: u.domain, Slots: 32, Leaving: leaving,
 		ColdFor: max(0, time.Until(u.coldTill))})
 	if err != nil {
 		w.ledger.violate("an entry cannot be written: %v", err)
