--- a/balance/allowed.go
+++ b/balance/allowed.go
@@ -11,7 +11,7 @@
 )
 
 // Says takes in what an answer of a life says of its limit.
-func (f *Fleet) Says(now time.Duration, life Incarnation, s Statement) (LimitChange, bool) {
+func (f *Fleet) Says(now time.Duration, life Incarnation, s LimitStatement) (LimitChange, bool) {
 	c, changed := f.limits.says(life.Key(), s)
 	f.noteLimits(now, c)
 	return c, changed
--- a/balance/allowed_test.go
+++ b/balance/allowed_test.go
@@ -25,7 +25,7 @@
 
 // names has an upstream name a limit at a moment.
 func (f *Fleet) names(now time.Duration, id string, perSecond float64) {
-	f.Says(now, f.byID[id].Incarnation(), Statement{Named: true, PerSecond: perSecond, Sent: now - 1, Read: now})
+	f.Says(now, f.byID[id].Incarnation(), LimitStatement{Named: true, PerSecond: perSecond, Sent: now - 1, Read: now})
 }
 
 func TestWhatALimitLetsThrough(t *testing.T) {
@@ -208,7 +208,7 @@
 	is.Equal(f.send(time.Second, 0), "u0") // the request that looks whether the limit holds
 	is.Equal(f.send(2*time.Second, 0), "")
 	is.True(f.LimitLeft(2*time.Second, "s") > 0)
-	f.Says(3*time.Second, Incarnation{ID: "u0"}, Statement{Sent: 2 * time.Second, Read: 3 * time.Second})
+	f.Says(3*time.Second, Incarnation{ID: "u0"}, LimitStatement{Sent: 2 * time.Second, Read: 3 * time.Second})
 	is.Equal(f.send(3*time.Second, 0), "u0")
 }
 
--- a/balance/named.go
+++ b/balance/named.go
@@ -24,8 +24,8 @@
 	leastNamed, namedEach = 1 << 13, 2
 )
 
-// Statement is what an answer of an upstream says of its limit.
-type Statement struct {
+// LimitStatement is what an answer of an upstream says of its limit.
+type LimitStatement struct {
 	Named     bool          // it names one
 	PerSecond float64       // requests
 	Sent      time.Duration // when the request was sent
@@ -81,7 +81,7 @@
 }
 
 // says takes in what an answer says.
-func (l *limits) says(life uint32, s Statement) (LimitChange, bool) {
+func (l *limits) says(life uint32, s LimitStatement) (LimitChange, bool) {
 	x := l.byLife[life]
 	if x == nil && !s.Named {
 		return LimitChange{}, false
--- a/balance/named_test.go
+++ b/balance/named_test.go
@@ -16,8 +16,8 @@
 	sent, read int
 }
 
-func (s said) statement() Statement {
-	return Statement{Named: s.perSecond >= 0, PerSecond: max(s.perSecond, 0), Sent: time.Duration(s.sent) * time.Millisecond,
+func (s said) statement() LimitStatement {
+	return LimitStatement{Named: s.perSecond >= 0, PerSecond: max(s.perSecond, 0), Sent: time.Duration(s.sent) * time.Millisecond,
 		Read: time.Duration(s.read) * time.Millisecond}
 }
 
@@ -132,7 +132,7 @@
 	const upstreams = 2 * leastNamed
 	f := newTestFleet(upstreams)
 	for i := range upstreams {
-		f.limits.says(Key(fmt.Sprintf("u%d", i)), Statement{Named: true, PerSecond: 1, Sent: time.Second, Read: time.Second})
+		f.limits.says(Key(fmt.Sprintf("u%d", i)), LimitStatement{Named: true, PerSecond: 1, Sent: time.Second, Read: time.Second})
 	}
 	is.Equal(len(f.limits.byLife), upstreams)
 }
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -37,7 +37,7 @@
 	box  *testBox
 	name string // of the box
 	life balance.Incarnation
-	told balance.Statement
+	told balance.LimitStatement
 	at   time.Duration
 	done func()
 }
@@ -167,7 +167,7 @@
 	reaches := now + time.Duration(1+d.w.random.IntN(20))*time.Millisecond
 	reads := reaches + time.Duration(20+d.w.random.IntN(100))*time.Millisecond
 	u.got = append(u.got, gotRequest{reaches, name})
-	told := balance.Statement{Named: u.limit >= 0, PerSecond: max(u.limit, 0), Sent: now, Read: reads}
+	told := balance.LimitStatement{Named: u.limit >= 0, PerSecond: max(u.limit, 0), Sent: now, Read: reads}
 	if told.Named && u.named == 0 {
 		u.named = reads
 	}
--- a/group/limits_test.go
+++ b/group/limits_test.go
@@ -13,7 +13,7 @@
 
 // says has an upstream answer a box; below 0 it names no limit.
 func (d *needyDay) says(box, upstream string, perSecond float64) {
-	d.fleetOf(box).Says(d.w.now, balance.Incarnation{ID: upstream}, balance.Statement{Named: perSecond >= 0, PerSecond: max(perSecond, 0),
+	d.fleetOf(box).Says(d.w.now, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: perSecond >= 0, PerSecond: max(perSecond, 0),
 		Sent: d.w.now - time.Millisecond, Read: d.w.now})
 }
 
