--- a/group/reads.go
+++ b/group/reads.go
@@ -97,9 +97,9 @@
 	return t.Watch
 }
 
-// ReadPause is how long this box waits after its reading has failed so many times in
+// ReadBackoff is how long this box waits after its reading has failed so many times in
 // a row.
-func (n *Node) ReadPause(failures int) time.Duration {
+func (n *Node) ReadBackoff(failures int) time.Duration {
 	longest := memberReadPause
 	if n.IsLeader() || n.cfg.Mirror.Revision() == 0 {
 		longest = leadReadPause
--- a/group/reads_test.go
+++ b/group/reads_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, tt := range tests {
 		is := is.New(t)
-		is.Equal(w.boxes[boxName(0, tt.box)].node.ReadPause(tt.failures), tt.want)
+		is.Equal(w.boxes[boxName(0, tt.box)].node.ReadBackoff(tt.failures), tt.want)
 	}
 }
 
--- a/group/store_test.go
+++ b/group/store_test.go
@@ -41,7 +41,7 @@
 			b.asking = false
 			b.fails++
 			b.node.ReadFailed()
-			b.next = w.now + b.node.ReadPause(b.fails)
+			b.next = w.now + b.node.ReadBackoff(b.fails)
 		}
 	}
 	for ; s.credit >= 1 && len(s.queue) > 0; s.credit-- {
@@ -55,7 +55,7 @@
 			b.asking = false
 			b.fails++
 			b.node.ReadFailed()
-			b.next = w.now + b.node.ReadPause(b.fails)
+			b.next = w.now + b.node.ReadBackoff(b.fails)
 			continue
 		}
 		w.takePage(b)
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -119,7 +119,7 @@
 	}
 	if r.err != nil {
 		m.failures++
-		r.pause = m.node.ReadPause(m.failures)
+		r.pause = m.node.ReadBackoff(m.failures)
 		m.node.ReadFailed()
 		m.relay.belief.lose(m.relay, r.err)
 		return
