--- a/relay/answer.go
+++ b/relay/answer.go
@@ -129,5 +129,5 @@
 
 // notRun reports whether the answer says that the upstream did not run the request.
 func (r *Relay) notRun(h *fasthttp.ResponseHeader) bool {
-	return h.StatusCode() == fasthttp.StatusMisdirectedRequest || headerValue(h, r.cfg.Protocol.NotRun) != ""
+	return h.StatusCode() == fasthttp.StatusMisdirectedRequest || headerValue(h, r.cfg.Protocol.NotExecuted) != ""
 }
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -17,7 +17,7 @@
 	Limit           string // in an upstream's answer: requests a second that it takes from all boxes together
 	Leaving         string // in an upstream's answer: 1 where it is leaving
 	RetryAfter      string // in an upstream's refusal: for how long it wants no requests from this box
-	NotRun          string // in an upstream's refusal: it has not run the request
+	NotExecuted     string // in an upstream's refusal: it has not run the request
 	Signature       string // in an upstream's answer: who gave it; the relay only passes it on
 	Priority        string // set for the upstream, 0 first
 	LastEvent       string // the last event of a stream that was seen
--- a/soak/said.go
+++ b/soak/said.go
@@ -125,7 +125,7 @@
 	}
 	u.world.ledger.turnsAway(u, id, time.Duration(seconds*float64(time.Second)))
 	w.Header().Set(words.RetryAfter, asked)
-	w.Header().Set(words.NotRun, "1")
+	w.Header().Set(words.NotExecuted, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	return true
 }
--- a/soak/upstream.go
+++ b/soak/upstream.go
@@ -143,7 +143,7 @@
 	}
 	u.world.ledger.arrived(u, id, string(body), r.Header.Get(words.Customer), r.Header.Get(words.Instance))
 	if r.Header.Get(words.Instance) != u.id {
-		w.Header().Set(words.NotRun, "1")
+		w.Header().Set(words.NotExecuted, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -160,7 +160,7 @@
 	case u.service == soundService:
 	case luck < 4, u.fails():
 		u.world.ledger.sentTo(u)
-		w.Header().Set(words.NotRun, "1")
+		w.Header().Set(words.NotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case luck < 7:
