--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -24,9 +24,9 @@
 	// ColdFor is how much longer it is cold, as its entry says.
 	ColdFor  time.Duration
 	Revision uint64 // of its entry; of two that name the same address and no start, the greater one holds
-	// Orders is how many orders it has taken since its start; Counts says that its entry tells.
-	Orders uint64
-	Counts bool
+	// CommandCount is how many orders it has taken since its start; Counts says that its entry tells.
+	CommandCount uint64
+	Counts       bool
 }
 
 // member is an upstream with what this box knows of it besides.
