--- a/balance/kept.go
+++ b/balance/kept.go
@@ -37,7 +37,7 @@
 // kept is what is known of parts.
 type kept struct {
 	keepers map[uint32][]keeper // by PartKey; no list is empty
-	news    []Kept              // not told yet
+	news    []PartReport        // not told yet
 	swept   time.Duration       // when old ones last made room
 }
 
--- a/balance/kept_test.go
+++ b/balance/kept_test.go
@@ -89,7 +89,7 @@
 	is.Equal(len(f.KeptNews()), 0)
 	serve(f, retellAfter, prompt(7))
 	is.Equal(len(f.KeptNews()), 1)
-	f.NoteKept(2*retellAfter, []Kept{{PartKey(7), f.byKeyOf(t, 7).key}})
+	f.NoteKept(2*retellAfter, []PartReport{{PartKey(7), f.byKeyOf(t, 7).key}})
 	serve(f, 2*retellAfter, prompt(7))
 	is.Equal(len(f.KeptNews()), 0) // another box has just told it
 }
@@ -120,7 +120,7 @@
 			case 1:
 				f.Put(now, Upstream{ID: id, Service: "s", Slots: 4})
 			case 2:
-				f.NoteKept(now, []Kept{{PartKey(shared), Key(id)}})
+				f.NoteKept(now, []PartReport{{PartKey(shared), Key(id)}})
 			default:
 				if c, ok := f.Place(now, prompt(shared), nil); ok {
 					f.Open(now, c.Upstream.ID, prompt(shared)).Close(now, Outcome(rapid.IntRange(0, 4).Draw(t, "outcome")))
@@ -144,11 +144,11 @@
 	is := is.New(t)
 	f := knowing(4)
 	for shared := range uint64(keptParts + 100) {
-		f.NoteKept(0, []Kept{{uint32(shared), Key("u1")}})
+		f.NoteKept(0, []PartReport{{uint32(shared), Key("u1")}})
 	}
 	is.Equal(len(f.kept.keepers), keptParts)
-	is.Equal(f.kept.swept, time.Duration(0))                // all the parts beyond were one look for old ones
-	f.NoteKept(keptFor, []Kept{{keptParts + 1, Key("u1")}}) // the old ones make room
+	is.Equal(f.kept.swept, time.Duration(0))                      // all the parts beyond were one look for old ones
+	f.NoteKept(keptFor, []PartReport{{keptParts + 1, Key("u1")}}) // the old ones make room
 	is.Equal(len(f.kept.keepers), 1)
 	for shared := range uint64(maxNews + 100) {
 		f.Open(keptFor, "u1", prompt(shared))
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -212,7 +212,7 @@
 	f.Put(0, entryOf("u", 100, 1))
 	m := f.byID["u"]
 	f.Open(0, "u", prompt(7)).Close(0, Closed)
-	news := []Kept{{PartKey(7), m.key}}
+	news := []PartReport{{PartKey(7), m.key}}
 	f.NoteKept(time.Minute, news)
 	is.True(f.ReachedLife(time.Minute, Incarnation{"u", 100}))
 	f.NoteKept(time.Minute+newsLag/2, news)
--- a/balance/lives_test.go
+++ b/balance/lives_test.go
@@ -33,7 +33,7 @@
 type toldNews struct {
 	to   int
 	at   time.Duration
-	kept []Kept
+	kept []PartReport
 }
 
 const (
--- a/balance/tell.go
+++ b/balance/tell.go
@@ -18,8 +18,8 @@
 	maxNews = 1 << 11
 )
 
-// Kept says that an upstream was sent a part of a prompt.
-type Kept struct {
+// PartReport says that an upstream was sent a part of a prompt.
+type PartReport struct {
 	Part     uint32 // PartKey of its id, or endedMark
 	Upstream uint32 // key of its life
 }
@@ -53,7 +53,7 @@
 			continue
 		}
 		x.told = now
-		f.kept.news = append(f.kept.news, Kept{part, m.key})
+		f.kept.news = append(f.kept.news, PartReport{part, m.key})
 	}
 }
 
@@ -70,14 +70,14 @@
 		return
 	}
 	f.leaveEnded(m)
-	f.tellFirst(Kept{endedMark, m.key})
+	f.tellFirst(PartReport{endedMark, m.key})
 }
 
 // tellFirst puts news before all that waits to be told, of which the last makes room: without
 // that, all boxes would go on sending to what one knows to have ended.
-func (f *Fleet) tellFirst(news Kept) {
+func (f *Fleet) tellFirst(news PartReport) {
 	rest := f.kept.news[:min(len(f.kept.news), maxNews-1)]
-	f.kept.news = append([]Kept{news}, rest...)
+	f.kept.news = append([]PartReport{news}, rest...)
 }
 
 // leaveEnded sends nothing more to an upstream that has ended. It stays in the list until its
@@ -102,14 +102,14 @@
 }
 
 // KeptNews returns, once, what other boxes should hear of.
-func (f *Fleet) KeptNews() []Kept {
+func (f *Fleet) KeptNews() []PartReport {
 	news := f.kept.news
 	f.kept.news = nil
 	return news
 }
 
 // NoteKept takes in what other boxes told.
-func (f *Fleet) NoteKept(now time.Duration, list []Kept) {
+func (f *Fleet) NoteKept(now time.Duration, list []PartReport) {
 	for _, told := range list {
 		m := f.byKey[told.Upstream]
 		if m == nil {
--- a/balance/tell_test.go
+++ b/balance/tell_test.go
@@ -47,12 +47,12 @@
 	f := knowing(0)
 	f.Put(0, entryOf("u", 100, 1))
 	for range maxNews {
-		f.kept.news = append(f.kept.news, Kept{7, 8})
+		f.kept.news = append(f.kept.news, PartReport{7, 8})
 	}
 	key := f.byID["u"].key
 	f.Open(0, "u", prompt(9)).Close(0, Ended)
 	is.True(f.Get("u").Leaving)
 	news := f.KeptNews()
 	is.Equal(len(news), maxNews)
-	is.Equal(news[0], Kept{endedMark, key})
+	is.Equal(news[0], PartReport{endedMark, key})
 }
--- a/balance/way_test.go
+++ b/balance/way_test.go
@@ -111,7 +111,7 @@
 		}
 	}
 	is.True(far > 30)
-	f.NoteKept(time.Second, []Kept{{PartKey(7), Key("u2")}}) // in another region
+	f.NoteKept(time.Second, []PartReport{{PartKey(7), Key("u2")}}) // in another region
 	c, _ := f.Place(time.Second, large(7), nil)
 	is.Equal(c.Upstream.ID, "u2")
 }
@@ -189,7 +189,7 @@
 func TestCopiesComeFromNearby(t *testing.T) {
 	is := is.New(t)
 	f := threeRegions(30)
-	f.NoteKept(time.Second, []Kept{{PartKey(7), Key("u2")}, {PartKey(7), Key("u7")}}) // u7 lies in a1
+	f.NoteKept(time.Second, []PartReport{{PartKey(7), Key("u2")}, {PartKey(7), Key("u7")}}) // u7 lies in a1
 	f.SetOthers(map[LoadKey]Load{{Key("u7"), 0}: {Open: 5}})
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u0"]), "10.0.0.7:1")
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u8"]), "10.0.0.2:1")
@@ -217,7 +217,7 @@
 		for i := range 24 {
 			id := fmt.Sprintf("u%d", i)
 			if rapid.Bool().Draw(t, "keeps") {
-				f.NoteKept(now, []Kept{{PartKey(uint64(rapid.IntRange(1, 3).Draw(t, "kept"))), Key(id)}})
+				f.NoteKept(now, []PartReport{{PartKey(uint64(rapid.IntRange(1, 3).Draw(t, "kept"))), Key(id)}})
 			}
 			if rapid.IntRange(0, 4).Draw(t, "out") == 0 {
 				f.unreached(now, f.byID[id])
--- a/group/across_test.go
+++ b/group/across_test.go
@@ -41,7 +41,7 @@
 	upstreams  int     // in all domains
 	home       float64 // share of the requests that stay in their box's domain, and of the rest in its region
 	running    map[string][]*carried
-	parts      map[string][]balance.Kept
+	parts      map[string][]balance.PartReport
 	nextPart   uint32
 	partsShare float64
 }
@@ -113,7 +113,7 @@
 	read := t.now + time.Duration(tokens/tokensPerMilli)*time.Millisecond
 	if t.random.Float64() < t.partsShare {
 		t.nextPart++
-		t.parts[name] = append(t.parts[name], balance.Kept{Part: t.nextPart * 2654435761, Upstream: upstreamKey(upstream)})
+		t.parts[name] = append(t.parts[name], balance.PartReport{Part: t.nextPart * 2654435761, Upstream: upstreamKey(upstream)})
 	}
 	return &carried{
 		key:  balance.LoadKey{Upstream: upstreamKey(upstream), Urgency: t.random.IntN(3)},
@@ -137,7 +137,7 @@
 
 func newTraffic(w *world, l layout) *traffic {
 	return &traffic{world: w, layout: l, perSecond: 7, upstreams: len(w.names) * 11 / 10, home: 0.7, partsShare: 0.3,
-		running: make(map[string][]*carried), parts: make(map[string][]balance.Kept)}
+		running: make(map[string][]*carried), parts: make(map[string][]balance.PartReport)}
 }
 
 // unreadError is how far the boxes of a domain are from the truth about its upstreams, in
--- a/group/kept.go
+++ b/group/kept.go
@@ -32,7 +32,7 @@
 
 // keptNews is something to tell.
 type keptNews struct {
-	kept  balance.Kept
+	kept  balance.PartReport
 	from  string // the box it came from; empty: this one
 	reach Reach  // how far away that box, or the one it heard it from, is
 	final bool   // it has crossed the edge of this region already: only members are told
@@ -41,22 +41,22 @@
 
 // heardKept is what a box told last, of one scope.
 type heardKept struct {
-	list []balance.Kept
+	list []balance.PartReport
 	at   time.Duration
 }
 
 // TellKept notes what this box sent to upstreams, to be told.
-func (n *Node) TellKept(list []balance.Kept) { n.queueKept(keptNews{reach: ReachDomain}, list) }
+func (n *Node) TellKept(list []balance.PartReport) { n.queueKept(keptNews{reach: ReachDomain}, list) }
 
 // DrainKept returns, once, what other boxes told.
-func (n *Node) DrainKept() []balance.Kept {
+func (n *Node) DrainKept() []balance.PartReport {
 	heard := n.keptHeard
 	n.keptHeard = nil
 	return heard
 }
 
 // queueKept puts a list among what waits to be told; as says where it came from.
-func (n *Node) queueKept(as keptNews, list []balance.Kept) {
+func (n *Node) queueKept(as keptNews, list []balance.PartReport) {
 	as.tells = keptTells
 	for _, k := range list {
 		if len(n.keptNews) >= maxKeptWaiting {
@@ -177,10 +177,10 @@
 }
 
 // unpackKept reads the wire's form: a part and its upstream in turn.
-func unpackKept(words []uint32) []balance.Kept {
-	list := make([]balance.Kept, 0, len(words)/2)
+func unpackKept(words []uint32) []balance.PartReport {
+	list := make([]balance.PartReport, 0, len(words)/2)
 	for ; len(words) >= 2; words = words[2:] {
-		list = append(list, balance.Kept{Part: words[0], Upstream: words[1]})
+		list = append(list, balance.PartReport{Part: words[0], Upstream: words[1]})
 	}
 	return list
 }
--- a/group/node.go
+++ b/group/node.go
@@ -195,8 +195,8 @@
 	suspects spread[balance.Suspect]     // requests that upstreams end under
 	limits   spread[balance.LimitReport] // limits that upstreams name
 
-	keptNews  []keptNews     // to be told
-	keptHeard []balance.Kept // told by others, and not yet taken over
+	keptNews  []keptNews           // to be told
+	keptHeard []balance.PartReport // told by others, and not yet taken over
 }
 
 // never lies before every moment.
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -135,10 +135,10 @@
 	w := across(t, 7, layout{6, 3}, 18)
 	w.run(10 * time.Second)
 	w.loadAll()
-	part := balance.Kept{Part: 5, Upstream: 9}
-	w.boxes[boxName(1, 2)].node.TellKept([]balance.Kept{part})
+	part := balance.PartReport{Part: 5, Upstream: 9}
+	w.boxes[boxName(1, 2)].node.TellKept([]balance.PartReport{part})
 	links := make(map[string]bool) // from a region's box to another one's
-	heard := make(map[string][]balance.Kept)
+	heard := make(map[string][]balance.PartReport)
 	for range 100 {
 		w.run(step)
 		for _, f := range w.flying {
