--- a/group/count.go
+++ b/group/count.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Boxes is how many boxes there are, at the most that was ever known.
-func (n *Node) Boxes() int { return max(n.most, 1) }
+// BoxCount is how many boxes there are, at the most that was ever known.
+func (n *Node) BoxCount() int { return max(n.most, 1) }
 
 // Divisor is by how many this box divides what all boxes share; 0: it has no part, since its seeds name others and it has
 // heard of nobody in this life. A box that hears of no other domain takes each to have as many boxes as its own.
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -129,7 +129,7 @@
 		f := d.fleetOf(name)
 		if (int(now/step)+i)%tickStep == 0 {
 			f.SetSharers(b.node.Sharers(now))
-			f.SetBoxes(b.node.Boxes(), true)
+			f.SetBoxes(b.node.BoxCount(), true)
 			f.ForgetNamed(now)
 			b.node.SetLimits(f.NamedAll(now))
 		}
--- a/group/node_test.go
+++ b/group/node_test.go
@@ -22,7 +22,7 @@
 	for _, name := range w.names {
 		b := w.boxes[name]
 		is.Equal(b.node.LeaderName(), boxName(int(b.self.Domain[6]-'0'), 0))
-		is.Equal(b.node.Boxes(), 60)
+		is.Equal(b.node.BoxCount(), 60)
 	}
 	w.calls = 0
 	w.run(10 * time.Second)
@@ -103,7 +103,7 @@
 	w.run(100 * time.Millisecond)
 	is.Equal(w.behind(), nil)
 	w.run(2 * time.Second)
-	is.Equal(w.boxes[boxName(1, 3)].node.Boxes(), 12)
+	is.Equal(w.boxes[boxName(1, 3)].node.BoxCount(), 12)
 }
 
 func TestABoxWithoutAnyOtherReadsForItself(t *testing.T) {
@@ -219,8 +219,8 @@
 			if !slices.IsSorted(b.taken) {
 				t.Fatalf("%s took %v", b.self.Name, b.taken)
 			}
-			if b.node.Boxes() > len(w.names) {
-				t.Fatalf("%s counts %d boxes", b.self.Name, b.node.Boxes())
+			if b.node.BoxCount() > len(w.names) {
+				t.Fatalf("%s counts %d boxes", b.self.Name, b.node.BoxCount())
 			}
 		}
 	})
--- a/group/search_test.go
+++ b/group/search_test.go
@@ -145,10 +145,10 @@
 	if !slices.IsSorted(b.taken) {
 		t.Fatalf("%s: %s took %v", namesOf(path), name, b.taken)
 	}
-	if b.node.Boxes() < w.counts[name] {
-		t.Fatalf("%s: %s counts %d boxes after %d", namesOf(path), name, b.node.Boxes(), w.counts[name])
+	if b.node.BoxCount() < w.counts[name] {
+		t.Fatalf("%s: %s counts %d boxes after %d", namesOf(path), name, b.node.BoxCount(), w.counts[name])
 	}
-	w.counts[name] = b.node.Boxes()
+	w.counts[name] = b.node.BoxCount()
 	next := int(b.copy.Revision()) + 1 // the first revision it does not have
 	if b.copy.Revision() > 0 && next < len(w.changes) && b.node.Confirmed() > w.changes[next] {
 		t.Fatalf("%s: %s has revision %d and says it was the newest at %v, revision %d came at %v",
--- a/relay/members.go
+++ b/relay/members.go
@@ -168,7 +168,7 @@
 		m.relay.belief.confirmed.Store(int64(m.node.Confirmed()))
 	}
 	if m.node.Known() {
-		m.boxes.Store(int64(m.node.Boxes()))
+		m.boxes.Store(int64(m.node.BoxCount()))
 	}
 	m.divisor.Store(int64(m.node.Divisor()))
 	m.showReads()
@@ -217,7 +217,7 @@
 func (m *members) showLead() {
 	if lead := m.node.LeaderName(); lead != m.leadName() {
 		m.lead.Store(&lead)
-		m.relay.cfg.Log.Event("group", "led by", Fields{"box": lead, "boxes": m.node.Boxes(), "age_ms": m.relay.age().Milliseconds()})
+		m.relay.cfg.Log.Event("group", "led by", Fields{"box": lead, "boxes": m.node.BoxCount(), "age_ms": m.relay.age().Milliseconds()})
 	}
 }
 
