--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -25,8 +25,8 @@
 	ColdFor  time.Duration
 	Revision uint64 // of its entry; of two that name the same address and no start, the greater one holds
 	// CommandCount is how many orders it has taken since its start; Counts says that its entry tells.
-	CommandCount uint64
-	Counts       bool
+	CommandCount    uint64
+	HasCommandCount bool
 }
 
 // member is an upstream with what this box knows of it besides.
--- a/balance/life.go
+++ b/balance/life.go
@@ -206,7 +206,7 @@
 		return true
 	}
 	unnamed := u.StartedAt == 0 && before.StartedAt == 0
-	return unnamed && u.Counts && before.Counts && u.Revision > before.Revision && u.CommandCount < before.CommandCount
+	return unnamed && u.HasCommandCount && before.HasCommandCount && u.Revision > before.Revision && u.CommandCount < before.CommandCount
 }
 
 // lists reports whether a member is one of the present list, and not an earlier life whose
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -21,7 +21,7 @@
 
 // counting is an entry that tells how many orders the upstream has taken.
 func counting(u Upstream, orders uint64) Upstream {
-	u.CommandCount, u.Counts = orders, true
+	u.CommandCount, u.HasCommandCount = orders, true
 	return u
 }
 
