--- a/group/count.go
+++ b/group/count.go
@@ -27,8 +27,8 @@
 	return slices.ContainsFunc(n.cfg.Seeds, func(seed string) bool { return seed != n.cfg.Self.Address })
 }
 
-// Known reports whether the box has heard of the group's size.
-func (n *Node) Known() bool { return n.most > 0 }
+// SizeKnown reports whether the box has heard of the group's size.
+func (n *Node) SizeKnown() bool { return n.most > 0 }
 
 // Informed reports whether this box knows what the others have under way: there are none, or it has
 // run for long enough to be told and hears of one who tells it; one that has just begun to lead has
--- a/relay/members.go
+++ b/relay/members.go
@@ -167,7 +167,7 @@
 	if len(m.backlog) == 0 { // else the box still goes by what is older
 		m.relay.belief.confirmed.Store(int64(m.node.Confirmed()))
 	}
-	if m.node.Known() {
+	if m.node.SizeKnown() {
 		m.boxes.Store(int64(m.node.BoxCount()))
 	}
 	m.divisor.Store(int64(m.node.Divisor()))
