--- a/balance/way.go
+++ b/balance/way.go
@@ -43,8 +43,8 @@
 // value is the least of what was seen.
 func (w *way) value() time.Duration { return min(w.least, w.before) }
 
-// NoteWay takes in how long a connection to an upstream of a failure domain took to come up.
-func (f *Fleet) NoteWay(now time.Duration, domain string, took time.Duration) {
+// NoteRTT takes in how long a connection to an upstream of a failure domain took to come up.
+func (f *Fleet) NoteRTT(now time.Duration, domain string, took time.Duration) {
 	if took <= 0 {
 		return
 	}
--- a/balance/way_test.go
+++ b/balance/way_test.go
@@ -31,7 +31,7 @@
 			took = 2 * time.Millisecond
 		}
 		for range wayFrom {
-			f.NoteWay(0, d, took)
+			f.NoteRTT(0, d, took)
 		}
 	}
 	return f
@@ -58,7 +58,7 @@
 			is := is.New(t)
 			f := NewFleet(Config{Domain: "a0", Tuning: DefaultTuning, Regions: map[string]string{"a0": "a", "b0": "b"}})
 			for i, took := range c.took {
-				f.NoteWay(time.Duration(i)*c.gap, "b0", time.Duration(took)*time.Millisecond)
+				f.NoteRTT(time.Duration(i)*c.gap, "b0", time.Duration(took)*time.Millisecond)
 			}
 			is.Equal(f.Way("b0"), c.want)
 		})
@@ -72,7 +72,7 @@
 		for range rapid.IntRange(wayFrom, 40).Draw(t, "samples") {
 			took := time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
-			f.NoteWay(now, "b0", took)
+			f.NoteRTT(now, "b0", took)
 			least = min(least, took)
 		}
 		if f.Way("b0") != least {
--- a/experiment/placing/way.go
+++ b/experiment/placing/way.go
@@ -141,7 +141,7 @@
 	const connections = 3
 	for other := range s.Domains {
 		for range connections {
-			d.fleet.NoteWay(0, domainName(other), s.way(d.domain, other))
+			d.fleet.NoteRTT(0, domainName(other), s.way(d.domain, other))
 		}
 	}
 }
--- a/relay/dial.go
+++ b/relay/dial.go
@@ -23,7 +23,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if u := r.fleet.Get(upstream); u != nil {
-		r.fleet.NoteWay(r.now(), u.Domain, took)
+		r.fleet.NoteRTT(r.now(), u.Domain, took)
 	}
 }
 
