--- a/balance/allowed_test.go
+++ b/balance/allowed_test.go
@@ -15,7 +15,7 @@
 // needyFleet is one box of a domain before upstreams of two.
 func needyFleet(boxes int, upstreams int) *Fleet {
 	f := NewFleet(Config{Domain: "d0", Tuning: DefaultTuning, Named: testNamed, FirstStart: true})
-	f.SetSharers(Sharers{Box: "box0", Boxes: boxNames(boxes)})
+	f.SetSharers(QuotaPeers{Box: "box0", Boxes: boxNames(boxes)})
 	f.SetBoxes(2*boxes, true)
 	for i := range upstreams {
 		f.Put(0, Upstream{ID: fmt.Sprint("u", i), Service: "s", Address: fmt.Sprint("10.0.0.", i, ":1"), Domain: fmt.Sprint("d", i%2), Slots: 8})
@@ -77,7 +77,7 @@
 			for _, side := range sides {
 				for _, box := range side {
 					f := NewFleet(Config{Domain: fmt.Sprint("d", d), Regions: regions, Tuning: DefaultTuning, Named: testNamed})
-					f.SetSharers(Sharers{Box: box, Boxes: side})
+					f.SetSharers(QuotaPeers{Box: box, Boxes: side})
 					f.Put(0, Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", Domain: "d0", Slots: 8})
 					f.names(time.Second, "u", perSecond)
 					l, _ := f.Limit(time.Second, "u")
@@ -174,7 +174,7 @@
 func TestABoxThatKnowsNobodySendsNothingUnderALimit(t *testing.T) {
 	is := is.New(t)
 	f := needyFleet(1, 1)
-	f.SetSharers(Sharers{Box: "box0"})
+	f.SetSharers(QuotaPeers{Box: "box0"})
 	f.names(time.Second, "u0", 3)
 	is.Equal(f.send(2*time.Second, 0), "")
 	is.True(f.LimitLeft(2*time.Second, "s") > 0)
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -35,15 +35,15 @@
 	coldWindow = time.Second + DialWait
 )
 
-// Sharers are the boxes that share what the cold upstreams of a failure domain bear.
-type Sharers struct {
+// QuotaPeers are the boxes that share what the cold upstreams of a failure domain bear.
+type QuotaPeers struct {
 	Box   string   // this one
 	Boxes []string // all of the domain that are known, this one among them; empty: not known yet
 }
 
 // ration is how many requests the box may send to a cold upstream within coldWindow, where
 // the boxes of its domain share so many.
-func (s Sharers) ration(upstream string, shared int) int {
+func (s QuotaPeers) ration(upstream string, shared int) int {
 	if shared == 0 || len(s.Boxes) == 0 {
 		return 0
 	}
@@ -60,7 +60,7 @@
 }
 
 // place is how many boxes go before this one, for an upstream.
-func (s Sharers) place(upstream string) int {
+func (s QuotaPeers) place(upstream string) int {
 	key := uint64(Key(upstream))
 	own := weight(s.Box, key)
 	place := 0
@@ -80,7 +80,7 @@
 }
 
 // SetSharers notes which boxes share the rations.
-func (f *Fleet) SetSharers(s Sharers) {
+func (f *Fleet) SetSharers(s QuotaPeers) {
 	if s.Box == f.sharers.Box && slices.Equal(s.Boxes, f.sharers.Boxes) {
 		return
 	}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -27,7 +27,7 @@
 		upstream := rapid.StringN(1, 12, -1).Draw(t, "upstream")
 		sum := 0
 		for _, box := range boxes {
-			sum += Sharers{Box: box, Boxes: boxes}.ration(upstream, shared)
+			sum += QuotaPeers{Box: box, Boxes: boxes}.ration(upstream, shared)
 		}
 		if sum > shared || shared > 0 && sum == 0 {
 			t.Fatalf("%d of %d", sum, shared)
@@ -45,7 +45,7 @@
 		sum := 0
 		for _, side := range [][]string{boxes[:cut], boxes[cut:]} {
 			for _, box := range side {
-				sum += Sharers{Box: box, Boxes: side}.ration("u", most/coldHalf)
+				sum += QuotaPeers{Box: box, Boxes: side}.ration("u", most/coldHalf)
 			}
 		}
 		if sum > most {
@@ -67,7 +67,7 @@
 			for _, box := range boxes {
 				f := NewFleet(Config{Domain: fmt.Sprintf("d%d", d), Tuning: DefaultTuning})
 				f.SetCold("s", Cold{Lasts: time.Minute, Most: most})
-				f.SetSharers(Sharers{Box: box, Boxes: boxes})
+				f.SetSharers(QuotaPeers{Box: box, Boxes: boxes})
 				for i := range with {
 					f.Put(0, Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: fmt.Sprintf("d%d", i), Slots: 8})
 				}
@@ -86,7 +86,7 @@
 
 func TestABoxThatDoesNotKnowTheOthersSendsNothing(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Sharers{Box: "box"}.ration("u", 12), 0)
+	is.Equal(QuotaPeers{Box: "box"}.ration("u", 12), 0)
 }
 
 // returning is ninety boxes of three domains before ninety upstreams, of which the thirty of
@@ -101,7 +101,7 @@
 		for j := range 30 {
 			names = append(names, fmt.Sprintf("box%d", 3*j+i%3))
 		}
-		f.SetSharers(Sharers{Box: fmt.Sprintf("box%d", i), Boxes: names})
+		f.SetSharers(QuotaPeers{Box: fmt.Sprintf("box%d", i), Boxes: names})
 		for j := range 90 {
 			u := Upstream{ID: fmt.Sprintf("u%d", j), Service: "s", Address: fmt.Sprintf("10.0.0.%d:1", j), Domain: fmt.Sprintf("d%d", j%3), Slots: 64}
 			if j%3 == 0 {
@@ -172,7 +172,7 @@
 		most := rapid.IntRange(2, 20).Draw(t, "most")
 		f := NewFleet(Config{Domain: "d", Tuning: DefaultTuning})
 		f.SetCold("s", Cold{Lasts: time.Hour, Most: most})
-		f.SetSharers(Sharers{Box: "box", Boxes: []string{"box"}})
+		f.SetSharers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
 		f.Put(0, Upstream{ID: "u", Service: "s", Domain: "d", Slots: 8, ColdFor: time.Hour})
 		var now time.Duration
 		var sent []time.Duration
--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -96,7 +96,7 @@
 	is := is.New(t)
 	f := newTestFleet(6)
 	f.SetCold("s", Cold{Lasts: 3 * time.Second, Most: 12})
-	f.SetSharers(Sharers{Box: "box", Boxes: []string{"box"}})
+	f.SetSharers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
 	for _, d := range []string{"d0", "d1", "d2"} {
 		f.Evacuate(d)
 	}
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -105,7 +105,7 @@
 	evacuated  map[string]bool     // failure domains
 	part       float64             // of an upstream's memory that this box may fill: 1 where it knows of the others
 	boxes      int                 // in all, as far as is known
-	sharers    Sharers
+	sharers    QuotaPeers
 	limits     limits            // that upstreams name
 	pauses     map[uint32]*pause // that upstreams asked for, by Key of the life
 	pausesOver []uint32          // those that ended and were not returned by PausesOver yet
--- a/group/sharers.go
+++ b/group/sharers.go
@@ -24,9 +24,9 @@
 
 // Sharers are the boxes of the domain that share, this one among them, each by a hash of its name; they are
 // none while too little is known.
-func (n *Node) Sharers(now time.Duration) balance.Sharers {
+func (n *Node) Sharers(now time.Duration) balance.QuotaPeers {
 	self := balance.Key(n.cfg.Self.Name)
-	s := balance.Sharers{Box: sharerName(self)}
+	s := balance.QuotaPeers{Box: sharerName(self)}
 	if now-n.started < n.cfg.Timing.Member || len(n.peers) == 0 && !n.alone() {
 		return s
 	}
