--- a/group/count.go
+++ b/group/count.go
@@ -30,10 +30,10 @@
 // SizeKnown reports whether the box has heard of the group's size.
 func (n *Node) SizeKnown() bool { return n.most > 0 }
 
-// Informed reports whether this box knows what the others have under way: there are none, or it has
+// KnowsOtherLoads reports whether this box knows what the others have under way: there are none, or it has
 // run for long enough to be told and hears of one who tells it; one that has just begun to lead has
 // been told by all whose loads it adds up.
-func (n *Node) Informed(now time.Duration) bool {
+func (n *Node) KnowsOtherLoads(now time.Duration) bool {
 	if n.most <= 1 && n.alone() {
 		return true
 	}
--- a/group/count_test.go
+++ b/group/count_test.go
@@ -11,7 +11,7 @@
 func (w *world) informed() int {
 	count := 0
 	for _, name := range w.names {
-		if b := w.boxes[name]; !b.dead && b.node.Informed(w.now) {
+		if b := w.boxes[name]; !b.dead && b.node.KnowsOtherLoads(w.now) {
 			count++
 		}
 	}
@@ -27,7 +27,7 @@
 	is.Equal(w.informed(), 12)
 
 	w.start(boxName(1, 2), domainName(1), 98, false)
-	is.True(!w.boxes[boxName(1, 2)].node.Informed(w.now)) // it has started again
+	is.True(!w.boxes[boxName(1, 2)].node.KnowsOtherLoads(w.now)) // it has started again
 	w.run(2 * time.Second)
 	is.Equal(w.informed(), 12)
 
@@ -38,6 +38,6 @@
 		w.boxes[boxName(0, i)].dead = true
 	}
 	w.run(8 * time.Second)
-	is.True(!w.boxes[boxName(0, 3)].node.Informed(w.now)) // it hears of nobody
+	is.True(!w.boxes[boxName(0, 3)].node.KnowsOtherLoads(w.now)) // it hears of nobody
 	is.Equal(w.informed(), 8)
 }
--- a/group/takeover_test.go
+++ b/group/takeover_test.go
@@ -59,7 +59,7 @@
 				}
 			}
 			is.True(led)
-			is.True(w.boxes[next].node.Informed(w.now))
+			is.True(w.boxes[next].node.KnowsOtherLoads(w.now))
 		})
 	}
 }
@@ -73,14 +73,14 @@
 	n := w.boxes[boxName(0, 1)].node
 	n.SetLoads(Loads{balance.LoadKey{Upstream: 7}: {Open: 1}})
 	w.run(time.Second)
-	is.True(n.Informed(w.now))
+	is.True(n.KnowsOtherLoads(w.now))
 	w.boxes[boxName(0, 0)].dead = true
 	for !n.leading {
 		w.run(step)
 	}
-	is.True(!n.Informed(w.now))
+	is.True(!n.KnowsOtherLoads(w.now))
 	w.run(DefaultTiming.Member)
-	is.True(n.Informed(w.now))
+	is.True(n.KnowsOtherLoads(w.now))
 }
 
 // Those who hear of a domain or a region from its lead go by what the former one told until the
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -15,7 +15,7 @@
 	defer m.relay.mu.Unlock()
 	m.relay.fleet.SetSharers(m.node.Sharers(m.relay.now()))
 	m.relay.fleet.Told(m.relay.now(), time.Duration(m.relay.belief.confirmed.Load()))
-	m.relay.fleet.SetBoxes(m.node.BoxCount(), m.node.Informed(m.relay.now()))
+	m.relay.fleet.SetBoxes(m.node.BoxCount(), m.node.KnowsOtherLoads(m.relay.now()))
 	m.node.SetLoads(m.relay.fleet.Loads())
 	if m.relay.fleet.WantsOthers() { // else changes have brought the fleet up to date
 		m.relay.fleet.SetOthers(m.node.Others())
