--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -181,7 +181,7 @@
 	for _, m := range f.byID {
 		load := Load{Unread: m.ahead(Levels - 1), Open: m.open(), Held: m.held()}
 		list = append(list, View{Upstream: m.Upstream, Out: m.out, Tight: m.tight, Evacuated: m.evacuated,
-			ColdLeft: max(0, m.coldTill-now), Way: f.Way(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
+			ColdLeft: max(0, m.coldTill-now), Way: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
 	}
 	slices.SortFunc(list, func(a, b View) int {
 		return cmp.Or(strings.Compare(a.Service, b.Service), strings.Compare(a.ID, b.ID))
--- a/balance/rate.go
+++ b/balance/rate.go
@@ -37,7 +37,7 @@
 	w := &f.serviceOf(m.Service).work
 	w.sum *= workShare
 	w.weight *= workShare
-	w.add(float64(max(took-f.Way(m.Domain), time.Millisecond))/float64(time.Millisecond), 1)
+	w.add(float64(max(took-f.RTT(m.Domain), time.Millisecond))/float64(time.Millisecond), 1)
 }
 
 // workTime is how long requests without a prompt hold a slot of a service; 0 until some have.
--- a/balance/way.go
+++ b/balance/way.go
@@ -56,8 +56,8 @@
 	w.note(now, took)
 }
 
-// Way is how long the way to a failure domain takes, there and back.
-func (f *Fleet) Way(domain string) time.Duration {
+// RTT is how long the way to a failure domain takes, there and back.
+func (f *Fleet) RTT(domain string) time.Duration {
 	guess := f.guessWay(domain)
 	w := f.ways[domain]
 	switch {
@@ -107,7 +107,7 @@
 	if f.cfg.Off[Distance] {
 		return 0
 	}
-	onWay := float64(f.Way(domain)) / float64(time.Millisecond) * f.rate
+	onWay := float64(f.RTT(domain)) / float64(time.Millisecond) * f.rate
 	return int(onWay + float64(r.Bytes)/kilobyte*f.perKilobyte(domain))
 }
 
@@ -136,7 +136,7 @@
 	if f.cfg.Off[Distance] || held <= 0 {
 		return away
 	}
-	further := f.Way(domain) - f.Way(f.cfg.Domain)
+	further := f.RTT(domain) - f.RTT(f.cfg.Domain)
 	return max(away, min(float64(further)/float64(held), mostAway))
 }
 
--- a/balance/way_test.go
+++ b/balance/way_test.go
@@ -60,7 +60,7 @@
 			for i, took := range c.took {
 				f.NoteRTT(time.Duration(i)*c.gap, "b0", time.Duration(took)*time.Millisecond)
 			}
-			is.Equal(f.Way("b0"), c.want)
+			is.Equal(f.RTT("b0"), c.want)
 		})
 	}
 }
@@ -75,8 +75,8 @@
 			f.NoteRTT(now, "b0", took)
 			least = min(least, took)
 		}
-		if f.Way("b0") != least {
-			t.Fatalf("way %v, least %v within a span", f.Way("b0"), least)
+		if f.RTT("b0") != least {
+			t.Fatalf("way %v, least %v within a span", f.RTT("b0"), least)
 		}
 	})
 }
--- a/relay/way_test.go
+++ b/relay/way_test.go
@@ -30,10 +30,10 @@
 	rows := b.relay.state().Upstreams
 	is.Equal(len(rows), 1)
 	b.relay.mu.Lock()
-	way := b.relay.fleet.Way("far")
+	way := b.relay.fleet.RTT("far")
 	b.relay.mu.Unlock()
 	is.Equal(rows[0].Way, uint64(way.Microseconds()))
 	is.True(way > 0)
-	guess := balance.NewFleet(balance.Config{Domain: "d"}).Way("far")
+	guess := balance.NewFleet(balance.Config{Domain: "d"}).RTT("far")
 	is.True(way != guess) // what was measured, no more the layout
 }
