--- a/balance/back_test.go
+++ b/balance/back_test.go
@@ -12,10 +12,10 @@
 // One that was out of reach may have started again, and be cold before its entry says so.
 func TestAnUpstreamThatCameBackIsCold(t *testing.T) {
 	const back = 10 * time.Second
-	bounded := Cold{Lasts: 3 * time.Second, Most: 12}
+	bounded := ColdLimit{Lasts: 3 * time.Second, Most: 12}
 	for _, c := range []struct {
 		name  string
-		cold  Cold
+		cold  ColdLimit
 		lost  int           // upstreams of nine that were out of reach
 		known time.Duration // up to when what is published is known
 		entry time.Duration // how much longer it is cold, as an entry says that came with it; 0: none came
@@ -25,8 +25,8 @@
 		{"its entry may still come", bounded, 1, back + toldWithin - 1, 0, 3 * time.Second},
 		{"its entry says so", bounded, 1, back + toldWithin, 2 * time.Second, 3 * time.Second},
 		{"its entry says more", bounded, 1, back + toldWithin, 5 * time.Second, 5 * time.Second},
-		{"the service has no bound", Cold{Lasts: 3 * time.Second}, 1, 0, 0, 0},
-		{"upstreams of the service are never cold", Cold{Most: 12}, 1, 0, 0, 0},
+		{"the service has no bound", ColdLimit{Lasts: 3 * time.Second}, 1, 0, 0, 0},
+		{"upstreams of the service are never cold", ColdLimit{Most: 12}, 1, 0, 0, 0},
 		{"a third was lost", bounded, 3, 0, 0, 3 * time.Second},
 		{"most were lost", bounded, 5, 0, 0, 0},
 	} {
@@ -57,7 +57,7 @@
 func TestAnUpstreamThatIsWarmIsNoLongerInDoubt(t *testing.T) {
 	is := is.New(t)
 	f := knowing(9)
-	f.SetCold("s", Cold{Lasts: 3 * time.Second, Most: 12})
+	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
 	now := time.Duration(0)
 	for i := range 6 {
 		id := fmt.Sprint("u", i)
@@ -73,7 +73,7 @@
 func TestLostUpstreamsAreCounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := knowing(9)
-		f.SetCold("s", Cold{Lasts: 3 * time.Second, Most: 12})
+		f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond
@@ -110,7 +110,7 @@
 func TestADomainThatComesBackIsCold(t *testing.T) {
 	is := is.New(t)
 	f := knowing(9)
-	f.SetCold("s", Cold{Lasts: 3 * time.Second, Most: 12})
+	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
 	for _, id := range []string{"u1", "u4"} {
 		f.Open(0, id, prompt(1)).Close(0, Unreachable)
 	}
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Cold is what the upstreams of a service bear while they are cold.
-type Cold struct {
+// ColdLimit is what the upstreams of a service bear while they are cold.
+type ColdLimit struct {
 	Lasts time.Duration // for how long one is after a start
 	Most  int           // requests in one second, from all boxes together; 0: no bound
 }
@@ -74,7 +74,7 @@
 }
 
 // SetCold notes what the upstreams of a service bear while they are cold.
-func (f *Fleet) SetCold(service string, c Cold) {
+func (f *Fleet) SetCold(service string, c ColdLimit) {
 	f.serviceOf(service).cold = c
 	f.sharedAnew = true
 }
--- a/balance/service.go
+++ b/balance/service.go
@@ -18,7 +18,7 @@
 	holding  holding       // of its slots
 	work     mean          // ms that a request without a prompt runs for, where slots are free
 	answers  answers       // of its upstreams
-	cold     Cold          // what its upstreams bear while they are
+	cold     ColdLimit     // what its upstreams bear while they are
 	memory   int           // tokens that the memory of each of its upstreams holds; 0: not known
 	wanted   wanted        // places that upstreams which name limits have
 	waits    waits         // for the end of a pause
--- a/group/sharers_test.go
+++ b/group/sharers_test.go
@@ -119,7 +119,7 @@
 			continue
 		}
 		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning})
-		f.SetCold("s", balance.Cold{Lasts: time.Minute, Most: most})
+		f.SetCold("s", balance.ColdLimit{Lasts: time.Minute, Most: most})
 		f.SetSharers(b.node.Sharers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8, ColdFor: time.Minute})
 		f.Put(0, balance.Upstream{ID: "other", Service: "s", Domain: domainName(1), Slots: 8, Leaving: true})
