--- a/group/across_test.go
+++ b/group/across_test.go
@@ -151,7 +151,7 @@
 	domains := len(t.regions)
 	sum, count := 0.0, 0
 	for i, name := range t.names {
-		mine, others := t.loads(name), t.boxes[name].node.Others()
+		mine, others := t.loads(name), t.boxes[name].node.OtherLoads()
 		for u := range t.upstreams {
 			if (u%domains == i%domains) != own {
 				continue
--- a/group/load.go
+++ b/group/load.go
@@ -32,8 +32,8 @@
 	n.loads = l
 }
 
-// Others is what the other boxes have under way.
-func (n *Node) Others() Loads { return n.others }
+// OtherLoads is what the other boxes have under way.
+func (n *Node) OtherLoads() Loads { return n.others }
 
 // tellLoads tells all there is, where that is due.
 func (n *Node) tellLoads(now time.Duration) {
--- a/group/load_test.go
+++ b/group/load_test.go
@@ -27,7 +27,7 @@
 	}
 	w.run(time.Second)
 	for i, name := range w.names {
-		others := w.boxes[name].node.Others()[key]
+		others := w.boxes[name].node.OtherLoads()[key]
 		is.Equal(others.Unread, sum-tokenUnit*(i+1))
 		is.Equal(others.Open, len(w.names)-1)
 	}
@@ -38,7 +38,7 @@
 		if w.boxes[name].dead {
 			continue
 		}
-		others := w.boxes[name].node.Others()[key]
+		others := w.boxes[name].node.OtherLoads()[key]
 		is.Equal(others.Open, len(w.names)-2)
 		is.Equal(others.Unread, sum-tokenUnit*(i+1)-tokenUnit*7)
 	}
@@ -48,7 +48,7 @@
 	w.run(2 * time.Second)
 	for _, name := range w.names {
 		if !w.boxes[name].dead {
-			is.Equal(len(w.boxes[name].node.Others()), 0)
+			is.Equal(len(w.boxes[name].node.OtherLoads()), 0)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	b.Handle(w.now, &wire.GroupMessage{Sender: w.boxes[boxName(0, 0)].self, Leads: true})
 	is.True(!b.peers[boxName(0, 0)].told)
 	w.run(3 * time.Second)
-	is.Equal(b.Others()[key].Open, 1) // of the third box; the lead has none any more
+	is.Equal(b.OtherLoads()[key].Open, 1) // of the third box; the lead has none any more
 }
 
 // What a box has begun or ended all others know within a few flushes, in its domain and in
@@ -131,7 +131,7 @@
 		w.run(4*flushPause + 8*step)
 		for _, name := range w.names {
 			if name != boxName(1, 13) {
-				is.Equal(w.boxes[name].node.Others()[key], load)
+				is.Equal(w.boxes[name].node.OtherLoads()[key], load)
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 				addLoads(want, w.boxes[other].node.loads)
 			}
 		}
-		is.Equal(w.boxes[name].node.Others(), want)
+		is.Equal(w.boxes[name].node.OtherLoads(), want)
 	}
 }
 
@@ -171,7 +171,7 @@
 	n := w.boxes[boxName(1, 3)].node
 	n.DrainLoadNews()
 	heard := make(Loads)
-	addLoads(heard, n.Others())
+	addLoads(heard, n.OtherLoads())
 	for s := range 10 {
 		w.shuffleLoads(s)
 		w.run(2 * flushPause)
@@ -183,7 +183,7 @@
 	for key, load := range n.DrainLoadNews() {
 		setLoad(heard, key, load)
 	}
-	is.Equal(heard, n.Others())
+	is.Equal(heard, n.OtherLoads())
 	is.Equal(n.DrainLoadNews(), nil)
 }
 
@@ -207,13 +207,13 @@
 	is.True(member.peers["a"].told)
 	now += 50 * time.Millisecond
 	member.Handle(now, all) // the first that it hears of the new life
-	is.Equal(len(member.Others()), 0)
+	is.Equal(len(member.OtherLoads()), 0)
 	member.Handle(now, some)
-	is.Equal(len(member.Others()), 0)
+	is.Equal(len(member.OtherLoads()), 0)
 	now += DefaultTiming.Beat + 50*time.Millisecond
 	member.Tick(now) // it tells the new life
 	is.True(member.peers["a"].told)
 	others := Loads{key: {Open: 5}}
 	member.Handle(now, &wire.GroupMessage{Sender: lead(2), Leads: true, HasLoads: true, Whole: true, Columns: packColumns(others)})
-	is.Equal(member.Others()[key].Open, 2)
+	is.Equal(member.OtherLoads()[key].Open, 2)
 }
--- a/group/region_search_test.go
+++ b/group/region_search_test.go
@@ -117,7 +117,7 @@
 // checkNotTwice checks that a box believes of no more requests than the others can have.
 func (w *searched) checkNotTwice(t *testing.T, path []int, name string) {
 	t.Helper()
-	for key, load := range w.boxes[name].node.Others() {
+	for key, load := range w.boxes[name].node.OtherLoads() {
 		most := 0
 		for _, other := range w.names {
 			if other != name {
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -49,7 +49,7 @@
 		if w.boxes[name].dead {
 			continue
 		}
-		got, want := w.boxes[name].node.Others(), w.othersOf(name, reach)
+		got, want := w.boxes[name].node.OtherLoads(), w.othersOf(name, reach)
 		for key, load := range want {
 			if got[key] != load {
 				t.Fatalf("%s: %s believes %v of %v, and it is %v", when, name, got[key], key, load)
--- a/group/takeover_test.go
+++ b/group/takeover_test.go
@@ -13,7 +13,7 @@
 // openOthers is how many requests a box believes the others have under way.
 func (w *world) openOthers(name string) int {
 	sum := 0
-	for _, l := range w.boxes[name].node.Others() {
+	for _, l := range w.boxes[name].node.OtherLoads() {
 		sum += l.Open
 	}
 	return sum
@@ -121,12 +121,12 @@
 	first.HasLoads, first.Scope, first.Columns = true, scopeRegion, packColumns(Loads{{Upstream: 1}: {Open: 10}, {Upstream: 2}: {Open: 500}})
 	n.Handle(now, first)
 	n.Tick(now)
-	is.Equal(n.Others()[balance.LoadKey{Upstream: 2}].Open, 500)
+	is.Equal(n.OtherLoads()[balance.LoadKey{Upstream: 2}].Open, 500)
 	n.Handle(now, lead("b", 20))
 	n.Handle(now, &wire.GroupMessage{Sender: &wire.GroupBox{Name: "b", Boot: 1}, HasLoads: true, Partial: true, Scope: scopeRegion,
 		Columns: packColumns(Loads{{Upstream: 1}: {Open: 11}})})
 	n.Tick(now)
-	is.Equal(n.Others()[balance.LoadKey{Upstream: 2}].Open, 500)
+	is.Equal(n.OtherLoads()[balance.LoadKey{Upstream: 2}].Open, 500)
 }
 
 // A lead tells no changes to those whom it has told no whole list yet.
