--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -170,7 +170,7 @@
 	// Evacuated says that its failure domain is.
 	Evacuated bool
 	ColdLeft  time.Duration // for so long it is cold; 0: it is not
-	Way       time.Duration // there and back
+	RTT       time.Duration // there and back
 	Load      Load          // of all boxes
 	Memory    int           // tokens that its memory holds; 0: not known
 }
@@ -181,7 +181,7 @@
 	for _, m := range f.byID {
 		load := Load{Unread: m.ahead(Levels - 1), Open: m.open(), Held: m.held()}
 		list = append(list, View{Upstream: m.Upstream, Out: m.out, Tight: m.tight, Evacuated: m.evacuated,
-			ColdLeft: max(0, m.coldTill-now), Way: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
+			ColdLeft: max(0, m.coldTill-now), RTT: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
 	}
 	slices.SortFunc(list, func(a, b View) int {
 		return cmp.Or(strings.Compare(a.Service, b.Service), strings.Compare(a.ID, b.ID))
