--- a/balance/back_test.go
+++ b/balance/back_test.go
@@ -137,7 +137,7 @@
 	boxes := returning(most) // by then all of them are warm
 	for _, f := range boxes {
 		for j := 0; j < 90; j += 3 {
-			f.Open(down, fmt.Sprint("u", j), prompt(1)).Close(down, Closed)
+			f.Open(down, fmt.Sprint("u", j), prompt(1)).Close(down, ConnectionRefused)
 			for _, other := range []int{j + 1, j + 2} { // which have more to do meanwhile
 				f.Open(down, fmt.Sprint("u", other), Request{Service: "s", Tokens: 200})
 			}
--- a/balance/health.go
+++ b/balance/health.go
@@ -10,14 +10,14 @@
 
 // What may become of a request.
 const (
-	Answered    Outcome = iota
-	Full                // the upstream said that it has no room
-	Failed              // an error, a broken connection, or no answer
-	Unreachable         // no connection came up, or it went silent
-	Ended               // another start of the upstream has its address now
-	Neutral             // ended for reasons that say nothing about the upstream
-	Closed              // nobody listens at its address
-	Broken              // the connection was reset or closed under a run
+	Answered          Outcome = iota
+	Full                      // the upstream said that it has no room
+	Failed                    // an error, a broken connection, or no answer
+	Unreachable               // no connection came up, or it went silent
+	Ended                     // another start of the upstream has its address now
+	Neutral                   // ended for reasons that say nothing about the upstream
+	ConnectionRefused         // nobody listens at its address
+	Broken                    // the connection was reset or closed under a run
 )
 
 const (
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -94,7 +94,7 @@
 	f.NoteOthers(map[LoadKey]Load{{old.key, 0}: {Open: 3}})
 	is.True(!f.kept.holds(time.Second, PartKey(7), m))
 	is.Equal(m.underWay(), Load{})
-	for i, outcome := range []Outcome{Unreachable, Ended, Closed, Broken} {
+	for i, outcome := range []Outcome{Unreachable, Ended, ConnectionRefused, Broken} {
 		open[i].Close(time.Second, outcome)
 	}
 	is.True(!m.out && !m.Leaving && !m.doubted)
@@ -179,7 +179,7 @@
 		{"all, one after the other", []Outcome{Broken, Broken, Broken, Broken}, time.Second, true},
 		{"some", []Outcome{Broken, Broken, Broken}, 20 * time.Millisecond, true},
 		{"failures of another kind", []Outcome{Failed, Failed, Failed, Failed}, 0, true},
-		{"nobody listens", []Outcome{Closed}, 0, false},
+		{"nobody listens", []Outcome{ConnectionRefused}, 0, false},
 		{"no connection comes up", []Outcome{Unreachable}, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -211,7 +211,7 @@
 	f := knowing(3)
 	f.Put(0, entryOf("u", 100, 1))
 	m := f.byID["u"]
-	f.Open(0, "u", prompt(7)).Close(0, Closed)
+	f.Open(0, "u", prompt(7)).Close(0, ConnectionRefused)
 	news := []PartReport{{PartKey(7), m.key}}
 	f.NoteKept(time.Minute, news)
 	is.True(f.ReachedLife(time.Minute, Incarnation{"u", 100}))
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -123,7 +123,7 @@
 	if t.read {
 		t.fleet.serviceOf(t.request.Service).holding.end(now)
 	}
-	if !t.read && (outcome == Full || outcome == Unreachable || outcome == Closed || outcome == Ended) {
+	if !t.read && (outcome == Full || outcome == Unreachable || outcome == ConnectionRefused || outcome == Ended) {
 		t.fleet.unsent(t.member, t.request) // it keeps nothing of the prompt
 	}
 	if t.free && outcome == Answered && len(t.request.Parts) == 0 {
@@ -132,7 +132,7 @@
 	switch outcome {
 	case Unreachable:
 		t.fleet.unreached(now, t.member)
-	case Closed:
+	case ConnectionRefused:
 		t.fleet.unreached(now, t.member)
 		t.fleet.doubt(now, t.member)
 	case Broken:
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -141,7 +141,7 @@
 	case state == runUnsent && errors.Is(err, errConnections):
 		return balance.Failed
 	case state == runUnsent && errors.Is(err, syscall.ECONNREFUSED):
-		return balance.Closed
+		return balance.ConnectionRefused
 	case state == runUnsent, errors.Is(err, syscall.ETIMEDOUT):
 		return balance.Unreachable
 	case errors.Is(err, errReplaced):
@@ -155,7 +155,9 @@
 }
 
 // isUnreached reports whether no connection came up, or one went silent.
-func isUnreached(o balance.Outcome) bool { return o == balance.Unreachable || o == balance.Closed }
+func isUnreached(o balance.Outcome) bool {
+	return o == balance.Unreachable || o == balance.ConnectionRefused
+}
 
 // isBreak reports whether the other side closed or reset a connection under a run.
 func isBreak(err error) bool {
