--- a/group/across_test.go
+++ b/group/across_test.go
@@ -94,7 +94,7 @@
 		b.node.TellKept(t.parts[name])
 		t.parts[name] = nil
 		b.node.DrainKept()
-		b.node.DrainLoadNews()
+		b.node.DrainLoadChanges()
 	}
 	if changed {
 		b.node.SetLoads(t.loads(name))
--- a/group/load_test.go
+++ b/group/load_test.go
@@ -169,22 +169,22 @@
 	w.fleet(2, 5)
 	w.run(5 * time.Second)
 	n := w.boxes[boxName(1, 3)].node
-	n.DrainLoadNews()
+	n.DrainLoadChanges()
 	heard := make(Loads)
 	addLoads(heard, n.OtherLoads())
 	for s := range 10 {
 		w.shuffleLoads(s)
 		w.run(2 * flushPause)
-		for key, load := range n.DrainLoadNews() {
+		for key, load := range n.DrainLoadChanges() {
 			setLoad(heard, key, load)
 		}
 	}
 	w.run(300 * time.Millisecond)
-	for key, load := range n.DrainLoadNews() {
+	for key, load := range n.DrainLoadChanges() {
 		setLoad(heard, key, load)
 	}
 	is.Equal(heard, n.OtherLoads())
-	is.Equal(n.DrainLoadNews(), nil)
+	is.Equal(n.DrainLoadChanges(), nil)
 }
 
 // A lead started again, and its first messages were lost. A member went on telling it, so that its next list held the
--- a/group/loadnews.go
+++ b/group/loadnews.go
@@ -179,9 +179,9 @@
 	l[key] = load
 }
 
-// DrainLoadNews returns, once, the loads of all other boxes that have changed since the
+// DrainLoadChanges returns, once, the loads of all other boxes that have changed since the
 // last call; one that is empty is none.
-func (n *Node) DrainLoadNews() Loads {
+func (n *Node) DrainLoadChanges() Loads {
 	if len(n.news) == 0 {
 		return nil
 	}
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -43,7 +43,7 @@
 // tellLoads lets the node tell changes, and hands the fleet those that the node was told.
 func (m *members) tellLoads() {
 	m.node.FlushLoads(m.relay.now())
-	news := m.node.DrainLoadNews()
+	news := m.node.DrainLoadChanges()
 	if len(news) == 0 {
 		return
 	}
