--- a/balance/load.go
+++ b/balance/load.go
@@ -117,9 +117,9 @@
 	f.activate(m)
 }
 
-// WantsOthers reports whether an upstream was listed since SetOthers: other boxes may have told before that they have
+// NeedsRemoteLoads reports whether an upstream was listed since SetOthers: other boxes may have told before that they have
 // work there.
-func (f *Fleet) WantsOthers() bool { return f.othersAnew }
+func (f *Fleet) NeedsRemoteLoads() bool { return f.othersAnew }
 
 // SetOthers takes what all other boxes have under way. It costs as much as there is
 // work, not as there are upstreams.
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -17,7 +17,7 @@
 	m.relay.fleet.Told(m.relay.now(), time.Duration(m.relay.belief.confirmed.Load()))
 	m.relay.fleet.SetBoxes(m.node.BoxCount(), m.node.KnowsOtherLoads(m.relay.now()))
 	m.node.SetLoads(m.relay.fleet.Loads())
-	if m.relay.fleet.WantsOthers() { // else changes have brought the fleet up to date
+	if m.relay.fleet.NeedsRemoteLoads() { // else changes have brought the fleet up to date
 		m.relay.fleet.SetOthers(m.node.OtherLoads())
 	}
 	m.node.SetClasses(m.relay.fleet.Classes())
--- a/relay/sync_test.go
+++ b/relay/sync_test.go
@@ -28,7 +28,7 @@
 		return -1
 	}
 	m.syncFleet()
-	is.True(!m.relay.fleet.WantsOthers())
+	is.True(!m.relay.fleet.NeedsRemoteLoads())
 	tell(3)
 	is.Equal(open("u0"), 1)
 	m.relay.takeUpstream(balance.Upstream{ID: "late", Service: "s", Address: "127.0.0.1:99", Domain: "d0", Slots: 1})
