--- a/balance/health.go
+++ b/balance/health.go
@@ -17,7 +17,7 @@
 	Ended                     // another start of the upstream has its address now
 	Neutral                   // ended for reasons that say nothing about the upstream
 	ConnectionRefused         // nobody listens at its address
-	Broken                    // the connection was reset or closed under a run
+	ConnectionLost            // the connection was reset or closed under a run
 )
 
 const (
@@ -49,7 +49,7 @@
 	case Answered:
 		h.failing *= failShare
 		h.inRow = 0
-	case Failed, Broken:
+	case Failed, ConnectionLost:
 		h.failing = h.failing*failShare + (1 - failShare)
 		h.inRow++
 		if h.inRow > 1 {
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -94,7 +94,7 @@
 	f.NoteOthers(map[LoadKey]Load{{old.key, 0}: {Open: 3}})
 	is.True(!f.kept.holds(time.Second, PartKey(7), m))
 	is.Equal(m.underWay(), Load{})
-	for i, outcome := range []Outcome{Unreachable, Ended, ConnectionRefused, Broken} {
+	for i, outcome := range []Outcome{Unreachable, Ended, ConnectionRefused, ConnectionLost} {
 		open[i].Close(time.Second, outcome)
 	}
 	is.True(!m.out && !m.Leaving && !m.doubted)
@@ -175,9 +175,9 @@
 		gap      time.Duration
 		keeps    bool
 	}{
-		{"all connections at once", []Outcome{Broken, Broken, Broken, Broken}, 20 * time.Millisecond, false},
-		{"all, one after the other", []Outcome{Broken, Broken, Broken, Broken}, time.Second, true},
-		{"some", []Outcome{Broken, Broken, Broken}, 20 * time.Millisecond, true},
+		{"all connections at once", []Outcome{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, 20 * time.Millisecond, false},
+		{"all, one after the other", []Outcome{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, time.Second, true},
+		{"some", []Outcome{ConnectionLost, ConnectionLost, ConnectionLost}, 20 * time.Millisecond, true},
 		{"failures of another kind", []Outcome{Failed, Failed, Failed, Failed}, 0, true},
 		{"nobody listens", []Outcome{ConnectionRefused}, 0, false},
 		{"no connection comes up", []Outcome{Unreachable}, 0, true},
--- a/balance/lives_test.go
+++ b/balance/lives_test.go
@@ -86,7 +86,7 @@
 
 // end ends a request, or all that a box has on a life at once.
 func (w *livesWorld) end(box int) {
-	outcome := Outcome(rapid.IntRange(0, int(Broken)).Draw(w.t, "outcome"))
+	outcome := Outcome(rapid.IntRange(0, int(ConnectionLost)).Draw(w.t, "outcome"))
 	all := rapid.Bool().Draw(w.t, "all")
 	if len(w.open[box]) == 0 {
 		return
--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -125,7 +125,7 @@
 
 // One that is turned away again, or is answered with nothing, lets no other follow.
 func TestARequestThatReturnsInVainLetsNoneFollow(t *testing.T) {
-	for _, outcome := range []Outcome{Full, Failed, Broken, Neutral} {
+	for _, outcome := range []Outcome{Full, Failed, ConnectionLost, Neutral} {
 		t.Run(fmt.Sprint(outcome), func(t *testing.T) {
 			is := is.New(t)
 			f := pausing(1)
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -135,7 +135,7 @@
 	case ConnectionRefused:
 		t.fleet.unreached(now, t.member)
 		t.fleet.doubt(now, t.member)
-	case Broken:
+	case ConnectionLost:
 		t.fleet.broke(now, t.member)
 	case Ended:
 		t.fleet.ended(t.member)
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -107,7 +107,7 @@
 		x.relay.takeName(x.upstream.Incarnation(), x.instead)
 	}
 	x.leaveUnreached(outcome)
-	if outcome == balance.Broken {
+	if outcome == balance.ConnectionLost {
 		x.cutOff++
 		x.noteCutOff()
 	}
@@ -149,7 +149,7 @@
 	case state == runRefused:
 		return balance.Full
 	case isBreak(err):
-		return balance.Broken
+		return balance.ConnectionLost
 	}
 	return balance.Failed
 }
@@ -171,7 +171,7 @@
 	if err != nil {
 		fields["error"] = err.Error()
 	}
-	if outcome == balance.Broken {
+	if outcome == balance.ConnectionLost {
 		fields["content"] = contentName(x.contentOf())
 	}
 	r.cfg.Log.Event("run", "failed", fields)
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -221,7 +221,7 @@
 		cause error
 		want  balance.Outcome
 	}{
-		{"it broke off", false, io.ErrUnexpectedEOF, balance.Broken},
+		{"it broke off", false, io.ErrUnexpectedEOF, balance.ConnectionLost},
 		{"its bytes are no events", false, errLongEvent, balance.Failed},
 		{"its caller left", true, net.ErrClosed, balance.Neutral},
 		{"its connection fell silent", false, errSilent, balance.Neutral},
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -103,7 +103,7 @@
 		return balance.Neutral
 	}
 	if isBreak(cause) {
-		return balance.Broken
+		return balance.ConnectionLost
 	}
 	return balance.Failed
 }
