--- a/group/cutoff.go
+++ b/group/cutoff.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Unheard lists, for a lead, the domains whose leads were heard once and are heard no more: they may be cut off, or without a
+// SilentDomains lists, for a lead, the domains whose leads were heard once and are heard no more: they may be cut off, or without a
 // living box.
-func (n *Node) Unheard(now time.Duration) []string {
+func (n *Node) SilentDomains(now time.Duration) []string {
 	if !n.IsLeader() {
 		return nil
 	}
--- a/group/cutoff_test.go
+++ b/group/cutoff_test.go
@@ -15,17 +15,17 @@
 	is := is.New(t)
 	w := across(t, 5, layout{3, 1}, 30)
 	lead, member := w.boxes[boxName(0, 0)].node, w.boxes[boxName(0, 5)].node
-	is.Equal(lead.Unheard(w.now), nil)
+	is.Equal(lead.SilentDomains(w.now), nil)
 	w.severs = func(a, b *wire.GroupBox) bool { return (a.Domain == "domain2") != (b.Domain == "domain2") }
 	w.run(1100 * time.Millisecond)
-	is.Equal(lead.Unheard(w.now), []string{"domain2"})
-	is.Equal(member.Unheard(w.now), nil)
+	is.Equal(lead.SilentDomains(w.now), []string{"domain2"})
+	is.Equal(member.SilentDomains(w.now), nil)
 	lead.SetCutOff([]string{"domain2"})
 	w.run(200 * time.Millisecond)
 	is.Equal(member.CutOff(w.now), []string{"domain2"})
 	w.severs = nil
 	w.run(3 * time.Second)
-	is.Equal(lead.Unheard(w.now), nil)
+	is.Equal(lead.SilentDomains(w.now), nil)
 	lead.SetCutOff(nil)
 	w.run(200 * time.Millisecond)
 	is.Equal(member.CutOff(w.now), nil)
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -26,7 +26,7 @@
 func (m *members) shareCutOff(ctx context.Context) {
 	r := m.relay
 	now := r.now()
-	unheard := m.node.Unheard(now)
+	unheard := m.node.SilentDomains(now)
 	left, told := r.cutOff(now, m.node.IsLeader(), m.node.CutOff(now))
 	m.node.SetCutOff(left)
 	for _, domain := range left {
