--- a/balance/active_test.go
+++ b/balance/active_test.go
@@ -22,7 +22,7 @@
 	is.Equal(len(s.active), 3)
 	is.Equal(f.Loads(), map[LoadKey]Load{{Key("u1"), 0}: f.byID["u1"].work[0]})
 	own.Close(time.Second, Answered)
-	f.NoteOthers(map[LoadKey]Load{{Key("u2"), 3}: {}, {Key("u3"), 0}: {}})
+	f.UpdateRemoteLoads(map[LoadKey]Load{{Key("u2"), 3}: {}, {Key("u3"), 0}: {}})
 	for i := range 100 {
 		f.SizeLanes(time.Second+time.Duration(i)*100*time.Millisecond, nil)
 	}
@@ -50,7 +50,7 @@
 				service := rapid.SampledFrom([]string{"s", "other"}).Draw(t, "service")
 				f.Put(now, Upstream{ID: id, Service: service, Slots: rapid.IntRange(1, 9).Draw(t, "slots"), StartedAt: int64(rapid.IntRange(1, 3).Draw(t, "born"))})
 			case 2:
-				f.NoteOthers(map[LoadKey]Load{{f.keyOf(id), 2}: {Unread: 640 * rapid.IntRange(0, 1).Draw(t, "unread"), Open: 1}})
+				f.UpdateRemoteLoads(map[LoadKey]Load{{f.keyOf(id), 2}: {Unread: 640 * rapid.IntRange(0, 1).Draw(t, "unread"), Open: 1}})
 			case 3:
 				f.SetOthers(map[LoadKey]Load{{f.keyOf(id), 1}: {Open: rapid.IntRange(0, 2).Draw(t, "open")}})
 			case 4:
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -280,10 +280,10 @@
 	f := newTestFleet(2)
 	a, b := LoadKey{Key("u0"), 0}, LoadKey{Key("u1"), 3}
 	f.SetOthers(map[LoadKey]Load{a: {Unread: 640, Open: 2}})
-	f.NoteOthers(map[LoadKey]Load{b: {Unread: 64, Open: 1}, {Key("unknown"), 0}: {Open: 1}, {Key("u0"), 99}: {Open: 1}})
+	f.UpdateRemoteLoads(map[LoadKey]Load{b: {Unread: 64, Open: 1}, {Key("unknown"), 0}: {Open: 1}, {Key("u0"), 99}: {Open: 1}})
 	is.Equal(f.byID["u0"].underWay(), Load{Unread: 640, Open: 2})
 	is.Equal(f.byID["u1"].underWay(), Load{Unread: 64, Open: 1})
-	f.NoteOthers(map[LoadKey]Load{a: {}})
+	f.UpdateRemoteLoads(map[LoadKey]Load{a: {}})
 	is.Equal(f.byID["u0"].underWay(), Load{})
 	f.SetOthers(nil)
 	is.Equal(f.byID["u1"].underWay(), Load{})
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -91,7 +91,7 @@
 	is.Equal(m.coldTill, longAgo)
 	is.Equal(f.Loads(), map[LoadKey]Load{})
 	f.NoteKept(time.Second, news) // a box that does not know the new life yet
-	f.NoteOthers(map[LoadKey]Load{{old.key, 0}: {Open: 3}})
+	f.UpdateRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Open: 3}})
 	is.True(!f.kept.holds(time.Second, PartKey(7), m))
 	is.Equal(m.underWay(), Load{})
 	for i, outcome := range []Outcome{Unreachable, Ended, ConnectionRefused, ConnectionLost} {
--- a/balance/load.go
+++ b/balance/load.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// NoteOthers takes changes in what all other boxes have under way; an empty load is none.
-func (f *Fleet) NoteOthers(changes map[LoadKey]Load) {
+// UpdateRemoteLoads takes changes in what all other boxes have under way; an empty load is none.
+func (f *Fleet) UpdateRemoteLoads(changes map[LoadKey]Load) {
 	if f.cfg.Off[Loads] {
 		return
 	}
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -49,7 +49,7 @@
 	}
 	m.relay.mu.Lock()
 	defer m.relay.mu.Unlock()
-	m.relay.fleet.NoteOthers(news)
+	m.relay.fleet.UpdateRemoteLoads(news)
 }
 
 // sizeLanes divides services by what is under way, or as the group's strongest lead
