--- a/balance/active.go
+++ b/balance/active.go
@@ -1,16 +1,17 @@
 package balance
 
-// This file defines which upstreams are looked at as time passes: those with requests under way, and those that had
-// prompts to read lately. The invariant: any other upstream has no work and reads nothing, so that what a box does for
-// its fleet ten times a second grows with the requests and not with the upstreams.
+// This file defines the active upstreams, which are the ones inspected periodically: those with
+// open requests, and those that had prompts to read recently. Invariant: every other upstream has
+// no work and reads nothing. The periodic work of a box, ten times a second, thus grows with the
+// number of requests and not with the number of upstreams.
 
 import "slices"
 
-// leastReading is the share of its time below which an upstream counts as reading nothing; the steps that calmStep
-// tells apart are far coarser.
-const leastReading = 0.01
+// minReading is the share of its time below which an upstream counts as reading nothing. The
+// steps of calmStep are much coarser.
+const minReading = 0.01
 
-// activate notes that an upstream may have work.
+// activate adds an upstream to its service's active ones.
 func (f *Fleet) activate(m *member) {
 	if m.active {
 		return
@@ -19,10 +20,11 @@
 	m.service.active = append(m.service.active, m)
 }
 
-// settle drops from a service's active upstreams those that are so no more.
-func (f *Fleet) settle(s *service) {
+// pruneActive removes the upstreams of a service that have no work and read nothing from its
+// active ones.
+func (f *Fleet) pruneActive(s *service) {
 	s.active = slices.DeleteFunc(s.active, func(m *member) bool {
-		if f.lists(m) && (m.reading >= leastReading || m.hasWork()) {
+		if f.isListed(m) && (m.reading >= minReading || m.hasWork()) {
 			return false
 		}
 		m.active, m.reading = false, 0
@@ -31,4 +33,4 @@
 }
 
 // hasWork reports whether any box has work on an upstream.
-func (m *member) hasWork() bool { return m.work != (work{}) || m.others != (work{}) }
+func (m *member) hasWork() bool { return m.work != (work{}) || m.remoteWork != (work{}) }
--- a/balance/active_test.go
+++ b/balance/active_test.go
@@ -10,9 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// Ten times a second each of 585 boxes looked at each of 5,910 upstreams, of which a few hundred had work: 6 % of a small
-// box's processor, and twice as much for twice the fleet.
-func TestATickLooksAtUpstreamsWithWorkOnly(t *testing.T) {
+// Guards against periodic work on all upstreams. When each of 585 boxes inspected each of 5,910
+// upstreams ten times a second, while a few hundred had work, that took 6 % of a small box's CPU,
+// and twice as much for twice the fleet.
+func TestPeriodicWorkCoversActiveUpstreamsOnly(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6000)
 	s := f.serviceOf("s")
@@ -29,9 +30,9 @@
 	is.Equal(len(s.active), 0)
 }
 
-// Whatever comes and goes, no upstream has work, or reads, without being looked at, and the sums of a service are those
-// of its upstreams.
-func TestWhatIsNotLookedAtHasNoWork(t *testing.T) {
+// Over any sequence of events, an inactive upstream has no work and reads nothing, and the sums
+// kept for a service equal the sums over its upstreams.
+func TestInactiveUpstreamsHaveNoWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTestFleet(5)
 		var open []*Ticket
@@ -39,8 +40,8 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
 			if rapid.IntRange(0, 20).Draw(t, "long") == 0 {
-				now += keptFor
-				f.kept.forgetOld(now)
+				now += cacheLifetime
+				f.parts.forgetOld(now)
 			}
 			id := fmt.Sprintf("u%d", rapid.IntRange(0, 6).Draw(t, "upstream"))
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
@@ -68,7 +69,7 @@
 	})
 }
 
-// keyOf is the key of an upstream's life, 0 where it is not listed.
+// keyOf returns the key of an upstream's incarnation, or 0 if it is not listed.
 func (f *Fleet) keyOf(id string) uint32 {
 	if m := f.byID[id]; m != nil {
 		return m.key
@@ -76,13 +77,13 @@
 	return 0
 }
 
-// checkSums compares what a fleet keeps at hand with what it adds up from its upstreams.
+// checkSums compares the sums that a fleet maintains with the sums over its upstreams.
 func checkSums(t *rapid.T, f *Fleet) {
 	loads := make(map[LoadKey]Load)
 	listed, slots := make(map[*service]int), make(map[*service]int)
 	for id, m := range f.byID {
 		if !m.active && (m.hasWork() || m.reading > 0) {
-			t.Fatalf("%s has work, or reads, and is not looked at", id)
+			t.Fatalf("%s has work, or reads, and is not active", id)
 		}
 		f.addLoads(loads, m)
 		listed[m.service]++
@@ -90,18 +91,20 @@
 	}
 	checkParts(t, f)
 	if got := f.Loads(); fmt.Sprint(got) != fmt.Sprint(loads) {
-		t.Fatalf("loads are %v, not %v", got, loads)
+		t.Fatalf("loads are %v, want %v", got, loads)
 	}
 	for name, s := range f.services {
 		if s.listed != listed[s] || s.slots != slots[s] || len(f.byService[name]) != listed[s] {
-			t.Fatalf("%s has %d upstreams and %d slots, not %d and %d", name, listed[s], slots[s], s.listed, s.slots)
+			t.Fatalf("%s has %d upstreams and %d slots, but %d and %d are counted", name, listed[s], slots[s], s.listed, s.slots)
 		}
 	}
 }
 
-// Each version of the document had each box sort all its upstreams twice, with its requests held up: 17 ms of a small box
-// before 6,000. One that names the same services costs nothing that grows with them.
-func TestADocumentThatNamesTheSameServicesCostsNothing(t *testing.T) {
+// Guards against work that grows with the fleet for each version of the configuration document. A
+// box sorted all its upstreams twice for each version, which delayed requests by 17 ms on a small
+// box with 6,000 upstreams. A document that names the same services must cost nothing that grows
+// with them.
+func TestDocumentWithTheSameServicesAllocatesLittle(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6000)
 	names := []string{"s", "other"}
@@ -113,7 +116,7 @@
 	is.True(f.Serves("u1"))
 }
 
-// allocated is how many bytes a function takes of the heap.
+// allocated returns the number of bytes that a function allocates on the heap.
 func allocated(do func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -122,31 +125,32 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// checkParts compares the parts' keepers with what each upstream notes of them. When a domain was cut off for 6 s the entries of its
-// 1,200 upstreams went; each box looked through all parts and all histories for each of them, for seconds, and held
-// its requests up.
+// checkParts compares the part index with the parts recorded per upstream. The index per upstream
+// guards against scans on removal: when a domain was cut off for 6 s and the entries of its 1,200
+// upstreams were removed, each box scanned all parts and all histories for each of them, which
+// delayed its requests for seconds.
 func checkParts(t *rapid.T, f *Fleet) {
-	noted, kept := 0, 0
-	for part, list := range f.kept.keepers {
+	recorded, indexed := 0, 0
+	for part, list := range f.parts.holders {
 		for _, x := range list {
-			kept++
-			if _, isNoted := x.member.parts[part]; !isNoted {
-				t.Fatalf("%s keeps part %d and does not note it", x.member.ID, part)
+			indexed++
+			if _, isRecorded := x.member.cachedParts[part]; !isRecorded {
+				t.Fatalf("%s is a holder of part %d and does not record it", x.member.ID, part)
 			}
-			if !f.lists(x.member) {
-				t.Fatalf("%s keeps part %d and is gone", x.member.ID, part)
+			if !f.isListed(x.member) {
+				t.Fatalf("%s is a holder of part %d and is not listed", x.member.ID, part)
 			}
 		}
 	}
 	for _, m := range f.byID {
-		noted += len(m.parts)
+		recorded += len(m.cachedParts)
 	}
-	if noted != kept {
-		t.Fatalf("upstreams note %d parts and keep %d", noted, kept)
+	if recorded != indexed {
+		t.Fatalf("upstreams record %d parts and are holders of %d", recorded, indexed)
 	}
 }
 
-// BenchmarkDocument tells what a box's fleet takes of a document that names the same services as the one before.
+// BenchmarkDocument measures a document that names the same services as the previous one.
 func BenchmarkDocument(b *testing.B) {
 	f := newTestFleet(6000)
 	f.SetServices(0, []string{"s", "other"})
@@ -155,8 +159,9 @@
 	}
 }
 
-// BenchmarkDomainGoes tells what it takes when the entries of a fifth of 6,000 upstreams go, with 8,000 parts known.
-func BenchmarkDomainGoes(b *testing.B) {
+// BenchmarkRemoveDomain measures the removal of a fifth of 6,000 upstreams with 8,000 parts
+// indexed.
+func BenchmarkRemoveDomain(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
 		f := newTestFleet(6000)
@@ -170,7 +175,8 @@
 	}
 }
 
-// BenchmarkDivide tells what it takes to put 6,000 upstreams into their lanes, after each change of their list.
+// BenchmarkDivide measures dividing 6,000 upstreams into lanes, which follows each change of the
+// list.
 func BenchmarkDivide(b *testing.B) {
 	f := newTestFleet(6000)
 	for b.Loop() {
--- a/balance/admit.go
+++ b/balance/admit.go
@@ -40,11 +40,11 @@
 	s.classes.noteTarget(r.Class, a.Target)
 	wait := f.readTime(c.Backlog)
 	own := f.boundOf(s, a, c)
-	if wait <= min(own, f.boundOf(s, s.refusals.hold(now, r.level(), a), c)) {
+	if wait <= min(own, f.boundOf(s, s.refusals.hold(now, r.urgencyLevel(), a), c)) {
 		return 0, true
 	}
 	if !f.cfg.Off[Order] {
-		s.refusals.note(now, r.level(), a.Target)
+		s.refusals.note(now, r.urgencyLevel(), a.Target)
 	}
 	return min(max(wait-own/2, comeBackMin), comeBackMax), false
 }
@@ -61,7 +61,7 @@
 		calm = part(a.Target, t.AdmitAgain)
 	}
 	loaded := max(part(a.Target, t.AdmitLoaded)-f.readTime(c.Unread), part(a.Target, t.AdmitLeast))
-	load := min(float64(f.readTime(int(s.unread)))/float64(part(a.Target, t.Loaded)), 1)
+	load := min(float64(f.readTime(int(s.meanUnread)))/float64(part(a.Target, t.Loaded)), 1)
 	return calm + part(loaded-calm, load)
 }
 
--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -54,7 +54,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newTestFleet(1)
-			f.serviceOf("s").unread = float64(waitOf(tt.mean).Backlog)
+			f.serviceOf("s").meanUnread = float64(waitOf(tt.mean).Backlog)
 			a := Admission{Target: target, Again: tt.again}
 			for _, x := range []struct {
 				more time.Duration
@@ -75,7 +75,7 @@
 	f := newDividedFleet(4)
 	f.SetOthers(map[LoadKey]Load{{Key("u0"), 0}: {Unread: 3000, Open: 1}, {Key("u1"), 4}: {Unread: 5000, Open: 1}})
 	f.SizeLanes(0, nil)
-	is.Equal(f.serviceOf("s").unread, 2000.0)
+	is.Equal(f.serviceOf("s").meanUnread, 2000.0)
 }
 
 // While more urgent requests are refused, less urgent ones are held to the same wait,
@@ -112,7 +112,7 @@
 			loads[LoadKey{Key(id), level}] = Load{Unread: load[i], Open: open[i]}
 		}
 		f.SetOthers(loads)
-		holdSlots(f, time.Duration(rapid.IntRange(0, 5000).Draw(t, "held"))*time.Millisecond)
+		setHoldTime(f, time.Duration(rapid.IntRange(0, 5000).Draw(t, "held"))*time.Millisecond)
 		admission := func(name string) Admission {
 			target := rapid.IntRange(1, 5000).Draw(t, "target of the "+name)
 			return Admission{Target: time.Duration(target) * time.Millisecond, Again: rapid.Bool().Draw(t, name+" again")}
@@ -120,7 +120,7 @@
 		urgent, other := prompt(7), prompt(7)
 		urgent.Urgency = rapid.IntRange(0, Levels-2).Draw(t, "urgent")
 		other.Urgency = rapid.IntRange(urgent.Urgency+1, Levels-1).Draw(t, "other")
-		f.serviceOf("s").unread = float64(rapid.IntRange(0, 60000).Draw(t, "mean"))
+		f.serviceOf("s").meanUnread = float64(rapid.IntRange(0, 60000).Draw(t, "mean"))
 		first, _ := f.Place(0, urgent, nil)
 		first.Unread = rapid.IntRange(0, 90000).Draw(t, "read of the urgent")
 		a := admission("urgent")
@@ -129,7 +129,7 @@
 			return
 		}
 		m := f.byID[first.Upstream.ID]
-		there := Choice{Upstream: &m.Upstream, Backlog: f.backlog(0, m, other.level()),
+		there := Choice{Upstream: &m.Upstream, Backlog: f.backlog(0, m, other.urgencyLevel()),
 			Unread: first.Unread + rapid.IntRange(0, 20000).Draw(t, "read more of the other")}
 		if _, ok := f.Admit(0, other, admission("other"), there); ok {
 			t.Fatalf("urgency %d begins with %d tokens before it where %d was refused with %d",
@@ -144,7 +144,7 @@
 	is := is.New(t)
 	f := newTestFleet(2)
 	home, _ := f.Place(0, prompt(1), nil)
-	holdSlots(f, 4*time.Second) // of 8 slots, one comes free each 500 ms
+	setHoldTime(f, 4*time.Second) // of 8 slots, one comes free each 500 ms
 	full := func(level, open int) {
 		f.SetOthers(map[LoadKey]Load{{Key(home.Upstream.ID), level}: {Open: open}})
 	}
--- a/balance/allowed.go
+++ b/balance/allowed.go
@@ -29,7 +29,7 @@
 	for _, c := range changes {
 		x, m := f.limits.of(c.Life), f.byKey[c.Life]
 		if x != nil {
-			f.sharedAnew = true
+			f.rationsStale = true
 			x.binds = m == nil || f.binds(now, m, x.perSecond)
 		}
 	}
@@ -93,7 +93,7 @@
 	if x == nil {
 		return true
 	}
-	return f.limitLeft(now, m, x) == 0 && !f.serviceOf(m.Service).keptFor(now, r.level())
+	return f.limitLeft(now, m, x) == 0 && !f.serviceOf(m.Service).keptFor(now, r.urgencyLevel())
 }
 
 // passedOver counts the upstreams that a request may not go to for their limits and pauses alone.
@@ -103,7 +103,7 @@
 	}
 	n := 0
 	for _, m := range f.byService[r.Service] {
-		if f.isOpen(now, m, r, tried) && !f.allows(now, m, r) {
+		if f.isEligible(now, m, r, tried) && !f.allows(now, m, r) {
 			n++
 		}
 	}
@@ -153,7 +153,7 @@
 // keepForUrgent notes that a request of an urgency got no place since upstreams take no more: until a
 // place has come free and a caller that was refused may be back, the few that there are are kept from those that are less urgent.
 func (f *Fleet) keepForUrgent(now time.Duration, r Request) {
-	f.serviceOf(r.Service).wanted[r.level()] = now + f.cfg.Named.Span + 2*mostOnWay
+	f.serviceOf(r.Service).wanted[r.urgencyLevel()] = now + f.cfg.Named.Span + 2*mostOnWay
 }
 
 // keptFor reports whether places are kept from requests of an urgency for more urgent ones.
--- a/balance/allowed_test.go
+++ b/balance/allowed_test.go
@@ -204,7 +204,7 @@
 	f := needyFleet(1, 2)
 	f.names(time.Second, "u0", 0)
 	f.Open(time.Second, "u1", Request{Service: "s"}).Close(time.Second, Unreachable)
-	is.True(f.byID["u1"].out)
+	is.True(f.byID["u1"].unreachable)
 	is.Equal(f.send(time.Second, 0), "u0") // the request that looks whether the limit holds
 	is.Equal(f.send(2*time.Second, 0), "")
 	is.True(f.LimitLeft(2*time.Second, "s") > 0)
--- a/balance/back.go
+++ b/balance/back.go
@@ -19,7 +19,7 @@
 
 // returns notes that an upstream gets requests again, if it got none.
 func (f *Fleet) returns(now time.Duration, m *member) {
-	wasOut := m.out
+	wasOut := m.unreachable
 	f.markIn(m)
 	if !wasOut {
 		return
@@ -30,7 +30,7 @@
 		return
 	}
 	f.cool(now, m, cold.Lasts)
-	m.setLost(m.out, now < m.coldTill)
+	m.setLost(m.unreachable, now < m.coldTill)
 }
 
 // lostMost reports whether more of a service's upstreams than may rest are out of reach, or came
@@ -43,11 +43,11 @@
 
 // setLost notes whether an upstream is out of reach, and whether it came back and nothing is told of it yet.
 func (m *member) setLost(out, unsure bool) {
-	if m.out || m.unsure {
+	if m.unreachable || m.unsure {
 		m.service.lost--
 	}
-	m.out, m.unsure = out, unsure
-	if m.out || m.unsure {
+	m.unreachable, m.unsure = out, unsure
+	if m.unreachable || m.unsure {
 		m.service.lost++
 	}
 }
@@ -57,14 +57,14 @@
 func (f *Fleet) Told(now, known time.Duration) {
 	for _, m := range f.cold {
 		if m.unsure && known >= m.back+toldWithin {
-			m.setLost(m.out, false)
+			m.setLost(m.unreachable, false)
 			m.coldTill = now
-			f.sharedAnew = true
+			f.rationsStale = true
 		}
 	}
 	f.cold = slices.DeleteFunc(f.cold, func(m *member) bool {
 		isWarm := now >= m.coldTill
-		m.setLost(m.out, m.unsure && !isWarm)
+		m.setLost(m.unreachable, m.unsure && !isWarm)
 		return isWarm
 	})
 }
--- a/balance/back_test.go
+++ b/balance/back_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			f := knowing(9)
+			f := newInformedFleet(9)
 			f.SetCold("s", c.cold)
 			for i := range c.lost {
 				f.Open(time.Second, fmt.Sprint("u", i), prompt(1)).Close(time.Second, Unreachable)
@@ -56,7 +56,7 @@
 // it was, also when they had become warm; after a few of them the next got what it was sent, without a ration. Found by reading.
 func TestAnUpstreamThatIsWarmIsNoLongerInDoubt(t *testing.T) {
 	is := is.New(t)
-	f := knowing(9)
+	f := newInformedFleet(9)
 	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
 	now := time.Duration(0)
 	for i := range 6 {
@@ -72,7 +72,7 @@
 // The count of upstreams that are lost is that of a look at all, whatever happened to them.
 func TestLostUpstreamsAreCounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := knowing(9)
+		f := newInformedFleet(9)
 		f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -95,7 +95,7 @@
 			}
 			lost := 0
 			for _, m := range f.byID {
-				if m.out || m.unsure {
+				if m.unreachable || m.unsure {
 					lost++
 				}
 			}
@@ -109,7 +109,7 @@
 // Those that were left along with their domain come back as those that failed themselves.
 func TestADomainThatComesBackIsCold(t *testing.T) {
 	is := is.New(t)
-	f := knowing(9)
+	f := newInformedFleet(9)
 	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
 	for _, id := range []string{"u1", "u4"} {
 		f.Open(0, id, prompt(1)).Close(0, Unreachable)
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -76,7 +76,7 @@
 // SetCold notes what the upstreams of a service bear while they are cold.
 func (f *Fleet) SetCold(service string, c ColdLimit) {
 	f.serviceOf(service).cold = c
-	f.sharedAnew = true
+	f.rationsStale = true
 }
 
 // SetSharers notes which boxes share the rations.
@@ -85,7 +85,7 @@
 		return
 	}
 	f.sharers = s
-	f.sharedAnew = true
+	f.rationsStale = true
 }
 
 // cool notes that an upstream is cold for a while. One that is known to be cold for longer
@@ -94,14 +94,14 @@
 	if left <= 0 {
 		return
 	}
-	m.setLost(m.out, false) // its entry says so
+	m.setLost(m.unreachable, false) // its entry says so
 	if now+left <= m.coldTill {
 		return
 	}
 	if now >= m.coldTill {
 		m.coldSent = nil
 		f.cold = append(f.cold, m)
-		f.sharedAnew = true
+		f.rationsStale = true
 	}
 	m.coldTill = now + left
 }
@@ -109,8 +109,8 @@
 // shareAnew works out this box's rations anew, once after each change of what they depend
 // on: to do so for each request would cost a hash for each box and upstream.
 func (f *Fleet) shareAnew(now time.Duration) {
-	if f.sharedAnew {
-		f.sharedAnew = false
+	if f.rationsStale {
+		f.rationsStale = false
 		f.shareCold(now)
 		f.shareLimits()
 	}
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -1,59 +1,60 @@
 package balance
 
-// This file defines what it costs to place a prompt at an upstream, in prompt tokens:
-// those to be read there before, and those that the upstream lacks of it. The invariant: of
-// two upstreams with the same work before them, the one that keeps more of the prompt
-// costs less.
+// This file defines the cost of placing a prompt at an upstream, in prompt tokens: the tokens
+// that the upstream reads before it, and the tokens of the prompt that the upstream does not
+// hold. Invariant: of two upstreams with the same work ahead, the one that holds more of the
+// prompt costs less.
 
 import "time"
 
-// promptCost is a request with what is known of its shared parts.
+// promptCost computes the cost of a request at each upstream.
 type promptCost struct {
 	fleet   *Fleet
 	now     time.Duration
 	request Request
 	shared  []Part
-	kept    []bool   // by shared part: an upstream in reach keeps it
-	homes   homePair // they are taken to keep what none is known to
+	cached  []bool // by shared part: a reachable upstream holds it
+	homes   homes  // assumed to hold the parts that no upstream is known to hold
 }
 
-// promptCostOf gathers what is known.
-func (f *Fleet) promptCostOf(now time.Duration, r Request, h homePair) promptCost {
+// promptCostOf looks up which shared parts of a request are held by an upstream.
+func (f *Fleet) promptCostOf(now time.Duration, r Request, h homes) promptCost {
 	p := promptCost{fleet: f, now: now, request: r, shared: r.shared(), homes: h}
-	p.kept = make([]bool, len(p.shared))
+	p.cached = make([]bool, len(p.shared))
 	for i, part := range p.shared {
-		p.kept[i] = p.guessed(part) || f.keeperOf(now, r, part, nil) != nil
+		p.cached[i] = p.assumed(part) || f.holderOf(now, r, part, nil) != nil
 	}
 	return p
 }
 
-// guessed reports whether a part is taken to be kept at home: one that is too small to be
-// told of, or one that no upstream is known to keep while this box has not heard of all.
-func (p *promptCost) guessed(part Part) bool {
+// assumed reports whether a part is assumed to be held by its homes: either it is too small to be
+// reported between boxes, or no upstream is known to hold it and this box may not have received
+// all reports yet.
+func (p *promptCost) assumed(part Part) bool {
 	if p.homes.first == nil {
 		return false
 	}
-	return !part.told() || !p.fleet.keptWithin(p.request, part) && !p.fleet.sure(p.now)
+	return !part.told() || !p.fleet.heldWithin(p.request, part) && !p.fleet.sure(p.now)
 }
 
-// holds reports whether an upstream keeps a shared part, as far as is known or guessed.
+// holds reports whether an upstream is known or assumed to hold a shared part.
 func (p *promptCost) holds(m *member, part Part) bool {
-	if p.guessed(part) {
+	if p.assumed(part) {
 		return p.homes.has(m)
 	}
-	return p.fleet.kept.holds(p.now, PartKey(part.ID), m)
+	return p.fleet.parts.holds(p.now, PartKey(part.ID), m)
 }
 
-// at is the cost at an upstream, in tokens: what goes before it, the way there, and the last of
-// the shared parts: once where no upstream keeps it, since it has to be read somewhere, and
-// AgainWeight times where it would be read or moved once more. Counting those before it as well
-// drew the prompts that share them to few upstreams and made them late.
-func (p *promptCost) at(m *member) int {
-	cost := p.fleet.backlog(p.now, m, p.request.level())
+// total returns the cost at an upstream in tokens: the backlog, the network cost and the last
+// shared part. The part counts once if no upstream holds it, since it has to be read somewhere,
+// and AgainWeight times if it would be read or copied again. Counting the earlier shared parts
+// too drew the prompts that share them to a few upstreams and made them late.
+func (p *promptCost) total(m *member) int {
+	cost := p.fleet.backlog(p.now, m, p.request.urgencyLevel())
 	last := p.request.lastShared()
-	kept := p.kept[len(p.kept)-1]
+	kept := p.cached[len(p.cached)-1]
 	if kept || m != p.homes.near {
-		cost += p.fleet.distance(m.Domain, p.request)
+		cost += p.fleet.networkCost(m.Domain, p.request)
 	}
 	switch {
 	case p.holds(m, last):
@@ -61,28 +62,28 @@
 	case kept:
 		return cost + int(p.fleet.cfg.Tuning.AgainWeight*float64(last.Tokens))
 	}
-	return cost + last.Tokens // it has to be read somewhere, and at the near home it is of use to most
+	return cost + last.Tokens // it has to be read somewhere, and most requests can use it at the near home
 }
 
-// unread is how many tokens an upstream has to read of the prompt: the request's own
-// part, and what it lacks and cannot fetch.
+// unread returns the number of prompt tokens that an upstream has to read: the request's own
+// part, and the shared parts that it neither holds nor can fetch.
 func (p *promptCost) unread(m *member) int {
 	if len(p.request.Parts) < 2 {
 		return p.request.Tokens
 	}
 	tokens := p.request.Parts[len(p.request.Parts)-1].Tokens
-	lacks := false // a part is of use only with all those before it
+	missing := false // a part is usable only together with all parts before it
 	for i, part := range p.shared {
-		lacks = lacks || !p.holds(m, part)
-		fetched := p.request.Moves && p.kept[i] && !p.fleet.cfg.Off[Fetching]
-		if lacks && !fetched {
+		missing = missing || !p.holds(m, part)
+		fetchable := p.request.Moves && p.cached[i] && !p.fleet.cfg.Off[Fetching]
+		if missing && !fetchable {
 			tokens += part.Tokens
 		}
 	}
 	return tokens
 }
 
-// unread is how many tokens an upstream has to read for a request that is placed there.
+// unread returns the number of tokens that an upstream has to read for a request placed there.
 func (f *Fleet) unread(now time.Duration, m *member, r Request) int {
 	cost := f.promptCostOf(now, r, f.home(now, r))
 	return cost.unread(m)
--- a/balance/cost_bench_test.go
+++ b/balance/cost_bench_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// BenchmarkPlace tells what a decision costs with the lists of today, of the grown
-// deployments and of the target.
+// BenchmarkPlace measures a placement, with fleets from a few upstreams up to the target size.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{9, 90, 1000, 10000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
@@ -20,9 +19,9 @@
 	}
 }
 
-// BenchmarkSwapLoads tells what telling and taking loads costs, which happens ten
-// times a second.
-func BenchmarkSwapLoads(b *testing.B) {
+// BenchmarkExchangeLoads measures reporting and receiving loads, which happens ten times a
+// second.
+func BenchmarkExchangeLoads(b *testing.B) {
 	for _, n := range []int{9, 90, 1000, 10000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
 			f := newTestFleet(n)
--- a/balance/decision_bench_test.go
+++ b/balance/decision_bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkDecision tells what it costs to place a prompt and to count it, where the memory of upstreams is known.
+// BenchmarkDecision measures placing and counting a prompt when the memory of the upstreams is
+// known.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{600, 6000, 12000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,21 +1,31 @@
-// Package balance decides which upstream gets a request, and whether a request
+// Package balance decides which upstream receives a request, and whether a request
 // may be sent a second time.
 //
-// It is pure: the time is an argument, nothing waits and nothing is sent, so that
-// tests and measurements run the decisions that ship. A box holds one Fleet and one
-// Budget; it is the box's job to hand in what happened.
+// The package is pure: callers pass the time as an argument, and nothing blocks or performs I/O, so
+// that tests and measurements run the same decisions as production. A box holds one Fleet and one
+// Budget and reports events to them.
 //
-// Where what is decided:
+// Terms used throughout the package:
 //
-//   - what a box knows: fleet.go, list.go (how the list changes), life.go, service.go, active.go (what is
-//     looked at as time passes), load.go, ticket.go (how a request is counted), history.go
-//   - where a request goes: place.go; of its parts cost.go, home.go, kept.go, fetch.go, way.go, slots.go,
+//   - box: a router process; failure domain (domain): machines that fail together
+//   - entry: what the registry says of an upstream; document: the configuration in force
+//   - incarnation: one run of an upstream, from its start to its end
+//   - part: a section of a prompt; all parts but the last may be shared with other prompts
+//   - tight stream: a stream whose class allows only short gaps between its events
+//   - lane: the upstreams of a service reserved for tight streams, or those for all other requests
+//   - cold: recently started or returned, and able to take only few requests per second
+//
+// Files by topic:
+//
+//   - what a box knows: fleet.go, list.go (changes of the list), incarnation.go, service.go, active.go
+//     (upstreams inspected periodically), load.go, ticket.go (counting requests), history.go
+//   - where a request goes: place.go, with cost.go, rendezvous.go, partindex.go, fetch.go, rtt.go, slots.go,
 //     memory.go, request.go
 //   - who is refused: admit.go; what is sent again: budget.go; what moves: move.go, answers.go
-//   - which upstreams are left: health.go, reach.go, back.go, evacuate.go
+//   - which upstreams are avoided: health.go, reach.go, back.go, evacuate.go
 //   - how much an upstream is sent: cold.go, limitpart.go, allowed.go, named.go, pause.go
-//   - which upstreams are kept for tight streams: apart.go, lane.go, laneneed.go, lanesize.go, rate.go
+//   - which upstreams are reserved for tight streams: apart.go, lane.go, laneneed.go, lanesize.go, rate.go
 //   - which requests are withheld: suspects.go
-//   - what boxes tell each other of all that: tell.go, classnews.go, namednews.go, suspectnews.go
-//   - what may be set, and switched off: tuning.go, mechanism.go
+//   - what boxes report to each other: tell.go, classnews.go, namednews.go, suspectnews.go
+//   - configuration and switches: tuning.go, mechanism.go
 package balance
--- a/balance/evacuate.go
+++ b/balance/evacuate.go
@@ -52,4 +52,4 @@
 }
 
 // closed reports whether an upstream takes no new requests.
-func (m *member) closed() bool { return m.Leaving || m.evacuated || m.unproven }
+func (m *member) closed() bool { return m.Leaving || m.evacuated || m.needsLeavingCheck }
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -1,8 +1,9 @@
 package balance
 
-// This file defines the fleet: the upstreams a box knows, and what it knows of each. How
-// the list of them changes stands in list.go. The invariant: the work of this box that is
-// counted on an upstream is that of the tickets that were opened on it and not yet closed.
+// This file defines Fleet: the upstreams that a box knows and the state it keeps for each of
+// them. list.go defines how the list of upstreams changes. Invariant: the work of this box that
+// is counted on an upstream equals the work of the tickets that were opened on it and are not
+// closed yet.
 
 import (
 	"cmp"
@@ -12,138 +13,139 @@
 	"time"
 )
 
-// Upstream is an engine or a plain service as its own entry describes it.
+// Upstream describes an engine or a plain service, as its registry entry states it.
 type Upstream struct {
-	ID        string // a new start has a new one, or the same and a later Born
-	StartedAt int64  // when it started, Unix ms; 0: not known
+	ID        string // after a restart the upstream has either a new ID, or the same ID and a later StartedAt
+	StartedAt int64  // start time, Unix ms; 0 if unknown
 	Service   string
 	Address   string // IP:port
 	Domain    string // failure domain
-	Slots     int    // requests it runs at once
-	Leaving   bool   // it takes no new requests
-	// ColdFor is how much longer it is cold, as its entry says.
+	Slots     int    // number of requests it runs concurrently
+	Leaving   bool   // takes no new requests
+	// ColdFor is the remaining time for which the upstream is cold, according to its entry.
 	ColdFor  time.Duration
-	Revision uint64 // of its entry; of two that name the same address and no start, the greater one holds
-	// CommandCount is how many orders it has taken since its start; Counts says that its entry tells.
+	Revision uint64 // revision of the entry; decides between two entries with the same address and no start time
+	// CommandCount is the number of control commands that the upstream has received since it
+	// started. HasCommandCount reports whether its entry states that number.
 	CommandCount    uint64
 	HasCommandCount bool
 }
 
-// member is an upstream with what this box knows of it besides.
+// member is an upstream together with the state that this box keeps for it.
 type member struct {
 	Upstream
-	work     work    // of this box
-	others   work    // of all other boxes
-	heir     *member // the same life, listed again: it has the work since
-	health   health
-	out      bool          // it cannot be reached
-	byDomain bool          // it was only left along with its domain, when it last came to be out
-	since    time.Duration // when it was first listed
-	key      uint32        // of its life
-	history  *history
-	service  *service
-	parts    map[uint32]struct{} // those that it stands among the keepers of
-	inLanes  uint64              // its weight in the order by which lanes are divided
-	weighed  weighed
-	active   bool          // it is among its service's active ones
-	tight    bool          // it is in the lane for tight streams
-	moved    time.Duration // when it came into its lane from the other
-
-	reading   float64         // the share of the time that it has prompts to read
-	evacuated bool            // its failure domain is
-	unproven  bool            // it may have said that it is leaving before it was known
-	coldTill  time.Duration   // until when it is cold
-	ration    int             // requests that this box may send it within coldWindow while it is
-	coldSent  []time.Duration // when it sent those of the last coldWindow
-
-	brokeAt   time.Duration // when the connection of a run was last broken
-	breaks    int           // how many were at about that moment
-	back      time.Duration // when it could last be reached again
-	unsure    bool          // it is taken for cold, since nothing published tells of the time since
-	ended     bool          // another one has its address
-	doubted   bool          // there was a sign that it may have ended
-	doubtTill time.Duration // until then what others tell that it keeps may be of before that
+	work          work    // of this box
+	remoteWork    work    // of all other boxes
+	successor     *member // the same incarnation, listed again; it now holds the work
+	health        health
+	unreachable   bool          // receives no request until a trial connection or an answer succeeds
+	byDomain      bool          // became unreachable only because its failure domain was marked unreachable
+	listedAt      time.Duration // when it was first listed
+	key           uint32        // of its incarnation
+	history       *history
+	service       *service
+	cachedParts   map[uint32]struct{} // prompt parts that it is recorded as holding; see partIndex
+	laneWeight    uint64              // determines its position when the upstreams are divided into lanes
+	lastWeight    keyWeight
+	active        bool          // is in its service's list of active upstreams
+	tight         bool          // is in the lane for tight streams
+	laneChangedAt time.Duration // when it moved into its present lane from the other
+
+	reading           float64         // share of the time, 0 to 1, in which it has prompt tokens to read
+	evacuated         bool            // its failure domain is evacuated
+	needsLeavingCheck bool            // its previous incarnation reported leaving, which may have meant this one
+	coldTill          time.Duration   // end of its cold period
+	ration            int             // number of requests that this box may send it within coldWindow while it is cold
+	coldSent          []time.Duration // when this box sent the requests of the last coldWindow
+
+	lastBreakAt   time.Duration // when the connection of a run last broke
+	recentBreaks  int           // number of connections that broke around lastBreakAt
+	back          time.Duration // when it last became reachable again
+	unsure        bool          // counts as cold, because nothing published describes it since it became reachable again
+	superseded    bool          // another upstream has taken over its address
+	suspect       bool          // there was a sign that it may have restarted
+	distrustUntil time.Duration // until then, cache news from other boxes may predate the suspected restart
 }
 
 // Config configures a Fleet.
 type Config struct {
 	Domain string // failure domain of this box
-	// Regions holds the region of each failure domain, as far as they are divided into such.
+	// Regions maps failure domains to regions, as far as they belong to one.
 	Regions map[string]string
 	Tuning  Tuning
-	Named   LimitBounds // of limits that upstreams name
-	Off     Off         // the mechanisms that are switched off
-	// FirstStart says that no box ran before: what nobody is known to have sent to an
-	// upstream has been sent to none.
+	Named   LimitBounds // bounds for the limits that upstreams state in their answers
+	Off     Off         // mechanisms that are switched off
+	// FirstStart says that no box of this deployment ran before. A prompt part that no box is
+	// known to have sent to an upstream has then been sent to none.
 	FirstStart bool
 }
 
-// Fleet is all upstreams that a box knows. It is not safe for several goroutines.
+// Fleet holds all upstreams that a box knows. It is not safe for concurrent use.
 type Fleet struct {
-	cfg        Config
-	byID       map[string]*member
-	byService  map[string][]*member
-	byKey      map[uint32]*member
-	byAddress  map[string]*member
-	waiting    map[string]*Upstream // by id: entries whose address another upstream has
-	lives      map[string]lastLife  // by id: the last that is known
-	gone       map[string]*member   // by id: listed no more, and this box has requests open on them
-	named      map[string]bool      // services of the document in force; nil: none is known yet
-	latest     time.Duration        // when the list was last told of an entry
-	services   map[string]*service  // by name
-	kept       kept
-	lost       []Lost                  // out of reach, and not returned by NewlyLost yet
-	othersAnew bool                    // an upstream was listed of which others may have told before
-	domains    map[string]*domainReach // by name
-	toldCutOff []string                // failure domains that another box finds cut off
-	ways       map[string]*way         // by failure domain
-	rate       float64                 // prompt tokens that an upstream reads in a ms
-	listed     time.Duration           // when the first upstream was
-
-	histories  map[uint32]*history // by key of the life
-	forgot     time.Duration       // when those of lives that are not listed were last looked through
-	evacuated  map[string]bool     // failure domains
-	part       float64             // of an upstream's memory that this box may fill: 1 where it knows of the others
-	boxes      int                 // in all, as far as is known
-	sharers    QuotaPeers
-	limits     limits            // that upstreams name
-	pauses     map[uint32]*pause // that upstreams asked for, by Key of the life
-	pausesOver []uint32          // those that ended and were not returned by PausesOver yet
-	cold       []*member         // those that are, and some that were
-	sharedAnew bool              // what the rations depend on has changed
+	cfg              Config
+	byID             map[string]*member
+	byService        map[string][]*member
+	byKey            map[uint32]*member
+	byAddress        map[string]*member
+	addressWaiters   map[string]*Upstream       // by id: entries whose address another upstream holds
+	incarnations     map[string]lastIncarnation // by id: the latest known incarnation
+	unlisted         map[string]*member         // by id: no longer listed, but this box still has requests open on it
+	documentServices map[string]bool            // services that the configuration document names; nil before the first document
+	lastPutAt        time.Duration              // when an entry was last put
+	services         map[string]*service        // by name
+	parts            partIndex
+	lost             []Lost                  // became unreachable, and not yet returned by NewlyLost
+	remoteLoadsStale bool                    // an upstream was listed after the last SetOthers; other boxes may have reported loads for it
+	domains          map[string]*domainReach // by name
+	toldCutOff       []string                // failure domains that another box reports as cut off
+	rtts             map[string]*rttEstimate // by failure domain
+	prefillRate      float64                 // prompt tokens that an upstream reads per ms
+	firstListedAt    time.Duration           // when the first upstream was listed
+
+	histories        map[uint32]*history // by incarnation key
+	historiesSweptAt time.Duration       // when the histories of unlisted incarnations were last checked for expiry
+	evacuated        map[string]bool     // failure domains
+	memoryShare      float64             // share of an upstream's memory that this box may fill; 1 while it knows the loads of the other boxes
+	boxCount         int                 // number of all boxes, as far as known
+	sharers          QuotaPeers
+	limits           limits            // that upstreams state in their answers
+	pauses           map[uint32]*pause // that upstreams requested, by incarnation key
+	pausesOver       []uint32          // pauses that ended and were not yet returned by PausesOver
+	cold             []*member         // upstreams that are cold, and some that were
+	rationsStale     bool              // an input of the rations has changed
 }
 
-// firstList is the span in which a box that has started hears of all upstreams there
-// are; those that come later are new.
-const firstList = 2 * time.Second
+// initialListSpan is the time in which a box that has just started receives the entries of all
+// existing upstreams. Upstreams listed after that count as newly started.
+const initialListSpan = 2 * time.Second
 
-// longAgo lies before every moment at which something is still of concern.
+// longAgo is earlier than any time that a decision still depends on.
 const longAgo = -time.Hour
 
 // NewFleet returns an empty fleet.
 func NewFleet(cfg Config) *Fleet {
 	return &Fleet{
-		cfg:       cfg,
-		byID:      make(map[string]*member),
-		byService: make(map[string][]*member),
-		byKey:     make(map[uint32]*member),
-		byAddress: make(map[string]*member),
-		waiting:   make(map[string]*Upstream),
-		lives:     make(map[string]lastLife),
-		gone:      make(map[string]*member),
-		histories: make(map[uint32]*history),
-		pauses:    make(map[uint32]*pause),
-		evacuated: make(map[string]bool),
-		services:  make(map[string]*service),
-		kept:      kept{keepers: make(map[uint32][]keeper)},
-		domains:   make(map[string]*domainReach),
-		ways:      make(map[string]*way),
-		rate:      cfg.Tuning.ReadRate,
-		part:      1,
+		cfg:            cfg,
+		byID:           make(map[string]*member),
+		byService:      make(map[string][]*member),
+		byKey:          make(map[uint32]*member),
+		byAddress:      make(map[string]*member),
+		addressWaiters: make(map[string]*Upstream),
+		incarnations:   make(map[string]lastIncarnation),
+		unlisted:       make(map[string]*member),
+		histories:      make(map[uint32]*history),
+		pauses:         make(map[uint32]*pause),
+		evacuated:      make(map[string]bool),
+		services:       make(map[string]*service),
+		parts:          partIndex{holders: make(map[uint32][]partHolder)},
+		domains:        make(map[string]*domainReach),
+		rtts:           make(map[string]*rttEstimate),
+		prefillRate:    cfg.Tuning.ReadRate,
+		memoryShare:    1,
 	}
 }
 
-// Get returns what is known of an upstream, or nil.
+// Get returns the listed upstream with an ID, or nil.
 func (f *Fleet) Get(id string) *Upstream {
 	if m := f.byID[id]; m != nil {
 		return &m.Upstream
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// ByKey returns what is known of the upstream of a life; false where it is not listed.
+// ByKey returns the listed upstream whose incarnation has a key, or false.
 func (f *Fleet) ByKey(life uint32) (Upstream, bool) {
 	if m := f.byKey[life]; m != nil {
 		return m.Upstream, true
@@ -159,28 +161,28 @@
 	return Upstream{}, false
 }
 
-// IDs returns the upstreams that are known, in no order.
+// IDs returns the IDs of the listed upstreams in no particular order.
 func (f *Fleet) IDs() []string { return slices.Collect(maps.Keys(f.byID)) }
 
-// View is an upstream as the fleet sees it.
+// View is a snapshot of an upstream as the fleet sees it.
 type View struct {
 	Upstream
-	Out   bool // it cannot be reached
-	Tight bool // it is in the lane for tight streams
-	// Evacuated says that its failure domain is.
+	Out   bool // unreachable
+	Tight bool // in the lane for tight streams
+	// Evacuated reports whether its failure domain is evacuated.
 	Evacuated bool
-	ColdLeft  time.Duration // for so long it is cold; 0: it is not
-	RTT       time.Duration // there and back
+	ColdLeft  time.Duration // remaining cold time; 0 if it is not cold
+	RTT       time.Duration // round-trip time to its failure domain
 	Load      Load          // of all boxes
-	Memory    int           // tokens that its memory holds; 0: not known
+	Memory    int           // tokens that its memory holds; 0 if unknown
 }
 
-// View lists all upstreams, by service and id.
+// View returns all listed upstreams, sorted by service and ID.
 func (f *Fleet) View(now time.Duration) []View {
 	list := make([]View, 0, len(f.byID))
 	for _, m := range f.byID {
-		load := Load{Unread: m.ahead(Levels - 1), Open: m.open(), Held: m.held()}
-		list = append(list, View{Upstream: m.Upstream, Out: m.out, Tight: m.tight, Evacuated: m.evacuated,
+		load := Load{Unread: m.unreadAhead(Levels - 1), Open: m.open(), Held: m.held()}
+		list = append(list, View{Upstream: m.Upstream, Out: m.unreachable, Tight: m.tight, Evacuated: m.evacuated,
 			ColdLeft: max(0, m.coldTill-now), RTT: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
 	}
 	slices.SortFunc(list, func(a, b View) int {
@@ -189,7 +191,7 @@
 	return list
 }
 
-// Leave notes that an upstream takes no new requests.
+// Leave marks an upstream as taking no new requests.
 func (f *Fleet) Leave(id string) {
 	if m := f.byID[id]; m != nil {
 		m.Leaving = true
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -21,7 +21,7 @@
 	return Request{Service: "s", Moves: true, Tokens: 1400, Parts: []Part{{ID: shared, Tokens: 1000}, {ID: shared + 1e6, Tokens: 400}}}
 }
 
-func TestPromptsWithTheSameBeginningGoToTheSameUpstream(t *testing.T) {
+func TestPromptsWithTheSamePrefixGoToTheSameUpstream(t *testing.T) {
 	is := is.New(t)
 	f, g := newTestFleet(9), newTestFleet(9)
 	homes := make(map[string]bool)
@@ -29,13 +29,13 @@
 		a, ok := f.Place(0, prompt(shared), nil)
 		is.True(ok)
 		b, _ := g.Place(0, prompt(shared), nil)
-		is.Equal(a.Upstream.ID, b.Upstream.ID) // two boxes agree without a word
+		is.Equal(a.Upstream.ID, b.Upstream.ID) // two boxes agree without communication
 		homes[a.Upstream.ID] = true
 	}
-	is.True(len(homes) >= 8) // and the homes are spread
+	is.True(len(homes) >= 8) // homes are spread over the upstreams
 }
 
-func TestABusyHomeIsLeftAndFetchedFrom(t *testing.T) {
+func TestBusyHomeIsAvoidedAndFetchedFrom(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(9)
 	home, _ := f.Place(0, prompt(7), nil)
@@ -46,20 +46,20 @@
 	is.True(c.Upstream.ID != home.Upstream.ID)
 	is.Equal(c.Fetch, home.Upstream.Address)
 	next := c.Upstream.Address
-	ticket.First(0) // once the prompt has been read, the home is free again
+	ticket.First(0) // the prompt has been read, so the home is free again
 	c, _ = f.Place(0, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
-	is.Equal(c.Fetch, next) // as long as the box may not have heard who was sent what
+	is.Equal(c.Fetch, next) // the box may not have received all reports of parts yet
 	c, _ = f.Place(2*retellAfter, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
 	is.Equal(c.Fetch, "")
 }
 
-func TestAnUpstreamThatIsLeavingIsNeverChosen(t *testing.T) {
+func TestLeavingUpstreamIsNeverChosen(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(3)
 	f.Leave("u0")
-	f.Put(0, Upstream{ID: "u0", Service: "s", Slots: 8}) // an old entry does not bring it back
+	f.Put(0, Upstream{ID: "u0", Service: "s", Slots: 8}) // an out-of-date entry does not revert leaving
 	f.Put(0, Upstream{ID: "u1", Service: "s", Slots: 8, Leaving: true})
 	for shared := range uint64(50) {
 		c, ok := f.Place(0, prompt(shared), nil)
@@ -70,7 +70,7 @@
 	is.True(!ok)
 }
 
-func TestAnUpstreamThatFailsRestsForABoundedTime(t *testing.T) {
+func TestFailingUpstreamRestsForABoundedTime(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
 	f.Put(0, Upstream{ID: "good", Service: "s", Slots: 8})
@@ -88,11 +88,11 @@
 	}
 	is.True(seen) // it is tried again
 	c, ok := f.Place(time.Second, prompt(1), []string{"good"})
-	is.True(ok) // where all others are out, one that rests is better than none
+	is.True(ok) // a resting upstream is used if no other is left
 	is.Equal(c.Upstream.ID, "u0")
 }
 
-func TestRequestsWithoutAPromptGoWhereTheFewestAre(t *testing.T) {
+func TestRequestsWithoutAPromptGoToTheLeastBusyUpstream(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(3)
 	plain := Request{Service: "s"}
@@ -103,18 +103,18 @@
 		counts[c.Upstream.ID]++
 		tickets = append(tickets, f.Open(0, c.Upstream.ID, plain))
 	}
-	// The box's own domain goes first, until it has 0.3 of its 8 slots more in use.
+	// The box's own domain is preferred until 0.3 more of its 8 slots are in use.
 	is.Equal(counts, map[string]int{"u0": 12, "u1": 9, "u2": 9})
 	for _, ticket := range tickets {
 		ticket.Close(0, Answered)
 	}
 	c, _ := f.Place(0, plain, nil)
-	is.Equal(c.Upstream.Domain, "d0") // among equals, the box's own domain
+	is.Equal(c.Upstream.Domain, "d0") // the box's own domain is preferred among equals
 }
 
-// Whatever is opened and closed, and in whichever order upstreams come and go, the
-// work counted is that of the open tickets, and nothing leaving or tried is chosen.
-func TestCountsAndChoicesHoldOverAnySchedule(t *testing.T) {
+// Over any sequence of listing, removal, opening and closing, the work counted is that of the
+// open tickets, and no leaving or already tried upstream is chosen.
+func TestWorkAndPlacementOverAnySchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTestFleet(4)
 		leaving := make(map[string]bool)
@@ -135,7 +135,7 @@
 			case 3:
 				for ticket := range open {
 					ticket.Close(now, Outcome(rapid.IntRange(0, 4).Draw(t, "outcome")))
-					ticket.Close(now, Failed) // a second end counts for nothing
+					ticket.Close(now, Failed) // closing again has no effect
 					delete(open, ticket)
 					break
 				}
@@ -145,7 +145,7 @@
 					continue
 				}
 				if leaving[c.Upstream.ID] || c.Upstream.ID == "u3" {
-					t.Fatalf("%s was chosen", c.Upstream.ID)
+					t.Fatalf("%s was chosen although it is leaving or was tried", c.Upstream.ID)
 				}
 				open[f.Open(0, c.Upstream.ID, prompt(1))] = c.Upstream.ID
 			}
@@ -155,18 +155,18 @@
 		}
 		for id, m := range f.byID {
 			if m.work != (work{}) {
-				t.Fatalf("%s still counts %v", id, m.work)
+				t.Fatalf("%s still has work %v after all tickets were closed", id, m.work)
 			}
 		}
 	})
 }
 
-func TestANewHomeFetchesFromTheOneBeforeIt(t *testing.T) {
+func TestNewHomeFetchesFromThePreviousOne(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(9)
 	old, _ := f.Place(0, prompt(7), nil)
 	now := time.Minute
-	for i := 0; ; i++ { // until one comes that is the new home
+	for i := 0; ; i++ { // until a new upstream becomes the home
 		id := fmt.Sprintf("new%d", i)
 		f.Put(now, Upstream{ID: id, Service: "s", Address: id, Domain: "d1", Slots: 8})
 		if c, _ := f.Place(now, prompt(7), nil); c.Upstream.ID == id {
@@ -176,10 +176,10 @@
 		f.Remove(id)
 	}
 	c, _ := f.Place(now+DefaultTuning.NewFor, prompt(7), nil)
-	is.Equal(c.Fetch, "") // by then it has what it needs
+	is.Equal(c.Fetch, "") // by then the new home holds what it needs
 }
 
-func TestOneLaneIsKeptForTightStreams(t *testing.T) {
+func TestOneLaneIsReservedForTightStreams(t *testing.T) {
 	is := is.New(t)
 	f, g := newDividedFleet(9), newDividedFleet(9)
 	f.SizeLanes(0, LanePlan{Key("s"): {Places: 2}})
@@ -200,10 +200,10 @@
 		f.Leave(id)
 	}
 	_, ok := f.Place(0, chat(1), nil)
-	is.True(ok) // where the lane is empty, any other serves
+	is.True(ok) // if the lane is empty, any other upstream serves
 }
 
-func TestMoreUrgentWorkIsNotHeldUpByLessUrgent(t *testing.T) {
+func TestUrgentWorkIsNotDelayedByLessUrgentWork(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
 	slow := Request{Service: "s", Tokens: 100000, Urgency: 5}
@@ -217,15 +217,15 @@
 	}
 }
 
-func TestADomainThatCannotBeReachedIsLeftAsAWhole(t *testing.T) {
+func TestUnreachableDomainIsAvoidedAsAWhole(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(9)
 	f.Open(0, "u1", prompt(1)).Close(0, Unreachable)
-	is.Equal(len(f.Unreached()), 1) // one alone may have died
+	is.Equal(len(f.Unreached()), 1) // a single upstream may have crashed
 	f.Open(0, "u4", prompt(1)).Close(time.Second, Unreachable)
-	is.Equal(len(f.Unreached()), 3) // both are of the domain d1
+	is.Equal(len(f.Unreached()), 3) // both lie in domain d1, which counts as cut off
 	is.Equal(len(f.NewlyLost()), 3)
-	is.Equal(len(f.NewlyLost()), 0) // each is told once
+	is.Equal(len(f.NewlyLost()), 0) // each is returned once
 	for shared := range uint64(50) {
 		c, _ := f.Place(time.Second, prompt(shared), nil)
 		is.True(c.Upstream.Domain != "d1")
@@ -234,10 +234,10 @@
 	is.Equal(len(f.Unreached()), 2)
 	f.Open(0, "u0", prompt(1)).Close(0, Unreachable)
 	f.Open(0, "u3", prompt(1)).Close(0, Unreachable)
-	is.Equal(len(f.Unreached()), 4) // in its own domain a box believes what it sees only
+	is.Equal(len(f.Unreached()), 4) // a box never treats its own domain as cut off
 }
 
-func TestTheRateOfReadingIsLearned(t *testing.T) {
+func TestPrefillRateIsLearned(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
 	for range 200 {
@@ -245,13 +245,13 @@
 		ticket.First(100 * time.Millisecond)
 		ticket.Close(time.Second, Answered)
 	}
-	is.True(f.rate > 90 && f.rate < 110)
+	is.True(f.prefillRate > 90 && f.prefillRate < 110)
 	f.Open(0, "u0", prompt(1))
-	f.Open(0, "u0", Request{Service: "s", Tokens: 10000}).First(time.Hour) // behind another: it says nothing
-	is.True(f.rate > 90)
+	f.Open(0, "u0", Request{Service: "s", Tokens: 10000}).First(time.Hour) // behind another request: no sample
+	is.True(f.prefillRate > 90)
 }
 
-func TestAnUpstreamThatServesSomethingElseIsMoved(t *testing.T) {
+func TestUpstreamChangesItsService(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
 	f.Put(0, Upstream{ID: "u0", Service: "other", Slots: 8})
@@ -262,7 +262,7 @@
 	is.True(!ok)
 }
 
-func TestNothingIsFetchedWhereUpstreamsCannot(t *testing.T) {
+func TestNothingIsFetchedWithoutTransferSupport(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(9)
 	r := prompt(7)
@@ -274,17 +274,18 @@
 	is.Equal(c.Fetch, "")
 }
 
-// Changes in the others' loads add to what is known of them; an empty one takes it away.
-func TestChangesOfTheOthersLoads(t *testing.T) {
+// Updates of the other boxes' loads apply on top of the known loads; an empty load clears an
+// entry.
+func TestUpdateRemoteLoads(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(2)
 	a, b := LoadKey{Key("u0"), 0}, LoadKey{Key("u1"), 3}
 	f.SetOthers(map[LoadKey]Load{a: {Unread: 640, Open: 2}})
 	f.UpdateRemoteLoads(map[LoadKey]Load{b: {Unread: 64, Open: 1}, {Key("unknown"), 0}: {Open: 1}, {Key("u0"), 99}: {Open: 1}})
-	is.Equal(f.byID["u0"].underWay(), Load{Unread: 640, Open: 2})
-	is.Equal(f.byID["u1"].underWay(), Load{Unread: 64, Open: 1})
+	is.Equal(f.byID["u0"].totalLoad(), Load{Unread: 640, Open: 2})
+	is.Equal(f.byID["u1"].totalLoad(), Load{Unread: 64, Open: 1})
 	f.UpdateRemoteLoads(map[LoadKey]Load{a: {}})
-	is.Equal(f.byID["u0"].underWay(), Load{})
+	is.Equal(f.byID["u0"].totalLoad(), Load{})
 	f.SetOthers(nil)
-	is.Equal(f.byID["u1"].underWay(), Load{})
+	is.Equal(f.byID["u1"].totalLoad(), Load{})
 }
--- a/balance/history.go
+++ b/balance/history.go
@@ -1,7 +1,8 @@
 package balance
 
-// This file defines when a box sent requests to an upstream lately. The invariant: a life keeps its
-// history as long as anything in it is younger than historyFor, whether it is listed or not.
+// This file records when a box sent requests to an upstream recently. Invariant: the history of
+// an incarnation is kept as long as any of its requests is younger than historyFor, whether the
+// incarnation is listed or not.
 
 import (
 	"maps"
@@ -9,14 +10,14 @@
 	"time"
 )
 
-// historyFor is how long a request counts: twice the longest span over which an upstream is
-// looked at, so that one under way to it for a while counts as well.
+// historyFor is how long a request is recorded: twice the longest span over which requests are
+// counted, so that a request that takes a while to be sent is included.
 const historyFor = 10 * time.Second
 
-// history is when requests were sent to a life of an upstream, the oldest first.
+// history holds the times of requests sent to an incarnation of an upstream, the oldest first.
 type history struct{ sent []time.Duration }
 
-// note notes a request, and forgets what is old.
+// note records a request and removes expired ones.
 func (h *history) note(now time.Duration) {
 	h.forget(now)
 	h.sent = append(h.sent, now)
@@ -30,14 +31,14 @@
 	h.sent = h.sent[old:]
 }
 
-// undo takes back a request that was noted and not sent.
+// undo removes a request that was recorded and not sent.
 func (h *history) undo(at time.Duration) {
 	if i := slices.Index(h.sent, at); i >= 0 {
 		h.sent = slices.Delete(h.sent, i, i+1)
 	}
 }
 
-// within counts the requests of the span before a moment.
+// within returns the number of requests sent in the given span before now.
 func (h *history) within(now, span time.Duration) int {
 	n := 0
 	for i := len(h.sent) - 1; i >= 0 && now-h.sent[i] < span; i-- {
@@ -46,7 +47,7 @@
 	return n
 }
 
-// historyOf is the history of a life.
+// historyOf returns the history of an incarnation and creates it if needed.
 func (f *Fleet) historyOf(key uint32) *history {
 	h := f.histories[key]
 	if h == nil {
@@ -56,8 +57,9 @@
 	return h
 }
 
-// forgetHistory forgets that of a life which is listed no more, if it was sent nothing lately. Those that were go once that
-// is long ago: to look through all for each upstream that goes would take seconds where a domain does.
+// forgetHistory removes the history of an unlisted incarnation if it has no recent requests.
+// Other expired histories are removed once every historyFor: scanning all of them for each
+// removed upstream would take seconds when a whole domain is removed.
 func (f *Fleet) forgetHistory(now time.Duration, key uint32) {
 	if h := f.histories[key]; h != nil && f.byKey[key] == nil {
 		h.forget(now)
@@ -65,13 +67,13 @@
 			delete(f.histories, key)
 		}
 	}
-	if now-f.forgot >= historyFor {
-		f.forgot = now
+	if now-f.historiesSweptAt >= historyFor {
+		f.historiesSweptAt = now
 		f.forgetHistories(now)
 	}
 }
 
-// forgetHistories forgets those of lives that are not listed and were sent nothing lately.
+// forgetHistories removes the histories of unlisted incarnations without recent requests.
 func (f *Fleet) forgetHistories(now time.Duration) {
 	maps.DeleteFunc(f.histories, func(key uint32, h *history) bool {
 		h.forget(now)
@@ -79,7 +81,8 @@
 	})
 }
 
-// Sent is how many requests this box sent to an upstream in the span before a moment.
+// Sent returns the number of requests that this box sent to an incarnation in the given span
+// before now.
 func (f *Fleet) Sent(now time.Duration, l Incarnation, span time.Duration) int {
 	if h := f.histories[l.Key()]; h != nil {
 		return h.within(now, span)
--- a/balance/lane.go
+++ b/balance/lane.go
@@ -70,13 +70,13 @@
 // list or of the number kept: doing so for each request would cost the square of the list.
 func (f *Fleet) divide(now time.Duration, s *service) {
 	all := slices.Clone(f.byService[s.name])
-	slices.SortFunc(all, func(a, b *member) int { return cmp.Compare(b.inLanes, a.inLanes) })
+	slices.SortFunc(all, func(a, b *member) int { return cmp.Compare(b.laneWeight, a.laneWeight) })
 	s.places = int(math.Round(s.share * float64(len(all))))
 	for i, m := range all {
 		if tight := i < s.places; tight != m.tight {
 			m.tight = tight
-			if s.divided && !f.young(now, m) {
-				m.moved = now
+			if s.divided && !f.isNew(now, m) {
+				m.laneChangedAt = now
 			}
 		}
 	}
--- a/balance/lanesize.go
+++ b/balance/lanesize.go
@@ -57,7 +57,7 @@
 func (f *Fleet) SizeLanes(now time.Duration, told LanePlan) []LaneChange {
 	var changes []LaneChange
 	for _, s := range f.services {
-		f.settle(s)
+		f.pruneActive(s)
 		if s.listed < minLanes {
 			continue
 		}
@@ -96,7 +96,7 @@
 	var sum Load
 	var reading Need
 	for _, m := range s.active {
-		l := m.underWay()
+		l := m.totalLoad()
 		sum = sum.Plus(l)
 		m.noteReading(now-s.counted, l.Unread)
 		reading.add(m.tight, f.readingShare(l.Unread))
@@ -105,10 +105,10 @@
 	unread := sum.Unread
 	s.spare = s.slots
 	for _, m := range limited {
-		unread -= m.underWay().Unread
+		unread -= m.totalLoad().Unread
 		s.spare -= m.Slots
 	}
-	s.unread = float64(unread) / float64(len(all)-len(limited))
+	s.meanUnread = float64(unread) / float64(len(all)-len(limited))
 	s.classes.age(now - s.counted)
 	left := math.Exp(-float64(now-s.counted) / float64(f.cfg.Tuning.LaneMemory))
 	s.counted = now
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// What an upstream says of itself in an answer holds for its life, whatever entries say later.
-func TestALifeThatSaysItIsLeavingStaysSo(t *testing.T) {
+// If an upstream reports in an answer that it is leaving, this holds for its incarnation,
+// whatever later entries say.
+func TestReportedLeavingHoldsForTheIncarnation(t *testing.T) {
 	gone := func(f *Fleet) { f.Remove("u") }
 	put := func(u Upstream) func(*Fleet) { return func(f *Fleet) { f.Put(time.Second, u) } }
 	services := func(names ...string) func(*Fleet) {
@@ -22,21 +23,21 @@
 		then  []func(*Fleet)
 		used  bool
 	}{
-		{"nothing else", entryOf("u", 100, 1), nil, false},
-		{"its entry written again", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 100, 2))}, false},
-		{"its entry lapses and returns", entryOf("u", 100, 1), []func(*Fleet){gone, put(entryOf("u", 100, 3))}, false},
-		{"the same where no start is named", entryOf("u", 0, 1), []func(*Fleet){gone, put(entryOf("u", 0, 3))}, false},
-		{"the list read anew", entryOf("u", 0, 1), []func(*Fleet){put(entryOf("u", 0, 1)), put(entryOf("u", 0, 1))}, false},
-		{"its service dropped and back", entryOf("u", 0, 1), []func(*Fleet){services("x"), services("s")}, false},
-		{"another writer's entry under its id", entryOf("u", 0, 1), []func(*Fleet){services("s"), put(Upstream{ID: "u", StartedAt: 500, Service: "x"}), put(entryOf("u", 0, 4))}, false},
-		{"an entry of an earlier life", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 50, 9))}, false},
-		{"orders go on rising", counting(entryOf("u", 0, 1), 5), []func(*Fleet){gone, put(counting(entryOf("u", 0, 3), 6))}, false},
-		{"a later life", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
-		{"a later life after a lapse", entryOf("u", 100, 1), []func(*Fleet){gone, put(entryOf("u", 200, 2))}, true},
-		{"the first life that is named", entryOf("u", 0, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
-		{"orders fall", counting(entryOf("u", 0, 1), 5), []func(*Fleet){put(counting(entryOf("u", 0, 2), 1))}, true},
-		{"orders fall after a lapse", counting(entryOf("u", 0, 1), 5), []func(*Fleet){gone, put(counting(entryOf("u", 0, 3), 1))}, true},
-		{"another one at its address", entryOf("u", 0, 1), []func(*Fleet){put(other)}, true},
+		{"no further event", entryOf("u", 100, 1), nil, false},
+		{"its entry is written again", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 100, 2))}, false},
+		{"its entry expires and is put again", entryOf("u", 100, 1), []func(*Fleet){gone, put(entryOf("u", 100, 3))}, false},
+		{"its entry expires and is put again, no start time", entryOf("u", 0, 1), []func(*Fleet){gone, put(entryOf("u", 0, 3))}, false},
+		{"the list is read again", entryOf("u", 0, 1), []func(*Fleet){put(entryOf("u", 0, 1)), put(entryOf("u", 0, 1))}, false},
+		{"its service is removed and added again", entryOf("u", 0, 1), []func(*Fleet){services("x"), services("s")}, false},
+		{"another writer's entry under its ID", entryOf("u", 0, 1), []func(*Fleet){services("s"), put(Upstream{ID: "u", StartedAt: 500, Service: "x"}), put(entryOf("u", 0, 4))}, false},
+		{"an entry of an earlier incarnation", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 50, 9))}, false},
+		{"the command count increases", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){gone, put(withCommandCount(entryOf("u", 0, 3), 6))}, false},
+		{"a later incarnation", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
+		{"a later incarnation after its entry expired", entryOf("u", 100, 1), []func(*Fleet){gone, put(entryOf("u", 200, 2))}, true},
+		{"the first entry with a start time", entryOf("u", 0, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
+		{"the command count decreases", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){put(withCommandCount(entryOf("u", 0, 2), 1))}, true},
+		{"the command count decreases after its entry expired", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){gone, put(withCommandCount(entryOf("u", 0, 3), 1))}, true},
+		{"another upstream at its address", entryOf("u", 0, 1), []func(*Fleet){put(other)}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -49,7 +50,7 @@
 				do(f)
 			}
 			if u, known := f.Present("u"); known {
-				f.Proved(u.Incarnation()) // it does not say so again
+				f.Proved(u.Incarnation()) // asked, it does not report leaving again
 			}
 			choice, used := f.Place(2*time.Second, Request{Service: "s"}, nil)
 			is.Equal(used, c.used)
@@ -58,8 +59,9 @@
 	}
 }
 
-// An answer of an earlier life says nothing of the present one, and one of a life that is not listed is remembered.
-func TestWhoseLifeIsLeaving(t *testing.T) {
+// A report of an earlier incarnation does not affect the present one, and a report of an
+// incarnation that is not listed is stored.
+func TestLeavingIsReportedPerIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 	f.Put(0, entryOf("u", 200, 1))
@@ -70,12 +72,13 @@
 	is.True(f.Get("v").Leaving)
 }
 
-// A request that waits for a connection is not sent where its upstream has come to leave, or its domain to be evacuated.
-func TestWhatIsPlacedIsLookedAtBeforeItIsSent(t *testing.T) {
+// A request that waits for a connection is not sent if its upstream has started leaving, or its
+// domain has been evacuated, since it was placed.
+func TestAcceptsAfterPlacement(t *testing.T) {
 	for name, do := range map[string]func(*Fleet){
-		"it says that it is leaving": func(f *Fleet) { f.SaysLeaving(Incarnation{"u", 100}) },
-		"its entry says so":          func(f *Fleet) { f.Put(0, leaving(entryOf("u", 100, 2))) },
-		"its domain is evacuated":    func(f *Fleet) { f.Evacuate("d1") },
+		"it reports that it is leaving":     func(f *Fleet) { f.SaysLeaving(Incarnation{"u", 100}) },
+		"its entry says that it is leaving": func(f *Fleet) { f.Put(0, leaving(entryOf("u", 100, 2))) },
+		"its domain is evacuated":           func(f *Fleet) { f.Evacuate("d1") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -88,39 +91,41 @@
 	}
 }
 
-// While no upstream of a service takes requests, callers are told to come back after as long again.
-func TestHowLongAServiceHasLackedUpstreams(t *testing.T) {
+// While no upstream of a service accepts requests, callers are told to retry after as long as
+// that has lasted.
+func TestLackedFor(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 	f.Put(0, entryOf("u", 100, 1))
-	lacks := func(now time.Duration) time.Duration {
+	unavailable := func(now time.Duration) time.Duration {
 		f.Place(now, Request{Service: "s"}, nil)
 		return f.LackedFor(now, "s")
 	}
-	is.Equal(lacks(time.Second), time.Duration(0))
+	is.Equal(unavailable(time.Second), time.Duration(0))
 	f.SaysLeaving(Incarnation{"u", 100})
-	is.Equal(lacks(2*time.Second), time.Duration(0)) // the first that finds none
-	is.Equal(lacks(4*time.Second), 2*time.Second)
+	is.Equal(unavailable(2*time.Second), time.Duration(0)) // the first request that finds none
+	is.Equal(unavailable(4*time.Second), 2*time.Second)
 	f.Put(5*time.Second, entryOf("u", 200, 2))
-	is.Equal(lacks(6*time.Second), time.Duration(0))
+	is.Equal(unavailable(6*time.Second), time.Duration(0))
 	f.Evacuate("d1")
-	is.Equal(lacks(7*time.Second), time.Duration(0)) // operators say when that ends
-	is.Equal(lacks(8*time.Second), time.Duration(0))
+	is.Equal(unavailable(7*time.Second), time.Duration(0)) // operators decide when an evacuation ends
+	is.Equal(unavailable(8*time.Second), time.Duration(0))
 }
 
-// An upstream started again while the store was away and said that it is leaving, in answers that were taken for those of the life before.
-// When its entry came it got requests again.
-func TestALifeThatMayHaveSaidItIsLeavingIsAskedFirst(t *testing.T) {
+// Guards against sending requests to a leaving upstream. It restarted while the store was
+// unavailable and reported leaving in answers, which were attributed to the previous incarnation;
+// when its entry arrived, it received requests again.
+func TestIncarnationThatMayBeLeavingIsCheckedFirst(t *testing.T) {
 	place := func(f *Fleet) bool {
 		_, ok := f.Place(2*time.Second, Request{Service: "s"}, nil)
 		return ok
 	}
 	for _, says := range []bool{false, true} {
 		for name, entries := range map[string][2]Upstream{
-			"starts are named": {entryOf("u", 100, 1), entryOf("u", 200, 2)},
-			"orders fall":      {counting(entryOf("u", 0, 1), 5), counting(entryOf("u", 0, 2), 1)},
+			"with start times":            {entryOf("u", 100, 1), entryOf("u", 200, 2)},
+			"the command count decreases": {withCommandCount(entryOf("u", 0, 1), 5), withCommandCount(entryOf("u", 0, 2), 1)},
 		} {
-			t.Run(fmt.Sprint(name, ", it says so again: ", says), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", reports leaving again: ", says), func(t *testing.T) {
 				is := is.New(t)
 				f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 				f.Put(0, entries[0])
@@ -140,8 +145,9 @@
 	}
 }
 
-// One whose earlier life was only listed as leaving is used at once: the entry tells which life it is of.
-func TestALifeThatWasListedAsLeavingIsFollowedAtOnce(t *testing.T) {
+// If only the entry said that the previous incarnation was leaving, the next one is used without
+// a check, since an entry states its incarnation.
+func TestIncarnationAfterALeavingEntryIsUsedAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 	f.Put(0, leaving(entryOf("u", 100, 1)))
--- a/balance/limitpart.go
+++ b/balance/limitpart.go
@@ -74,6 +74,6 @@
 	for _, other := range f.byService[m.Service] {
 		sum += other.history.within(now, span)
 	}
-	usual := float64(sum*max(f.boxes, 1)) / float64(max(len(f.byService[m.Service]), 1))
+	usual := float64(sum*max(f.boxCount, 1)) / float64(max(len(f.byService[m.Service]), 1))
 	return unevenly*usual >= float64(requests)
 }
--- a/balance/list.go
+++ b/balance/list.go
@@ -1,8 +1,9 @@
 package balance
 
-// This file defines how the list of upstreams changes. The invariants: a life that is leaving
-// stays so; no two upstreams have the same address, since of those that name it the later start
-// has it; and an entry of a service that the document does not name takes nothing from others.
+// This file defines how the list of upstreams changes. Invariants: an incarnation that is leaving
+// remains leaving; no two upstreams hold the same address, because the one that started last
+// among those naming it holds it; and an entry of a service that the configuration document does
+// not name takes no address from others.
 
 import (
 	"maps"
@@ -11,128 +12,130 @@
 	"time"
 )
 
-// Put adds an upstream, or renews what is known of it, and returns the id of the one whose
-// address it has taken over, or an empty text. An entry of an earlier life changes nothing; one
-// of a later life begins anew, and what was known goes with the life before. A life that is
-// leaving stays so: an entry that says otherwise is an old one.
+// Put adds an upstream or updates its entry. It returns the ID of the upstream whose address it
+// has taken over, or "". An entry of an earlier incarnation is ignored. An entry of a later
+// incarnation discards the state of the previous one. An entry that clears Leaving for an
+// incarnation known to be leaving is out of date, so the incarnation remains leaving.
 func (f *Fleet) Put(now time.Duration, u Upstream) (replaced string) {
-	f.latest = max(f.latest, now)
-	if f.isPast(u) {
+	f.lastPutAt = max(f.lastPutAt, now)
+	if f.isStale(u) {
 		return ""
 	}
-	u = f.renew(u)
+	u = f.mergeEntry(u)
 	if f.serves(u.Service) {
 		holder := f.byAddress[u.Address]
 		if contested := u.Address != "" && holder != nil && holder.ID != u.ID; contested {
-			if !f.takes(u, holder) {
-				f.wait(u)
+			if !f.takesAddressFrom(u, holder) {
+				f.awaitAddress(u)
 				return ""
 			}
-			f.wait(holder.Upstream)
+			f.awaitAddress(holder.Upstream)
 			replaced = holder.ID
 		}
 	}
-	delete(f.waiting, u.ID)
-	f.put(now, u)
+	delete(f.addressWaiters, u.ID)
+	f.putEntry(now, u)
 	return replaced
 }
 
-// renew joins an entry with what is known of its upstream, which goes where the entry tells of
-// another life or serves something else.
-func (f *Fleet) renew(u Upstream) Upstream {
-	before := f.present(u.ID)
+// mergeEntry combines an entry with the known state of its upstream. If the entry belongs to
+// another incarnation or service, the upstream is removed first.
+func (f *Fleet) mergeEntry(u Upstream) Upstream {
+	before := f.entry(u.ID)
 	switch {
 	case before == nil:
-	case isAnother(*before, u), before.Service != u.Service:
+	case isRestart(*before, u), before.Service != u.Service:
 		f.remove(u.ID)
 	case u.StartedAt == 0:
-		u.StartedAt = before.StartedAt // an entry that names no start tells of the life that is known
+		u.StartedAt = before.StartedAt // an entry without a start time belongs to the known incarnation
 	}
-	if f.serves(u.Service) && isAnother(f.lives[u.ID].entry, u) {
-		f.nextLife(u)
+	if f.serves(u.Service) && isRestart(f.incarnations[u.ID].entry, u) {
+		f.startIncarnation(u)
 	}
-	u.Leaving = u.Leaving || f.hasLeft(u.Incarnation())
+	u.Leaving = u.Leaving || f.knownLeaving(u.Incarnation())
 	f.remember(u)
 	return u
 }
 
-// nextLife forgets what the life before said of itself, but that it may have been this one which said that it is leaving.
-func (f *Fleet) nextLife(u Upstream) {
-	said := f.lives[u.ID].said
-	delete(f.lives, u.ID)
-	delete(f.pauses, u.Incarnation().Key()) // lives that name no start have the same
-	f.setLife(lastLife{entry: u, unproven: said})
+// startIncarnation discards what the previous incarnation reported about itself. If that one
+// reported leaving, the report may have come from the new incarnation, which must then be
+// checked.
+func (f *Fleet) startIncarnation(u Upstream) {
+	said := f.incarnations[u.ID].reportedLeaving
+	delete(f.incarnations, u.ID)
+	delete(f.pauses, u.Incarnation().Key()) // incarnations without a start time share one key
+	f.setIncarnation(lastIncarnation{entry: u, needsLeavingCheck: said})
 }
 
-// takes reports whether an entry takes its address from who has it: it is of a later start, or
-// the other is known to have ended. One that is known to have ended takes nothing, nor does one
-// that says no more than the other.
-func (f *Fleet) takes(u Upstream, holder *member) bool {
-	if holder.ended && !f.isLeaving(u) {
+// takesAddressFrom reports whether an entry takes its address from the present holder: it started
+// later, or the holder is known to have been superseded. A superseded incarnation takes no
+// address, nor does an entry that is neither later nor newer.
+func (f *Fleet) takesAddressFrom(u Upstream, holder *member) bool {
+	if holder.superseded && !f.isLeaving(u) {
 		return true
 	}
-	if f.hasLeft(u.Incarnation()) && !holder.Leaving {
+	if f.knownLeaving(u.Incarnation()) && !holder.Leaving {
 		return false
 	}
-	order := later(u, holder.Upstream)
+	order := compareStart(u, holder.Upstream)
 	return order > 0 || order == 0 && u.StartedAt == 0
 }
 
-// wait puts an upstream aside whose address another one has, until that one goes.
-func (f *Fleet) wait(u Upstream) {
+// awaitAddress unlists an upstream whose address another one holds, until that one is removed.
+func (f *Fleet) awaitAddress(u Upstream) {
 	f.remove(u.ID)
-	f.waiting[u.ID] = &u
+	f.addressWaiters[u.ID] = &u
 }
 
-// put adds an upstream, or renews what is known of it.
-func (f *Fleet) put(now time.Duration, u Upstream) {
+// putEntry adds an upstream or updates its entry, without resolving address conflicts.
+func (f *Fleet) putEntry(now time.Duration, u Upstream) {
 	if m := f.byID[u.ID]; m != nil {
 		u.Leaving = u.Leaving || m.Leaving
 		if u.Address != m.Address {
-			f.forgetAddress(m)
+			f.dropAddress(m)
 		}
 		m.service.slots += u.Slots - m.Slots
 		m.Upstream, m.evacuated = u, f.evacuated[u.Domain]
-		f.noteAddress(m)
+		f.claimAddress(m)
 		f.cool(now, m, u.ColdFor)
 		return
 	}
 	if len(f.byID) == 0 {
-		f.listed = now
+		f.firstListedAt = now
 	}
 	s := f.serviceOf(u.Service)
-	m := &member{Upstream: u, service: s, inLanes: weight(u.ID, laneKey), since: now, moved: longAgo, brokeAt: longAgo, key: u.Incarnation().Key(), coldTill: longAgo, evacuated: f.evacuated[u.Domain]}
-	m.unproven = f.Unproven(u.Incarnation())
+	m := &member{Upstream: u, service: s, laneWeight: weight(u.ID, laneKey), listedAt: now, laneChangedAt: longAgo, lastBreakAt: longAgo, key: u.Incarnation().Key(), coldTill: longAgo, evacuated: f.evacuated[u.Domain]}
+	m.needsLeavingCheck = f.Unproven(u.Incarnation())
 	m.history = f.historyOf(m.key)
-	f.recall(m)
-	f.takeWork(m)
-	f.noteAddress(m)
+	f.restore(m)
+	f.takeOverWork(m)
+	f.claimAddress(m)
 	f.cool(now, m, u.ColdFor)
-	if now-f.listed < firstList {
-		m.since = now - f.cfg.Tuning.NewFor // it was there before this box
+	if now-f.firstListedAt < initialListSpan {
+		m.listedAt = now - f.cfg.Tuning.NewFor // it was running before this box started
 	}
 	f.byID[u.ID], f.byKey[m.key] = m, m
 	f.limits.listed = len(f.byID)
-	s.stale, f.othersAnew = true, true
+	s.stale, f.remoteLoadsStale = true, true
 	s.listed++
 	s.slots += u.Slots
 	f.byService[u.Service] = append(f.byService[u.Service], m)
-	f.sharedAnew = true
+	f.rationsStale = true
 }
 
-// Remove forgets an upstream; one that waits for its address gets it. Tickets that are open on
-// it may still be closed.
+// Remove unlists an upstream and gives its address to the next upstream that waits for it.
+// Tickets that are open on the removed upstream can still be closed.
 func (f *Fleet) Remove(id string) {
 	m := f.byID[id]
 	f.remove(id)
 	if m != nil {
-		f.free(f.latest, m.Address)
+		f.releaseAddress(f.lastPutAt, m.Address)
 	}
 }
 
-// remove forgets an upstream.
+// remove unlists an upstream.
 func (f *Fleet) remove(id string) {
-	delete(f.waiting, id)
+	delete(f.addressWaiters, id)
 	m := f.byID[id]
 	if m == nil {
 		return
@@ -140,92 +143,93 @@
 	f.remember(m.Upstream)
 	delete(f.byID, id)
 	if m.hasOpen() {
-		f.gone[id] = m
+		f.unlisted[id] = m
 	}
 	if f.byKey[m.key] == m {
 		delete(f.byKey, m.key)
 	}
-	f.forgetAddress(m)
+	f.dropAddress(m)
 	m.service.stale = true
 	m.service.listed--
 	m.service.slots -= m.Slots
-	f.kept.forget(m)
-	f.markIn(m) // it counts among those of a domain that is left no more
+	f.parts.forget(m)
+	f.markIn(m) // remove it from the count of its cut-off domain
 	m.setLost(false, false)
 	isIt := func(other *member) bool { return other == m }
 	f.byService[m.Service] = slices.DeleteFunc(f.byService[m.Service], isIt)
 	f.cold = slices.DeleteFunc(f.cold, isIt)
-	f.forgetHistory(f.latest, m.key)
+	f.forgetHistory(f.lastPutAt, m.key)
 }
 
-// free gives an address that nobody has any more to the one that is next for it.
-func (f *Fleet) free(now time.Duration, address string) {
+// releaseAddress gives an address that no upstream holds to the next one that waits for it.
+func (f *Fleet) releaseAddress(now time.Duration, address string) {
 	if address == "" || f.byAddress[address] != nil {
 		return
 	}
-	if next := f.nextFor(address); next != nil {
+	if next := f.nextWaiter(address); next != nil {
 		f.Put(now, *next)
 	}
 }
 
-// nextFor is the latest of those that wait for an address, before all that have left; nil where
-// nobody waits.
-func (f *Fleet) nextFor(address string) *Upstream {
+// nextWaiter returns the entry that gets an address next: the latest of those that wait for it,
+// and one that is not leaving before any that is. It returns nil if none waits.
+func (f *Fleet) nextWaiter(address string) *Upstream {
 	var next *Upstream
-	for _, u := range f.waiting {
-		if u.Address == address && (next == nil || f.goesBefore(*u, *next)) {
+	for _, u := range f.addressWaiters {
+		if u.Address == address && (next == nil || f.precedes(*u, *next)) {
 			next = u
 		}
 	}
 	return next
 }
 
-// goesBefore reports whether an entry gets an address before another one that waits for it.
-func (f *Fleet) goesBefore(a, b Upstream) bool {
+// precedes reports whether entry a gets an address before entry b when both wait for it.
+func (f *Fleet) precedes(a, b Upstream) bool {
 	if left := f.isLeaving(a); left != f.isLeaving(b) {
 		return !left
 	}
-	return later(a, b) > 0
+	return compareStart(a, b) > 0
 }
 
-// isLeaving reports whether an upstream takes no new requests, by its entry or by what is known
-// of its life.
-func (f *Fleet) isLeaving(u Upstream) bool { return u.Leaving || f.hasLeft(u.Incarnation()) }
+// isLeaving reports whether an upstream takes no new requests, according to its entry or to what
+// is known of its incarnation.
+func (f *Fleet) isLeaving(u Upstream) bool { return u.Leaving || f.knownLeaving(u.Incarnation()) }
 
-// Named notes that an upstream which was meant answered that it is another one: that one has
-// the address, if its entry waits for it.
+// Named records that the incarnation meant answered with another upstream ID. If the entry of
+// that upstream waits for the address, it takes the address over.
 func (f *Fleet) Named(now time.Duration, meant Incarnation, said string) {
-	m, waits := f.byID[meant.ID], f.waiting[said]
+	m, waits := f.byID[meant.ID], f.addressWaiters[said]
 	if m == nil || m.Incarnation() != meant || waits == nil || waits.Address != m.Address {
 		return
 	}
 	u := *waits
 	f.ended(m)
-	f.wait(m.Upstream)
+	f.awaitAddress(m.Upstream)
 	f.Put(now, u)
 }
 
-// SetServices notes which services the document in force names. Most versions of it name the same: to look through
-// thousands of upstreams for each would hold up the requests of a box that come meanwhile.
+// SetServices sets the services that the configuration document in force names. A document that
+// names the same services as the previous one returns early: most versions do, and scanning
+// thousands of upstreams for each would delay the box's requests.
 func (f *Fleet) SetServices(now time.Duration, names []string) {
 	named := make(map[string]bool, len(names))
 	for _, name := range names {
 		named[name] = true
 	}
-	if f.named != nil && maps.Equal(named, f.named) {
+	if f.documentServices != nil && maps.Equal(named, f.documentServices) {
 		return
 	}
-	f.named = named
+	f.documentServices = named
 	for _, m := range f.membersInOrder() {
 		if !f.serves(m.Service) {
-			f.forgetAddress(m)
-			f.free(now, m.Address)
+			f.dropAddress(m)
+			f.releaseAddress(now, m.Address)
 		}
 	}
 	for _, m := range f.membersInOrder() {
-		if m.Address != "" && f.lists(m) && f.serves(m.Service) && f.byAddress[m.Address] != m {
+		if m.Address != "" && f.isListed(m) && f.serves(m.Service) && f.byAddress[m.Address] != m {
 			u := m.Upstream
-			u.ColdFor = 0 // that was taken in before
+			u.ColdFor = 0 // the cold time was applied when the entry was first put
 			f.Put(now, u)
 		}
 	}
@@ -237,10 +241,13 @@
 	return m != nil && f.serves(m.Service)
 }
 
-// serves reports whether there is such a service, as far as is known.
-func (f *Fleet) serves(service string) bool { return f.named == nil || f.named[service] }
+// serves reports whether the document names a service. Before the first document every service
+// counts as named.
+func (f *Fleet) serves(service string) bool {
+	return f.documentServices == nil || f.documentServices[service]
+}
 
-// membersInOrder lists the upstreams by id.
+// membersInOrder returns the listed upstreams, sorted by ID.
 func (f *Fleet) membersInOrder() []*member {
 	list := make([]*member, 0, len(f.byID))
 	for _, m := range f.byID {
@@ -250,15 +257,15 @@
 	return list
 }
 
-// noteAddress notes that an upstream has its address.
-func (f *Fleet) noteAddress(m *member) {
+// claimAddress records an upstream as the holder of its address.
+func (f *Fleet) claimAddress(m *member) {
 	if f.serves(m.Service) {
 		f.byAddress[m.Address] = m
 	}
 }
 
-// forgetAddress forgets that an upstream has its address.
-func (f *Fleet) forgetAddress(m *member) {
+// dropAddress removes an upstream as the holder of its address.
+func (f *Fleet) dropAddress(m *member) {
 	if f.byAddress[m.Address] == m {
 		delete(f.byAddress, m.Address)
 	}
--- a/balance/load.go
+++ b/balance/load.go
@@ -1,53 +1,53 @@
 package balance
 
-// This file defines the work that is under way on an upstream, by urgency: engines
-// read the prompts of more urgent requests first. The invariant: no count is below 0.
+// This file defines the work in progress on an upstream, by urgency: engines read the prompts of
+// more urgent requests first. Invariant: no count is negative.
 
 import "github.com/cespare/xxhash/v2"
 
-// Levels is how many urgencies are told apart; those beyond count as the last.
+// Levels is the number of urgency levels. Greater urgency values count as the last level.
 const Levels = 10
 
-// Load is what boxes have under way on an upstream.
+// Load is the work that boxes have in progress on an upstream.
 type Load struct {
-	Unread int // prompt tokens that are not yet read
-	Open   int // requests
-	Tight  int // those of them whose events must follow each other closely
-	Held   int // tokens of its memory that they take, or will
+	Unread int // prompt tokens not yet read
+	Open   int // open requests
+	Tight  int // open requests that are tight streams: the gaps between their events must be short
+	Held   int // tokens of the upstream's memory reserved for the open requests
 }
 
-// Plus is the sum of two loads.
+// Plus returns the sum of two loads.
 func (l Load) Plus(o Load) Load {
 	return Load{Unread: l.Unread + o.Unread, Open: l.Open + o.Open, Tight: l.Tight + o.Tight, Held: l.Held + o.Held}
 }
 
-// Minus is the load less another one; none of its fields is below 0.
+// Minus returns the difference of two loads, with negative fields set to 0.
 func (l Load) Minus(o Load) Load {
 	return Load{Unread: l.Unread - o.Unread, Open: l.Open - o.Open, Tight: l.Tight - o.Tight, Held: l.Held - o.Held}.floored()
 }
 
-// floored is the load with 0 for each field that is below.
+// floored returns the load with negative fields set to 0.
 func (l Load) floored() Load {
 	return Load{Unread: max(0, l.Unread), Open: max(0, l.Open), Tight: max(0, l.Tight), Held: max(0, l.Held)}
 }
 
-// LoadKey says whose load it is, where boxes tell each other.
+// LoadKey identifies a load in reports between boxes.
 type LoadKey struct {
-	Upstream uint32 // key of its life
+	Upstream uint32 // key of its incarnation
 	Urgency  int
 }
 
-// Key identifies an upstream of which no start is known, a service or a class, where boxes
-// tell each other of it.
+// Key identifies an upstream without a known start time, a service or a class in messages between
+// boxes.
 func Key(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 // work is the load by urgency.
 type work [Levels]Load
 
-// add counts a change of the load at an urgency; its fields may be below 0.
+// add applies a change to the load at an urgency. Fields of the change may be negative.
 func (w *work) add(urgency int, change Load) { w[urgency] = w[urgency].Plus(change).floored() }
 
-// upTo adds up what is at least as urgent.
+// upTo returns the total load at an urgency and all more urgent levels.
 func (w *work) upTo(urgency int) Load {
 	var sum Load
 	for _, l := range w[:urgency+1] {
@@ -56,24 +56,24 @@
 	return sum
 }
 
-// ahead is the prompt tokens that an upstream reads before those of a request with
-// the urgency, for all boxes.
-func (m *member) ahead(urgency int) int {
-	return m.work.upTo(urgency).Unread + m.others.upTo(urgency).Unread
+// unreadAhead returns the prompt tokens, over all boxes, that an upstream reads before those of a
+// request with the given urgency.
+func (m *member) unreadAhead(urgency int) int {
+	return m.work.upTo(urgency).Unread + m.remoteWork.upTo(urgency).Unread
 }
 
-// underWay is the load at all urgencies, for all boxes.
-func (m *member) underWay() Load {
+// totalLoad returns the load at all urgencies over all boxes.
+func (m *member) totalLoad() Load {
 	if !m.active {
 		return Load{}
 	}
-	return m.work.upTo(Levels - 1).Plus(m.others.upTo(Levels - 1))
+	return m.work.upTo(Levels - 1).Plus(m.remoteWork.upTo(Levels - 1))
 }
 
-// open is how many requests are under way, for all boxes.
-func (m *member) open() int { return m.underWay().Open }
+// open returns the number of open requests over all boxes.
+func (m *member) open() int { return m.totalLoad().Open }
 
-// Loads returns what this box has under way.
+// Loads returns the work of this box in progress.
 func (f *Fleet) Loads() map[LoadKey]Load {
 	loads := make(map[LoadKey]Load)
 	for _, s := range f.services {
@@ -84,9 +84,9 @@
 	return loads
 }
 
-// addLoads adds what this box has under way on an upstream, where that is listed.
+// addLoads adds the work of this box on an upstream, if the upstream is listed.
 func (f *Fleet) addLoads(loads map[LoadKey]Load, m *member) {
-	if !f.lists(m) {
+	if !f.isListed(m) {
 		return
 	}
 	for urgency, l := range m.work {
@@ -96,44 +96,45 @@
 	}
 }
 
-// UpdateRemoteLoads takes changes in what all other boxes have under way; an empty load is none.
+// UpdateRemoteLoads applies changes to the total loads of the other boxes. An empty Load clears
+// the entry.
 func (f *Fleet) UpdateRemoteLoads(changes map[LoadKey]Load) {
 	if f.cfg.Off[Loads] {
 		return
 	}
 	for key, load := range changes {
-		f.setOther(key, load)
+		f.setRemoteLoad(key, load)
 	}
 }
 
-// setOther notes a load of all other boxes, unless its upstream is not known or the urgency
-// is none of ours.
-func (f *Fleet) setOther(key LoadKey, load Load) {
+// setRemoteLoad sets a total load of the other boxes. It ignores unknown upstreams and urgencies
+// out of range.
+func (f *Fleet) setRemoteLoad(key LoadKey, load Load) {
 	m := f.byKey[key.Upstream]
 	if m == nil || key.Urgency < 0 || key.Urgency >= Levels {
 		return
 	}
-	m.others[key.Urgency] = load
+	m.remoteWork[key.Urgency] = load
 	f.activate(m)
 }
 
-// NeedsRemoteLoads reports whether an upstream was listed since SetOthers: other boxes may have told before that they have
-// work there.
-func (f *Fleet) NeedsRemoteLoads() bool { return f.othersAnew }
+// NeedsRemoteLoads reports whether an upstream was listed after the last SetOthers. Other boxes
+// may have reported loads for it before.
+func (f *Fleet) NeedsRemoteLoads() bool { return f.remoteLoadsStale }
 
-// SetOthers takes what all other boxes have under way. It costs as much as there is
-// work, not as there are upstreams.
+// SetOthers replaces the total loads of the other boxes. Its cost grows with the amount of work,
+// not with the number of upstreams.
 func (f *Fleet) SetOthers(loads map[LoadKey]Load) {
-	f.othersAnew = false
+	f.remoteLoadsStale = false
 	for _, s := range f.services {
 		for _, m := range s.active {
-			m.others = work{}
+			m.remoteWork = work{}
 		}
 	}
 	if f.cfg.Off[Loads] {
 		return
 	}
 	for key, load := range loads {
-		f.setOther(key, load)
+		f.setRemoteLoad(key, load)
 	}
 }
--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -35,7 +35,7 @@
 		}},
 		{Slots, func(f *Fleet) bool {
 			home, _ := f.Place(0, letter(1), nil)
-			holdSlots(f, time.Second)
+			setHoldTime(f, time.Second)
 			busy(f, home.Upstream.ID, Load{Open: 40})
 			c, _ := f.Place(0, letter(1), nil)
 			return c.Upstream.ID != home.Upstream.ID
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -1,15 +1,15 @@
 package balance
 
-// This file defines how much of an upstream's memory requests take, and where they fit. The
-// load that it answers: a burst of the longest prompts. An engine whose requests outgrow its
-// memory puts some of them back, or falls over with all of them.
+// This file accounts for the memory that requests take at upstreams and limits placement by it.
+// It handles bursts of the longest prompts: an engine whose requests outgrow its memory preempts
+// some of them, or crashes and loses all of them.
 //
-// Counted is what cannot give way: of each request its whole prompt, though others that run
-// may share a part of it, and the answer that it may get; what engines keep beside that gives
-// way. The invariant: a box never places a request where what it knows of, its own requests and
-// those that others told, would leave less than the spare room of the memory; so that all boxes
-// together exceed the memory by no more than what the others place there before they have told
-// it, less that spare room. A box that does not know of the others keeps to its part.
+// The account contains what an engine cannot evict: for each request its whole prompt, even if
+// running requests share a part of it, and the expected answer. Cached parts beyond that can be
+// evicted. Invariant: a box places a request only if its own requests and those reported by
+// others, together, leave the reserve of the memory free. All boxes together thus exceed the
+// memory by no more than what the others place there before reporting it, less the reserve. A box
+// without reports from the others keeps to its share of the memory.
 
 import (
 	"math"
@@ -18,32 +18,32 @@
 )
 
 const (
-	// memorySpare is the part of an upstream's memory that is left free, for small requests that
-	// boxes place at the same moment and for answers that are longer than thought.
-	memorySpare = 0.1
-	// answerSpread is how many times the tokens that its caller expects an answer is counted
-	// with: guesses are right in the median, and half of that again is the usual error.
-	answerSpread = 2
-	// answerUnknown is the tokens of an answer of which nothing is expected.
-	answerUnknown = 512
-	// memoryWaitLeast and memoryWaitMost bound when a caller shall come back that found no memory.
-	memoryWaitLeast, memoryWaitMost = 300 * time.Millisecond, 3 * time.Second
+	// memoryReserve is the share of an upstream's memory that is kept free, for small requests
+	// that boxes place at the same moment and for answers longer than expected.
+	memoryReserve = 0.1
+	// answerFactor multiplies the answer length that the caller expects: estimates are right in
+	// the median, and half as much again is the usual error.
+	answerFactor = 2
+	// defaultAnswerTokens is counted for an answer without an expected length.
+	defaultAnswerTokens = 512
+	// minMemoryWait and maxMemoryWait bound the retry delay given to a caller for whose request
+	// no upstream has memory.
+	minMemoryWait, maxMemoryWait = 300 * time.Millisecond, 3 * time.Second
 )
 
-// SetMemory notes how many tokens the memory of each upstream of a service holds; 0: not known.
+// SetMemory sets the number of tokens that the memory of each upstream of a service holds; 0 if
+// unknown.
 func (f *Fleet) SetMemory(service string, tokens int) { f.serviceOf(service).memory = tokens }
 
-// SetBoxes notes how many boxes there are, and whether this one knows what the others have
-// under way.
+// SetBoxes sets the number of boxes, and whether this box knows the loads of the others.
 func (f *Fleet) SetBoxes(boxes int, informed bool) {
-	f.part, f.boxes = 1, boxes
+	f.memoryShare, f.boxCount = 1, boxes
 	if !informed {
-		f.part = 1 / float64(max(boxes, 1))
+		f.memoryShare = 1 / float64(max(boxes, 1))
 	}
 }
 
-// memoryOf is how many tokens of memory an upstream has; 0 where that is not known, or
-// does not matter.
+// memoryOf returns the memory of an upstream in tokens; 0 if it is unknown or not enforced.
 func (f *Fleet) memoryOf(service string) int {
 	if f.cfg.Off[Memory] {
 		return 0
@@ -51,32 +51,32 @@
 	return f.serviceOf(service).memory
 }
 
-// needs is how many tokens of an upstream's memory a request may take: a part of a prompt that others
-// use counts for each of them.
+// needs returns the number of memory tokens to count for a request. A prompt part that several
+// requests use counts for each of them.
 func (r Request) needs() int {
 	switch {
 	case r.Tokens == 0:
 		return 0
 	case r.Expected == 0:
-		return r.Tokens + answerUnknown
+		return r.Tokens + defaultAnswerTokens
 	}
-	return r.Tokens + answerSpread*r.Expected
+	return r.Tokens + answerFactor*r.Expected
 }
 
-// held is how many tokens an upstream's memory holds for all boxes' requests.
+// held returns the number of memory tokens counted at an upstream, over all boxes.
 func (m *member) held() int {
 	if !m.active {
 		return 0
 	}
 	sum := 0
 	for i := range m.work {
-		sum += m.work[i].Held + m.others[i].Held
+		sum += m.work[i].Held + m.remoteWork[i].Held
 	}
 	return sum
 }
 
-// ownHeld is the same for this box's requests.
-func (m *member) ownHeld() int {
+// ownHeldTokens returns the number of memory tokens counted for this box's requests.
+func (m *member) ownHeldTokens() int {
 	if !m.active {
 		return 0
 	}
@@ -87,52 +87,52 @@
 	return sum
 }
 
-// memoryBound is what decides whether an upstream of a service has memory for a request.
+// memoryBound decides whether an upstream of a service has memory for a request.
 type memoryBound struct {
-	bound bool    // else nothing is known of the memory, or of the request
-	never bool    // no upstream can hold it
-	needs int     // tokens
-	room  int     // that may be held once it is placed
-	part  float64 // of the room that this box may fill
+	bound    bool    // false if the memory or the request's size is unknown, so that nothing is limited
+	tooLarge bool    // no upstream can hold the request
+	needs    int     // tokens counted for the request
+	limit    int     // tokens that may be held once the request is placed
+	share    float64 // share of limit that this box may fill
 }
 
-// memoryBoundOf works out once for a request what it needs: to do so for each of hundreds of
-// upstreams would cost more than the rest of placing it.
+// memoryBoundOf computes the bound for a request once; computing it for each of hundreds of
+// upstreams would cost more than the rest of the placement.
 func (f *Fleet) memoryBoundOf(r Request) memoryBound {
 	memory := f.memoryOf(r.Service)
 	if memory == 0 || r.Tokens == 0 {
 		return memoryBound{}
 	}
-	return memoryBound{bound: true, never: f.TooLarge(r), needs: r.needs(), room: roomFor(memory, r), part: f.part}
+	return memoryBound{bound: true, tooLarge: f.TooLarge(r), needs: r.needs(), limit: memoryLimit(memory, r), share: f.memoryShare}
 }
 
-// fits reports whether an upstream has memory for the request. Whatever it needs, it fits where
-// nothing else is held, as long as it is not too large for any.
+// fits reports whether an upstream has memory for the request. If nothing else is held there,
+// every request fits that is not too large for all upstreams.
 func (b memoryBound) fits(m *member) bool {
 	if !b.bound {
 		return true
 	}
 	held := m.held()
 	switch {
-	case b.never:
+	case b.tooLarge:
 		return false
 	case held == 0:
 		return true
-	case held+b.needs > b.room:
+	case held+b.needs > b.limit:
 		return false
 	}
-	own := m.ownHeld()
-	return own == 0 || float64(own+b.needs) <= b.part*float64(b.room)
+	own := m.ownHeldTokens()
+	return own == 0 || float64(own+b.needs) <= b.share*float64(b.limit)
 }
 
-// again is the bound of a request that is sent again: it has begun elsewhere, and to keep room for
-// one more as large would break off what can go on.
-func (b memoryBound) again() memoryBound {
-	b.room += b.needs
+// forRetry returns the bound for a request that is sent again. It keeps no room for another
+// request of the same size, since refusing the retry would abort an answer that can continue.
+func (b memoryBound) forRetry() memoryBound {
+	b.limit += b.needs
 	return b
 }
 
-// fitting returns those of the list that have memory for the request.
+// fitting returns the upstreams of a list that have memory for the request.
 func (b memoryBound) fitting(list []*member) []*member {
 	if !b.bound {
 		return list
@@ -140,25 +140,25 @@
 	return slices.DeleteFunc(list, func(m *member) bool { return !b.fits(m) })
 }
 
-// roomFor is how much of a memory may be held after a request is placed: with spare room for
-// one more that is as large, which another box may be placing at this moment.
-func roomFor(memory int, r Request) int {
-	return memory - r.needs() - int(memorySpare*float64(memory))
+// memoryLimit returns how much of a memory may be held once a request is placed. It leaves the
+// reserve and room for another request of the same size, which another box may be placing at the
+// same moment.
+func memoryLimit(memory int, r Request) int {
+	return memory - r.needs() - int(memoryReserve*float64(memory))
 }
 
-// TooLarge reports whether a request's prompt is larger than the whole memory of an upstream. How
-// long its answer will be is a guess, which refuses nothing for good.
+// TooLarge reports whether a request's prompt exceeds the whole memory of an upstream. The length
+// of the answer is an estimate and therefore never makes a request too large.
 func (f *Fleet) TooLarge(r Request) bool {
 	memory := f.memoryOf(r.Service)
 	return memory > 0 && r.Tokens > memory
 }
 
-// MemoryLeft is how long it takes, as far as can be told, until an upstream that takes requests
-// has memory for the request; 0 where one has, or where nothing is known of how long requests
-// run.
+// MemoryLeft returns the estimated time until an upstream that accepts requests has memory for
+// the request. It returns 0 if one has memory now, or if the run time of requests is unknown.
 func (f *Fleet) MemoryLeft(now time.Duration, r Request) time.Duration {
 	bound := f.memoryBoundOf(r)
-	if !bound.bound || bound.never {
+	if !bound.bound || bound.tooLarge {
 		return 0
 	}
 	mayLeave := f.tight(r)
@@ -166,47 +166,47 @@
 	runs := f.serviceOf(r.Service).holding.mean(now)
 	for _, m := range f.byService[r.Service] {
 		switch {
-		case m.closed() || m.out || !mayLeave && !f.inLane(now, m, false):
+		case m.closed() || m.unreachable || !mayLeave && !f.inLane(now, m, false):
 			continue
 		case bound.fits(m):
 			return 0
 		}
-		least = min(least, bound.freeIn(m, runs))
+		least = min(least, bound.waitFor(m, runs))
 	}
 	if least == math.MaxInt64 {
 		return 0
 	}
-	return min(max(least, memoryWaitLeast), memoryWaitMost)
+	return min(max(least, minMemoryWait), maxMemoryWait)
 }
 
-// freeIn is how long it takes until an upstream has memory for the request, where those that it
-// runs take so long: they end one after the other.
-func (b memoryBound) freeIn(m *member, runs time.Duration) time.Duration {
+// waitFor returns the estimated time until an upstream has memory for the request, given how long
+// requests run there. They end one after the other.
+func (b memoryBound) waitFor(m *member, runs time.Duration) time.Duration {
 	held := m.held()
-	over := min(max(held+b.needs-b.room, 0), held)
+	over := min(max(held+b.needs-b.limit, 0), held)
 	return part(runs, float64(over)/float64(max(held, 1)))
 }
 
-// Made notes how many events an answer has by now. One that has become longer than was thought
-// takes more memory: half as much again as what it has, so that it is counted anew
-// seldom.
+// Made records the number of events of the answer so far. An answer that outgrows the memory
+// counted for it is counted with half as much again as its present length, so that updates are
+// rare.
 func (t *Ticket) Made(events int) {
 	perToken := t.fleet.eventsPerToken(t.request.Service)
 	if t.closed || t.held == 0 || perToken == 0 {
 		return
 	}
-	made := int(float64(events) / perToken)
-	if t.request.Tokens+made <= t.held {
+	answerTokens := int(float64(events) / perToken)
+	if t.request.Tokens+answerTokens <= t.held {
 		return
 	}
-	held := t.request.Tokens + made + made/2
+	held := t.request.Tokens + answerTokens + answerTokens/2
 	t.count(Load{Held: held - t.held})
 	t.held = held
 }
 
-// eventsPerToken is how many events an answer has for each token that its caller expects, 0
-// where nothing is known. Callers' guesses are right in the median, so that its inverse is about the
-// tokens of an event.
+// eventsPerToken returns the number of answer events per expected token, or 0 if unknown.
+// Callers' estimates are right in the median, so its inverse is about the number of tokens per
+// event.
 func (f *Fleet) eventsPerToken(service string) float64 {
 	events := f.serviceOf(service).answers.events
 	if events.weight == 0 {
@@ -215,8 +215,8 @@
 	return events.value()
 }
 
-// SetAside counts a slot and the memory that the copy of a run takes at an upstream, until it is
-// used or given up.
+// SetAside counts the slot and the memory that a copy of a running request takes at an upstream,
+// until the copy is used or given up.
 func (f *Fleet) SetAside(id string, r Request) *Ticket {
 	m := f.byID[id]
 	if m == nil {
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -9,10 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-const testMemory = 60000 // tokens of an upstream, as the tests have it
+const testMemory = 60000 // tokens of an upstream
 
-// book is a request with a prompt of its own and an answer of so many tokens, as expected.
-func book(id uint64, tokens, expected int) Request {
+// unsharedRequest returns a request whose prompt shares almost nothing, with an expected answer
+// length.
+func unsharedRequest(id uint64, tokens, expected int) Request {
 	return Request{Service: "s", Tokens: tokens, Expected: expected, Parts: []Part{{ID: 1, Tokens: 1}, {ID: 1e9 + id, Tokens: tokens - 1}}}
 }
 
@@ -22,33 +23,33 @@
 	return f
 }
 
-func TestWhatFitsAnUpstreamsMemory(t *testing.T) {
+func TestMemoryBound(t *testing.T) {
 	const (
-		room  = testMemory*9/10 - 21000 // for a request that needs so much there is to be room once more
+		room  = testMemory*9/10 - 21000 // a request of this size leaves room for another one of the same size
 		small = testMemory*9/10 - 1000
 	)
 	tests := []struct {
 		name        string
-		own, others int // held already
+		own, others int // tokens held already
 		request     Request
 		informed    bool
 		want        bool
 	}{
-		{"an empty one", 0, 0, book(1, 20000, 500), true, true},
-		{"a full one", 0, room, book(1, 20000, 500), true, false},
-		{"up to its room", 0, room - 21000, book(1, 20000, 500), true, true},
-		{"beyond its room", 0, room - 20999, book(1, 20000, 500), true, false},
-		{"an answer of unknown length", 0, room - 20000, book(1, 20000, 0), true, false},
-		{"a small one up to its room", 0, small - 1000, book(1, 800, 100), true, true},
-		{"a small one beyond its room", 0, small - 999, book(1, 800, 100), true, false},
-		{"all of its memory, and nothing else there", 0, 0, book(1, testMemory-100, 100), true, true},
-		{"an answer that may not fit, and nothing else there", 0, 0, book(1, testMemory-100, 101), true, true},
-		{"the same beside another", 1, 0, book(1, testMemory-100, 101), true, false},
-		{"a prompt of more than its memory", 0, 0, book(1, testMemory+1, 0), true, false},
-		{"without a prompt", room, room, Request{Service: "s"}, true, true},
-		{"nothing is known of the others, and nothing of this box is there", 0, 100, book(1, 20000, 500), false, true},
-		{"nothing is known of the others, and its part is full", 20000, 0, book(1, 20000, 500), false, false},
-		{"nothing is known of the others, and it stays in its part", 1000, 0, book(1, 6000, 500), false, true},
+		{"empty upstream", 0, 0, unsharedRequest(1, 20000, 500), true, true},
+		{"full upstream", 0, room, unsharedRequest(1, 20000, 500), true, false},
+		{"up to the limit", 0, room - 21000, unsharedRequest(1, 20000, 500), true, true},
+		{"beyond the limit", 0, room - 20999, unsharedRequest(1, 20000, 500), true, false},
+		{"unknown answer length", 0, room - 20000, unsharedRequest(1, 20000, 0), true, false},
+		{"small request up to the limit", 0, small - 1000, unsharedRequest(1, 800, 100), true, true},
+		{"small request beyond the limit", 0, small - 999, unsharedRequest(1, 800, 100), true, false},
+		{"the whole memory of an idle upstream", 0, 0, unsharedRequest(1, testMemory-100, 100), true, true},
+		{"an idle upstream, and the answer may not fit", 0, 0, unsharedRequest(1, testMemory-100, 101), true, true},
+		{"the answer may not fit, beside another request", 1, 0, unsharedRequest(1, testMemory-100, 101), true, false},
+		{"a prompt larger than the memory", 0, 0, unsharedRequest(1, testMemory+1, 0), true, false},
+		{"no prompt", room, room, Request{Service: "s"}, true, true},
+		{"no reports from other boxes, no request of this box", 0, 100, unsharedRequest(1, 20000, 500), false, true},
+		{"no reports from other boxes, share of this box is full", 20000, 0, unsharedRequest(1, 20000, 500), false, false},
+		{"no reports from other boxes, within the share of this box", 1000, 0, unsharedRequest(1, 6000, 500), false, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -57,7 +58,7 @@
 			f.SetBoxes(4, tt.informed)
 			m := f.byID["u0"]
 			m.work[3].Held = tt.own
-			othersHold(f, m, 5, tt.others)
+			setRemoteMemory(f, m, 5, tt.others)
 			is.Equal(f.memoryBoundOf(tt.request).fits(m), tt.want)
 			_, ok := f.Place(0, tt.request, nil)
 			is.Equal(ok, tt.want)
@@ -67,26 +68,26 @@
 	}
 }
 
-func TestWhatNoUpstreamCanHold(t *testing.T) {
+func TestTooLarge(t *testing.T) {
 	is := is.New(t)
 	f := newMemoryFleet(3)
-	is.True(!f.TooLarge(book(1, testMemory, 0)))
-	is.True(f.TooLarge(book(1, testMemory+1, 0)))
-	is.True(!f.TooLarge(book(1, testMemory, 1))) // the answer may turn out shorter
-	is.True(!f.TooLarge(book(1, testMemory-1, testMemory)))
-	is.True(f.TooLarge(book(1, testMemory+1, 1)))
-	f.SetMemory("s", 0) // not known
-	is.True(!f.TooLarge(book(1, 10*testMemory, 1)))
+	is.True(!f.TooLarge(unsharedRequest(1, testMemory, 0)))
+	is.True(f.TooLarge(unsharedRequest(1, testMemory+1, 0)))
+	is.True(!f.TooLarge(unsharedRequest(1, testMemory, 1))) // the answer may be shorter than expected
+	is.True(!f.TooLarge(unsharedRequest(1, testMemory-1, testMemory)))
+	is.True(f.TooLarge(unsharedRequest(1, testMemory+1, 1)))
+	f.SetMemory("s", 0) // unknown
+	is.True(!f.TooLarge(unsharedRequest(1, 10*testMemory, 1)))
 }
 
-// An answer that becomes longer than its caller expects is counted anew.
-func TestALongAnswerTakesMoreMemory(t *testing.T) {
+// An answer longer than its caller expects raises the memory counted for it.
+func TestLongAnswerTakesMoreMemory(t *testing.T) {
 	is := is.New(t)
 	f := newMemoryFleet(1)
-	f.serviceOf("s").answers.noteLength(100, 20) // an event for five tokens
-	ticket := f.Open(0, "u0", book(1, 1000, 100))
+	f.serviceOf("s").answers.noteLength(100, 20) // one event per five tokens
+	ticket := f.Open(0, "u0", unsharedRequest(1, 1000, 100))
 	is.Equal(f.byID["u0"].held(), 1200)
-	ticket.Made(40) // 200 tokens, as many as are counted
+	ticket.Made(40) // 200 tokens, which are counted already
 	is.Equal(f.byID["u0"].held(), 1200)
 	ticket.Made(100)
 	is.Equal(f.byID["u0"].held(), 1000+500+250)
@@ -95,42 +96,42 @@
 	is.Equal(f.byID["u0"].held(), 0)
 }
 
-// An answer moves only to where there is memory for it, and its copy counts from the moment
-// at which it is ordered.
-func TestAnAnswerMovesToWhereItFits(t *testing.T) {
+// An answer moves only to an upstream with memory for it, and its copy counts from the moment it
+// is reserved.
+func TestAnswerMovesOnlyToUpstreamsWithMemory(t *testing.T) {
 	is := is.New(t)
 	f := seenFleet(3)
 	f.SetMemory("s", testMemory)
 	late := Progress{Events: 10, Between: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
-	othersHold(f, f.byID["u1"], 0, testMemory*9/10)
+	setRemoteMemory(f, f.byID["u1"], 0, testMemory*9/10)
 	m, ok := f.MoveTo(time.Second, long(100, 360), "u0", late)
 	is.True(ok)
 	is.Equal(m.To.ID, "u2")
-	aside := f.SetAside("u2", long(100, 360))
+	reserved := f.SetAside("u2", long(100, 360))
 	is.Equal(f.Loads()[LoadKey{Key("u2"), 0}], Load{Open: 1, Held: 1400 + 720})
-	aside.Close(time.Second, Neutral)
+	reserved.Close(time.Second, Neutral)
 	is.Equal(f.byID["u2"].held(), 0)
-	othersHold(f, f.byID["u2"], 0, testMemory*9/10)
+	setRemoteMemory(f, f.byID["u2"], 0, testMemory*9/10)
 	_, ok = f.MoveTo(time.Second, long(101, 360), "u0", late)
 	is.True(!ok)
 }
 
-func TestWhenAnUpstreamHasMemoryAgain(t *testing.T) {
+func TestMemoryLeft(t *testing.T) {
 	is := is.New(t)
 	f := newMemoryFleet(2)
-	holdSlots(f, 4*time.Second)
-	is.Equal(f.MemoryLeft(0, book(1, 20000, 0)), time.Duration(0)) // now
+	setHoldTime(f, 4*time.Second)
+	is.Equal(f.MemoryLeft(0, unsharedRequest(1, 20000, 0)), time.Duration(0)) // now
 	for i := range 2 {
-		othersHold(f, f.byID[fmt.Sprintf("u%d", i)], 0, 50000)
+		setRemoteMemory(f, f.byID[fmt.Sprintf("u%d", i)], 0, 50000)
 	}
-	left := f.MemoryLeft(0, book(1, 20000, 0))
-	is.True(left > 2900*time.Millisecond && left < 3*time.Second) // 37,024 of 50,000 tokens have to come free
-	othersHold(f, f.byID["u0"], 0, 0)
-	is.Equal(f.MemoryLeft(0, book(1, 20000, 0)), time.Duration(0))
+	left := f.MemoryLeft(0, unsharedRequest(1, 20000, 0))
+	is.True(left > 2900*time.Millisecond && left < 3*time.Second) // 37,024 of 50,000 tokens have to be freed
+	setRemoteMemory(f, f.byID["u0"], 0, 0)
+	is.Equal(f.MemoryLeft(0, unsharedRequest(1, 20000, 0)), time.Duration(0))
 }
 
-// What is counted is what the tickets hold, whatever becomes of them.
-func TestWhatTicketsHoldIsWhatIsCounted(t *testing.T) {
+// Over any sequence of events, the memory counted at an upstream is that of its open tickets.
+func TestCountedMemoryMatchesOpenTickets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newMemoryFleet(3)
 		f.serviceOf("s").answers.noteLength(100, 20)
@@ -138,7 +139,7 @@
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now := time.Duration(i) * time.Millisecond
 			id := fmt.Sprintf("u%d", rapid.IntRange(0, 2).Draw(t, "upstream"))
-			r := book(uint64(i), rapid.IntRange(2, testMemory).Draw(t, "tokens"), rapid.IntRange(0, 1000).Draw(t, "expected"))
+			r := unsharedRequest(uint64(i), rapid.IntRange(2, testMemory).Draw(t, "tokens"), rapid.IntRange(0, 1000).Draw(t, "expected"))
 			r.Urgency = rapid.IntRange(0, Levels).Draw(t, "urgency")
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what == 0:
@@ -161,7 +162,7 @@
 	})
 }
 
-// checkHeld compares what is counted with what open tickets hold.
+// checkHeld compares the counted memory with the memory of the open tickets.
 func checkHeld(t *rapid.T, f *Fleet, tickets []*Ticket) {
 	want := make(map[string]int)
 	for _, x := range tickets {
@@ -171,17 +172,18 @@
 	}
 	for id, m := range f.byID {
 		if m.held() != want[id] {
-			t.Fatalf("%s: %d tokens are counted, tickets hold %d", id, m.held(), want[id])
+			t.Fatalf("%s: %d tokens are counted, open tickets hold %d", id, m.held(), want[id])
 		}
 	}
 }
 
-// memoryWorld is boxes that place at the same upstreams and tell each other now and then.
-type memoryWorld struct {
-	boxes []*Fleet
-	runs  []memoryRun
-	fresh map[string]map[int]int // by upstream and box: tokens placed since boxes told each other last
-	fell  int                    // upstreams that held more than their memory when a request was added
+// memoryModel is a model of boxes that share upstreams and report loads to each other from time
+// to time.
+type memoryModel struct {
+	boxes      []*Fleet
+	runs       []memoryRun
+	unreported map[string]map[int]int // by upstream and box: tokens placed since the boxes last reported
+	overruns   int                    // number of placements after which an upstream held more than its memory
 }
 
 type memoryRun struct {
@@ -189,8 +191,8 @@
 	ends   time.Duration
 }
 
-func newMemoryWorld(boxes, upstreams int, off Off) *memoryWorld {
-	w := &memoryWorld{fresh: make(map[string]map[int]int)}
+func newMemoryModel(boxes, upstreams int, off Off) *memoryModel {
+	w := &memoryModel{unreported: make(map[string]map[int]int)}
 	for range boxes {
 		f := newMemoryFleet(upstreams)
 		f.cfg.Off = off
@@ -199,19 +201,20 @@
 	return w
 }
 
-// held is what an upstream holds in truth.
-func (w *memoryWorld) held(id string) int {
+// held returns the tokens that all boxes together hold at an upstream.
+func (w *memoryModel) held(id string) int {
 	sum := 0
 	for _, f := range w.boxes {
-		sum += f.byID[id].ownHeld()
+		sum += f.byID[id].ownHeldTokens()
 	}
 	return sum
 }
 
-// freshOfOthers is what other boxes have placed at an upstream and not told yet.
-func (w *memoryWorld) freshOfOthers(id string, box int) int {
+// unreportedByOthers returns the tokens that other boxes have placed at an upstream and not
+// reported.
+func (w *memoryModel) unreportedByOthers(id string, box int) int {
 	sum := 0
-	for other, tokens := range w.fresh[id] {
+	for other, tokens := range w.unreported[id] {
 		if other != box {
 			sum += tokens
 		}
@@ -219,8 +222,8 @@
 	return sum
 }
 
-// place has a box place a request that runs until then, and returns where it did.
-func (w *memoryWorld) place(now time.Duration, box int, r Request, ends time.Duration) (id string, ok bool) {
+// place has a box place a request that runs until ends, and returns the upstream.
+func (w *memoryModel) place(now time.Duration, box int, r Request, ends time.Duration) (id string, ok bool) {
 	f := w.boxes[box]
 	c, placed := f.Place(now, r, nil)
 	if !placed {
@@ -230,18 +233,18 @@
 	ticket := f.Open(now, id, r)
 	ticket.First(now)
 	w.runs = append(w.runs, memoryRun{ticket, ends})
-	if w.fresh[id] == nil {
-		w.fresh[id] = make(map[int]int)
+	if w.unreported[id] == nil {
+		w.unreported[id] = make(map[int]int)
 	}
-	w.fresh[id][box] += ticket.held
+	w.unreported[id][box] += ticket.held
 	if w.held(id) > testMemory {
-		w.fell++
+		w.overruns++
 	}
 	return id, true
 }
 
-// end ends the runs whose time has come.
-func (w *memoryWorld) end(now time.Duration) {
+// end ends the runs that are due.
+func (w *memoryModel) end(now time.Duration) {
 	var left []memoryRun
 	for _, x := range w.runs {
 		if x.ends > now {
@@ -253,8 +256,8 @@
 	w.runs = left
 }
 
-// tell lets each box know what the others have under way.
-func (w *memoryWorld) tell() {
+// tell reports the loads of each box to all others.
+func (w *memoryModel) tell() {
 	for i, f := range w.boxes {
 		others := make(map[LoadKey]Load)
 		for j, g := range w.boxes {
@@ -266,14 +269,15 @@
 		}
 		f.SetOthers(others)
 	}
-	clear(w.fresh)
+	clear(w.unreported)
 }
 
-// However boxes place and whenever requests end: when one has placed a request, its upstream
-// holds no more than the room for that and what other boxes had placed there and not told.
-func TestAllBoxesTogetherKeepWithinAnUpstreamsMemory(t *testing.T) {
+// Over any sequence of placements and ends, after a box places a request its upstream holds no
+// more than the limit for that request plus what other boxes placed there without reporting it
+// yet.
+func TestAllBoxesTogetherKeepWithinMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newMemoryWorld(rapid.IntRange(1, 5).Draw(t, "boxes"), rapid.IntRange(1, 4).Draw(t, "upstreams"), nil)
+		w := newMemoryModel(rapid.IntRange(1, 5).Draw(t, "boxes"), rapid.IntRange(1, 4).Draw(t, "upstreams"), nil)
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now := time.Duration(i) * 10 * time.Millisecond
 			w.end(now)
@@ -281,75 +285,76 @@
 				w.tell()
 			}
 			box := rapid.IntRange(0, len(w.boxes)-1).Draw(t, "box")
-			r := book(uint64(i), rapid.IntRange(2, testMemory).Draw(t, "tokens"), rapid.IntRange(0, 1000).Draw(t, "expected"))
+			r := unsharedRequest(uint64(i), rapid.IntRange(2, testMemory).Draw(t, "tokens"), rapid.IntRange(0, 1000).Draw(t, "expected"))
 			id, ok := w.place(now, box, r, now+time.Duration(rapid.IntRange(1, 500).Draw(t, "runs"))*time.Millisecond)
 			if !ok {
 				continue
 			}
-			untold := w.freshOfOthers(id, box)
-			if held := w.held(id); held > max(roomFor(testMemory, r), r.needs())+untold {
-				t.Fatalf("%s holds %d tokens, of which others have not told %d", id, held, untold)
+			unreported := w.unreportedByOthers(id, box)
+			if held := w.held(id); held > max(memoryLimit(testMemory, r), r.needs())+unreported {
+				t.Fatalf("%s holds %d tokens, of which others have not reported %d", id, held, unreported)
 			}
 		}
 	})
 }
 
-// Boxes that have started and know nothing of each other fill an upstream's memory together at
-// the most, but for one request of each.
-func TestBoxesThatKnowNothingOfEachOtherKeepToTheirParts(t *testing.T) {
+// Boxes that have just started, without reports from each other, together fill an upstream's
+// memory at most, apart from one request each.
+func TestUninformedBoxesKeepToTheirShare(t *testing.T) {
 	is := is.New(t)
 	const boxes, tokens = 6, 2000
-	w := newMemoryWorld(boxes, 1, nil)
+	w := newMemoryModel(boxes, 1, nil)
 	for i := range 200 {
 		w.boxes[i%boxes].SetBoxes(boxes, false)
-		w.place(0, i%boxes, book(uint64(i), tokens, 100), time.Hour)
+		w.place(0, i%boxes, unsharedRequest(uint64(i), tokens, 100), time.Hour)
 	}
 	is.True(w.held("u0") <= testMemory)
-	is.True(w.held("u0") >= testMemory/2) // and it is used
+	is.True(w.held("u0") >= testMemory/2) // the memory is used
 }
 
-// A burst is replayed: for 5 s, four boxes get 40 of the longest prompts and 40 short
-// ones a second, before six upstreams of 60,000 tokens; each runs for 2 s, and boxes tell each other each 50 ms.
-// Without memory being counted upstreams are sent more than they hold, again and again; with it,
-// never. Who is refused is told when to come back, and short ones go on being served.
-func TestABurstOfTheLongestPromptsKeepsWithinMemory(t *testing.T) {
+// Replays a burst: for 5 s, four boxes receive 40 of the longest prompts and 40 short ones a
+// second for six upstreams of 60,000 tokens. The long ones run for 2 s, and boxes report to each
+// other every 50 ms. Without the memory bound upstreams repeatedly receive more than they hold;
+// with it they never do. Refused callers get a retry delay, and short requests continue to be
+// served.
+func TestBurstOfLongPromptsKeepsWithinMemory(t *testing.T) {
 	for _, c := range []struct {
-		off  Off
-		fell bool
+		off      Off
+		overruns bool
 	}{{Off{Memory: true}, true}, {nil, false}} {
 		t.Run(fmt.Sprint(c.off.Names()), func(t *testing.T) {
 			is := is.New(t)
-			w := newMemoryWorld(4, 6, c.off)
+			w := newMemoryModel(4, 6, c.off)
 			var long, refused, short int
-			for step := range 200 { // of 25 ms
+			for step := range 200 { // steps of 25 ms
 				now := time.Duration(step) * 25 * time.Millisecond
 				w.end(now)
 				if step%2 == 0 {
 					w.tell()
 				}
-				r := book(uint64(2*step), 14000, 400)
+				r := unsharedRequest(uint64(2*step), 14000, 400)
 				if _, ok := w.place(now, step%4, r, now+2*time.Second); ok {
 					long++
 				} else {
 					refused++
 					after := w.boxes[step%4].MemoryLeft(now, r)
-					is.True(after >= memoryWaitLeast && after <= memoryWaitMost)
+					is.True(after >= minMemoryWait && after <= maxMemoryWait)
 				}
-				if _, ok := w.place(now, step%4, book(uint64(2*step+1), 400, 100), now+200*time.Millisecond); ok {
+				if _, ok := w.place(now, step%4, unsharedRequest(uint64(2*step+1), 400, 100), now+200*time.Millisecond); ok {
 					short++
 				}
 			}
-			is.Equal(w.fell > 0, c.fell)
-			is.Equal(refused == 0, c.fell)
-			is.True(long >= 30) // 12 at a time fit, for 2 s each
+			is.Equal(w.overruns > 0, c.overruns)
+			is.Equal(refused == 0, c.overruns)
+			is.True(long >= 30) // 12 fit at a time, for 2 s each
 			is.True(short >= 150)
 		})
 	}
 }
 
-// A burst of long prompts that has filled the memory of its own upstreams does not go to those that
-// are kept for tight streams; a tight stream may leave a lane without memory.
-func TestLongPromptsStayInTheirLaneWhereItsMemoryIsFull(t *testing.T) {
+// When a burst of long prompts has filled the memory of its lane, further ones do not go to
+// upstreams reserved for tight streams. A tight stream may leave a lane without memory.
+func TestLongPromptsStayInTheirLaneWhenItsMemoryIsFull(t *testing.T) {
 	is := is.New(t)
 	f := newDividedFleet(60)
 	f.SetMemory("s", testMemory)
@@ -359,39 +364,39 @@
 	long, stream := letter(1), chat(1)
 	for _, m := range f.byService["s"] {
 		if !m.tight {
-			othersHold(f, m, 3, testMemory)
+			setRemoteMemory(f, m, 3, testMemory)
 		}
 	}
 	_, ok := f.Place(time.Second, long, nil)
 	is.True(!ok)
-	is.True(f.MemoryLeft(time.Second, long) >= memoryWaitLeast)
+	is.True(f.MemoryLeft(time.Second, long) >= minMemoryWait)
 	for _, m := range f.byService["s"] {
-		othersHold(f, m, 3, testMemory-m.others[3].Held) // now the other lane is full
+		setRemoteMemory(f, m, 3, testMemory-m.remoteWork[3].Held) // now the tight lane is full instead
 	}
 	c, ok := f.Place(time.Second, stream, nil)
 	is.True(ok)
 	is.True(!f.byID[c.Upstream.ID].tight)
 }
 
-// What has begun elsewhere needs no room for one more as large.
-func TestASecondTryUsesTheSpareRoom(t *testing.T) {
+// A retry does not have to leave room for another request of the same size.
+func TestRetryUsesTheRoomForAnotherRequest(t *testing.T) {
 	is := is.New(t)
 	f := newMemoryFleet(2)
-	r := book(1, 20000, 500)
-	othersHold(f, f.byID["u0"], 3, testMemory)
-	othersHold(f, f.byID["u1"], 3, testMemory*9/10-21000)
+	r := unsharedRequest(1, 20000, 500)
+	setRemoteMemory(f, f.byID["u0"], 3, testMemory)
+	setRemoteMemory(f, f.byID["u1"], 3, testMemory*9/10-21000)
 	_, ok := f.Place(0, r, nil)
 	is.True(!ok)
 	c, ok := f.Place(0, r, []string{"u0"})
 	is.True(ok)
 	is.Equal(c.Upstream.ID, "u1")
-	othersHold(f, f.byID["u1"], 3, testMemory*9/10-21000+1)
+	setRemoteMemory(f, f.byID["u1"], 3, testMemory*9/10-21000+1)
 	_, ok = f.Place(0, r, []string{"u0"})
 	is.True(!ok) // never beyond the memory
 }
 
-// othersHold sets what other boxes hold of an upstream's memory at an urgency.
-func othersHold(f *Fleet, m *member, urgency, tokens int) {
-	m.others[urgency].Held = tokens
+// setRemoteMemory sets the memory tokens that other boxes hold at an upstream for an urgency.
+func setRemoteMemory(f *Fleet, m *member, urgency, tokens int) {
+	m.remoteWork[urgency].Held = tokens
 	f.activate(m)
 }
--- a/balance/move.go
+++ b/balance/move.go
@@ -103,7 +103,7 @@
 
 // beyondRegion is 1 where an upstream lies in another region, and 0 where it does not.
 func (f *Fleet) beyondRegion(from, m *member) int {
-	if !f.cfg.Off[Distance] && f.apart(from.Domain, m.Domain) == otherRegion {
+	if !f.cfg.Off[Distance] && f.proximityOf(from.Domain, m.Domain) == otherRegion {
 		return 1
 	}
 	return 0
@@ -112,7 +112,7 @@
 // takesOver reports whether an upstream has room for an answer that moves, and nothing to read.
 func (f *Fleet) takesOver(now time.Duration, m *member, r Request) bool {
 	full := float64(m.open()+1) > moveRoom*float64(m.Slots)
-	return !full && !m.out && now >= m.coldTill && f.limitOf(m) == nil && f.pauseOf(m) == nil && f.backlog(now, m, r.level()) == 0
+	return !full && !m.unreachable && now >= m.coldTill && f.limitOf(m) == nil && f.pauseOf(m) == nil && f.backlog(now, m, r.urgencyLevel()) == 0
 }
 
 // OpenMoved counts an answer on the upstream that it has moved to, which has nothing to read
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -115,7 +115,7 @@
 		ticket.Close(10*time.Second, Answered)
 	}
 	is.Equal(f.serviceOf("s").answers.betweenMoved().Round(time.Millisecond), time.Second)
-	is.Equal(f.byID["u1"].underWay(), Load{})
+	is.Equal(f.byID["u1"].totalLoad(), Load{})
 }
 
 // A burst is replayed: at six of nine upstreams prompts wait for 8 s, so that each event takes
@@ -167,7 +167,7 @@
 			return true, moved
 		}
 		between := 30 * time.Millisecond
-		if f.byID[at].ahead(0) > 0 {
+		if f.byID[at].unreadAhead(0) > 0 {
 			between = 400 * time.Millisecond
 		}
 		now += between
--- a/balance/pause.go
+++ b/balance/pause.go
@@ -74,7 +74,7 @@
 	}
 	var least time.Duration
 	for _, m := range f.byService[r.Service] {
-		if m.out || !f.isOpen(now, m, r, tried) {
+		if m.unreachable || !f.isEligible(now, m, r, tried) {
 			continue
 		}
 		p := f.pauseOf(m)
@@ -173,25 +173,25 @@
 
 // before reports whether requests wait that go before another one: the more urgent, and those as urgent where it has not waited.
 func (w *waits) before(r Request) bool {
-	for level := range r.level() {
+	for level := range r.urgencyLevel() {
 		if w[level] > 0 {
 			return true
 		}
 	}
-	return !r.Waited && w[r.level()] > 0
+	return !r.Waited && w[r.urgencyLevel()] > 0
 }
 
 // Wait notes that a request begins to wait for the end of a pause; EndWait undoes it.
-func (f *Fleet) Wait(r Request) { f.serviceOf(r.Service).waits[r.level()]++ }
+func (f *Fleet) Wait(r Request) { f.serviceOf(r.Service).waits[r.urgencyLevel()]++ }
 
 // EndWait notes that a request waits no longer.
-func (f *Fleet) EndWait(r Request) { f.serviceOf(r.Service).waits[r.level()]-- }
+func (f *Fleet) EndWait(r Request) { f.serviceOf(r.Service).waits[r.urgencyLevel()]-- }
 
 // Room is how many requests of a service may return after pauses now; all where an upstream that is not paused takes them.
 func (f *Fleet) Room(now time.Duration, service string) int {
 	room := 0
 	for _, m := range f.byService[service] {
-		if m.closed() || m.out {
+		if m.closed() || m.unreachable {
 			continue
 		}
 		switch p := f.pauseOf(m); {
--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -36,7 +36,7 @@
 		{"a shorter one is asked for later", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Incarnation{"u", 100}, time.Second) }}, false},
 		{"an earlier life asks", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Incarnation{"u", 50}, time.Hour) }}, false},
 		{"a later life", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
-		{"orders fall", counting(entryOf("u", 0, 1), 5), []func(*Fleet){put(counting(entryOf("u", 0, 2), 1))}, true},
+		{"orders fall", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){put(withCommandCount(entryOf("u", 0, 2), 1))}, true},
 		{"another one at its address", entryOf("u", 0, 1), []func(*Fleet){put(Upstream{ID: "v", Service: "s", Address: "10.1.0.1:1", Domain: "d1", Slots: 8, Revision: 9})}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/balance/rate.go
+++ b/balance/rate.go
@@ -19,7 +19,7 @@
 
 // readTime is how long an upstream reads a prompt.
 func (f *Fleet) readTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / f.rate * float64(time.Millisecond))
+	return time.Duration(float64(tokens) / f.prefillRate * float64(time.Millisecond))
 }
 
 // learnRate takes how long a prompt took that had nothing before it.
@@ -28,13 +28,13 @@
 		return
 	}
 	rate := float64(tokens) / float64(took.Milliseconds()+1)
-	f.rate = f.rate*rateShare + min(max(rate, rateMin), rateMax)*(1-rateShare)
+	f.prefillRate = f.prefillRate*rateShare + min(max(rate, rateMin), rateMax)*(1-rateShare)
 }
 
 // learnWork takes how long a request without a prompt took that found a slot free; what it
 // spent on the way is not its upstream's.
 func (f *Fleet) learnWork(m *member, took time.Duration) {
-	w := &f.serviceOf(m.Service).work
+	w := &f.serviceOf(m.Service).plainRunTime
 	w.sum *= workShare
 	w.weight *= workShare
 	w.add(float64(max(took-f.RTT(m.Domain), time.Millisecond))/float64(time.Millisecond), 1)
@@ -42,5 +42,5 @@
 
 // workTime is how long requests without a prompt hold a slot of a service; 0 until some have.
 func (f *Fleet) workTime(service string) time.Duration {
-	return time.Duration(f.serviceOf(service).work.value() * float64(time.Millisecond))
+	return time.Duration(f.serviceOf(service).plainRunTime.value() * float64(time.Millisecond))
 }
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -59,11 +59,11 @@
 // Where others of its domain have failed alike, all of them are out; within its own
 // domain a box believes what it sees only.
 func (f *Fleet) unreached(now time.Duration, m *member) {
-	if !f.lists(m) {
+	if !f.isListed(m) {
 		return // an earlier life says nothing of the way there
 	}
 	d := f.domain(m.Domain)
-	d.noteFailure(now, !m.out)
+	d.noteFailure(now, !m.unreachable)
 	f.markOut(m, false)
 	if m.Domain != f.cfg.Domain && d.inRow >= domainFrom && d.left == 0 && !f.cfg.Off[Domains] {
 		f.leaveDomain(m.Domain)
@@ -108,7 +108,7 @@
 		if len(list) == count {
 			break
 		}
-		if m.Domain == domain && !m.closed() && !m.out {
+		if m.Domain == domain && !m.closed() && !m.unreachable {
 			list = append(list, m.Upstream)
 		}
 	}
@@ -125,7 +125,7 @@
 // leaveDomain notes that a failure domain seems to be cut off.
 func (f *Fleet) leaveDomain(name string) {
 	for _, m := range f.byID {
-		if m.Domain == name && !m.out {
+		if m.Domain == name && !m.unreachable {
 			f.markOut(m, true)
 		}
 	}
@@ -134,7 +134,7 @@
 // markOut notes that an upstream gets no requests until it can be reached; byDomain says
 // that it was not found out itself.
 func (f *Fleet) markOut(m *member, byDomain bool) {
-	if !m.out {
+	if !m.unreachable {
 		f.lost = append(f.lost, Lost{m.Upstream, byDomain})
 	}
 	f.markIn(m)
@@ -156,7 +156,7 @@
 
 // reached notes that an upstream can be reached, and with it its domain.
 func (f *Fleet) reached(now time.Duration, m *member) {
-	if !f.lists(m) {
+	if !f.isListed(m) {
 		return
 	}
 	d := f.domain(m.Domain)
@@ -191,7 +191,7 @@
 // Reached notes that a trial connection to an upstream came up.
 func (f *Fleet) Reached(id string) {
 	if m := f.byID[id]; m != nil {
-		f.reached(f.latest, m)
+		f.reached(f.lastPutAt, m)
 	}
 }
 
@@ -207,7 +207,7 @@
 func (f *Fleet) Unreached() []Upstream {
 	var list []Upstream
 	for _, m := range f.byID {
-		if m.out && !m.evacuated {
+		if m.unreachable && !m.evacuated {
 			list = append(list, m.Upstream)
 		}
 	}
--- a/balance/reach_test.go
+++ b/balance/reach_test.go
@@ -107,7 +107,7 @@
 	is.True(ok)
 	is.Equal(second.Upstream.Domain, "d0")
 	for _, m := range f.byService["s"] {
-		m.out = m.out || m.Domain == "d0"
+		m.unreachable = m.unreachable || m.Domain == "d0"
 	}
 	third, ok := f.Place(0, r, []string{first.Upstream.ID})
 	is.True(ok)
--- a/balance/request.go
+++ b/balance/request.go
@@ -1,7 +1,7 @@
 package balance
 
-// This file defines what the decisions look at of a request. The invariant: the parts
-// of a prompt stand in its order, and the last belongs to the request alone.
+// This file defines the properties of a request that decisions use. Invariant: the parts of a
+// prompt are in prompt order, and the last one belongs to the request alone.
 
 import (
 	"slices"
@@ -10,31 +10,31 @@
 	"github.com/doormast/doormast/route"
 )
 
-// Request is what placement looks at.
+// Request describes a request for placement.
 type Request struct {
 	Service  string
-	Parts    []Part        // of the prompt, in order; the last belongs to this request alone
+	Parts    []Part        // of the prompt, in order; the last one belongs to this request alone
 	Tokens   int           // of the prompt
-	Bytes    int           // of the whole request and, as far as it can be expected, its answer
+	Bytes    int           // of the whole request plus, as far as it can be estimated, its answer
 	Moves    bool          // its upstreams can fetch prompts from each other
-	Class    string        // those of a class are alike; empty: none
-	Gap      time.Duration // the longest pause between its events that is in time; 0: none is stated
-	Expected int           // tokens of its answer, as its caller expects; 0: not said
+	Class    string        // class of similar requests; may be empty
+	Gap      time.Duration // maximum time between events of the answer; 0 if none is set
+	Expected int           // answer length in tokens as the caller expects it; 0 if not stated
 	Urgency  int           // 0 is the most urgent
-	Homes    route.Homes   // where it may run
+	Homes    route.Homes   // regions it may run in
 	Waited   bool          // it has waited for the end of a pause
 }
 
-// Part is a part of a prompt that other prompts may begin with too.
+// Part is a section of a prompt that other prompts may share as a prefix.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// level is the urgency as the work on upstreams is counted by.
-func (r Request) level() int { return min(max(r.Urgency, 0), Levels-1) }
+// urgencyLevel returns the urgency, limited to the levels that work is counted by.
+func (r Request) urgencyLevel() int { return min(max(r.Urgency, 0), Levels-1) }
 
-// shared is the parts that other prompts may begin with too.
+// shared returns the parts that other prompts may share: all but the last.
 func (r Request) shared() []Part {
 	if len(r.Parts) < 2 {
 		return nil
@@ -42,7 +42,8 @@
 	return r.Parts[:len(r.Parts)-1]
 }
 
-// lastShared is the last of them, the longest as a rule; the zero Part where there is none.
+// lastShared returns the last shared part, usually the longest, or the zero Part if there is
+// none.
 func (r Request) lastShared() Part {
 	shared := r.shared()
 	if len(shared) == 0 {
--- a/balance/homes_test.go
+++ b/balance/residency_test.go
@@ -9,17 +9,17 @@
 	"github.com/doormast/doormast/route"
 )
 
-// A request that has homes runs there only, the first time and again, and moves nowhere else.
-func TestARequestRunsAtHomeOnly(t *testing.T) {
+// A request bound to regions is placed, retried and moved only within them.
+func TestRequestRunsInAllowedRegionsOnly(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		homes route.Homes
 		want  []string // domains
 	}{
-		{"none", route.Homes{}, []string{"d0", "d1", "d2"}},
-		{"one", route.Homes{Bound: true, Regions: []string{"r1"}}, []string{"d0", "d1"}},
-		{"one that is not known", route.Homes{Bound: true, Regions: []string{"r9"}}, nil},
-		{"nowhere", route.Homes{Bound: true}, nil},
+		{"not bound", route.Homes{}, []string{"d0", "d1", "d2"}},
+		{"one region", route.Homes{Bound: true, Regions: []string{"r1"}}, []string{"d0", "d1"}},
+		{"unknown region", route.Homes{Bound: true, Regions: []string{"r9"}}, nil},
+		{"no region allowed", route.Homes{Bound: true}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/balance/way_test.go
+++ b/balance/rtt_test.go
@@ -11,9 +11,9 @@
 	"github.com/doormast/doormast/route"
 )
 
-// threeRegions is a fleet of n upstreams in six failure domains of three regions, as a box in the
-// first domain sees it, the other regions 60 ms away there and back.
-func threeRegions(n int) *Fleet {
+// newRegionalFleet returns a fleet of n upstreams in six failure domains of three regions, as
+// seen by a box in the first domain. The other regions have a round-trip time of 60 ms.
+func newRegionalFleet(n int) *Fleet {
 	tuning := DefaultTuning
 	tuning.DomainKB, tuning.RegionKB = 10, 40
 	f := NewFleet(Config{Domain: "a0", Tuning: tuning, FirstStart: true, Regions: map[string]string{
@@ -24,20 +24,20 @@
 	}
 	for _, d := range domains {
 		took := 60 * time.Millisecond
-		switch f.apart("a0", d) {
+		switch f.proximityOf("a0", d) {
 		case sameDomain:
 			took = time.Millisecond
 		case otherDomain:
 			took = 2 * time.Millisecond
 		}
-		for range wayFrom {
+		for range minRTTSamples {
 			f.NoteRTT(0, d, took)
 		}
 	}
 	return f
 }
 
-func TestTheWayIsTheLeastOfWhatConnectionsShowed(t *testing.T) {
+func TestRTTIsTheMinimumOfTheSamples(t *testing.T) {
 	ms := func(list ...int) []int { return list }
 	for _, c := range []struct {
 		name string
@@ -45,14 +45,14 @@
 		gap  time.Duration
 		want time.Duration
 	}{
-		{"nothing seen: the layout", nil, time.Second, guessRegion},
-		{"one that was held up", ms(300), time.Second, guessRegion},
-		{"two that were held up", ms(300, 200), time.Second, guessRegion},
-		{"one, nearer than the layout lets one expect", ms(4), time.Second, 4 * time.Millisecond},
-		{"three", ms(300, 61, 200), time.Second, 61 * time.Millisecond},
-		{"a burst in which all are held up", ms(60, 60, 60, 250, 300, 280, 350), time.Second, 60 * time.Millisecond},
-		{"one that is held up after a pause", ms(60, 60, 60, 340), waySpan, 60 * time.Millisecond},
-		{"a way that has become longer", ms(60, 60, 60, 95, 95, 95), waySpan, 95 * time.Millisecond},
+		{"no sample: default", nil, time.Second, defaultRegionRTT},
+		{"one delayed connection", ms(300), time.Second, defaultRegionRTT},
+		{"two delayed connections", ms(300, 200), time.Second, defaultRegionRTT},
+		{"one sample below the default", ms(4), time.Second, 4 * time.Millisecond},
+		{"three samples", ms(300, 61, 200), time.Second, 61 * time.Millisecond},
+		{"a burst that delays all connections", ms(60, 60, 60, 250, 300, 280, 350), time.Second, 60 * time.Millisecond},
+		{"one delayed connection in a new window", ms(60, 60, 60, 340), rttSpan, 60 * time.Millisecond},
+		{"an increased round-trip time", ms(60, 60, 60, 95, 95, 95), rttSpan, 95 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -65,37 +65,40 @@
 	}
 }
 
-func TestTheWayIsNeverLongerThanTheLeastOfTheLastSpan(t *testing.T) {
+func TestRTTIsTheMinimumWithinAWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFleet(Config{Domain: "a0", Tuning: DefaultTuning})
 		now, least := time.Duration(0), time.Hour
-		for range rapid.IntRange(wayFrom, 40).Draw(t, "samples") {
+		for range rapid.IntRange(minRTTSamples, 40).Draw(t, "samples") {
 			took := time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
 			f.NoteRTT(now, "b0", took)
 			least = min(least, took)
 		}
 		if f.RTT("b0") != least {
-			t.Fatalf("way %v, least %v within a span", f.RTT("b0"), least)
+			t.Fatalf("round-trip time %v, minimum of the samples %v", f.RTT("b0"), least)
 		}
 	})
 }
 
-// small is a prompt whose shared part is read in less time than a far way takes.
+// small returns a prompt whose shared part takes less time to read than a round trip to another
+// region.
 func small(shared uint64) Request {
 	return Request{Service: "s", Moves: true, Tokens: 600, Bytes: 2000, Parts: []Part{{ID: shared, Tokens: 200}, {ID: shared + 1e6, Tokens: 400}}}
 }
 
-// large is one whose shared part takes longer to read than the way.
+// large returns a prompt whose shared part takes more time to read than a round trip to another
+// region.
 func large(shared uint64) Request {
 	return Request{Service: "s", Moves: true, Tokens: 7000, Bytes: 2000, Parts: []Part{{ID: shared, Tokens: 6000}, {ID: shared + 1e6, Tokens: 1000}}}
 }
 
-// A small prompt stays in its region, and boxes of it agree where; one whose part lies far away is
-// sent there while that costs less than reading it again; and without the mechanism all go far.
-func TestWhatIsCheapToReadStaysNear(t *testing.T) {
+// A small prompt stays in its region, and all boxes of the region choose the same upstream. A
+// prompt whose shared part is held in another region is sent there while that costs less than
+// reading it again. Without the Distance mechanism, prompts go to all regions.
+func TestSmallPromptsStayInTheRegion(t *testing.T) {
 	is := is.New(t)
-	f, g, off := threeRegions(30), threeRegions(30), threeRegions(30)
+	f, g, off := newRegionalFleet(30), newRegionalFleet(30), newRegionalFleet(30)
 	g.cfg.Domain = "a1"
 	off.cfg.Off = Off{Distance: true}
 	far := 0
@@ -116,34 +119,34 @@
 	is.Equal(c.Upstream.ID, "u2")
 }
 
-// A burst that fills what is near spills over to other regions instead of queueing for longer than
-// the way there takes, and comes back once it is over.
-func TestABurstSpillsOverToOtherRegions(t *testing.T) {
+// A burst that fills the near upstreams goes to other regions instead of queueing for longer than
+// the round trip takes, and returns once it is over.
+func TestBurstSpillsOverToOtherRegions(t *testing.T) {
 	is := is.New(t)
-	f := threeRegions(30)
+	f := newRegionalFleet(30)
 	near := make(map[LoadKey]Load)
 	for _, m := range f.byID {
-		if f.apart("a0", m.Domain) != otherRegion {
+		if f.proximityOf("a0", m.Domain) != otherRegion {
 			near[LoadKey{m.key, 0}] = Load{Unread: 20000, Open: 8}
 		}
 	}
 	f.SetOthers(near)
 	c, _ := f.Place(time.Second, small(1), nil)
-	is.Equal(f.apart("a0", c.Upstream.Domain), otherRegion)
+	is.Equal(f.proximityOf("a0", c.Upstream.Domain), otherRegion)
 	f.SetOthers(nil)
 	c, _ = f.Place(time.Second, small(1), nil)
-	is.True(f.apart("a0", c.Upstream.Domain) != otherRegion)
+	is.True(f.proximityOf("a0", c.Upstream.Domain) != otherRegion)
 }
 
-// A plain service is used nearby as long as the wait there is shorter than the way to another
-// region: 15 ms of work, two slots, 60 ms of way.
-func TestPlainRequestsGoFarOnlyWhereTheWaitIsLonger(t *testing.T) {
+// A near plain service is used while the wait there is shorter than the round trip to another
+// region: 15 ms of work, two slots, 60 ms round-trip time.
+func TestPlainRequestsGoToOtherRegionsOnlyToAvoidALongerWait(t *testing.T) {
 	for _, c := range []struct {
 		open int // requests at the near upstream
 		far  bool
 	}{{0, false}, {4, false}, {7, false}, {9, true}} {
 		is := is.New(t)
-		f := threeRegions(0)
+		f := newRegionalFleet(0)
 		f.Put(0, Upstream{ID: "near", Service: "p", Address: "1:1", Domain: "a0", Slots: 2})
 		f.Put(0, Upstream{ID: "far", Service: "p", Address: "2:1", Domain: "b0", Slots: 2})
 		r := Request{Service: "p"}
@@ -154,16 +157,16 @@
 		f.SetOthers(map[LoadKey]Load{{Key("near"), 0}: {Open: c.open}})
 		got, _ := f.Place(time.Second, r, nil)
 		is.Equal(got.Upstream.ID == "far", c.far)
-		got, _ = f.Place(time.Second, r, []string{"near"}) // a second try
+		got, _ = f.Place(time.Second, r, []string{"near"}) // a retry
 		is.Equal(got.Upstream.ID, "far")
 	}
 }
 
-// However short the work, few requests wait for each slot nearby; and what fails all that it gets is
-// not used for being near.
-func TestWhatIsNearIsNotOverrun(t *testing.T) {
+// However short the work is, few requests wait for each slot nearby, and an upstream that fails
+// everything is not preferred for being near.
+func TestNearUpstreamIsNotOverloaded(t *testing.T) {
 	is := is.New(t)
-	f := threeRegions(0)
+	f := newRegionalFleet(0)
 	f.Put(0, Upstream{ID: "near", Service: "p", Address: "1:1", Domain: "a0", Slots: 6})
 	f.Put(0, Upstream{ID: "far", Service: "p", Address: "2:1", Domain: "b0", Slots: 6})
 	r := Request{Service: "p"}
@@ -177,19 +180,19 @@
 			break
 		}
 	}
-	is.Equal(open, 6*mostAway+1)
+	is.Equal(open, 6*maxDistancePenalty+1)
 	f.SetOthers(nil)
 	f.byID["near"].health.failing = 1
 	c, _ := f.Place(time.Second, r, nil)
 	is.Equal(c.Upstream.ID, "far")
 }
 
-// What is lacking is fetched from the nearest that keeps it, and an answer moves within its region
-// as long as there is room.
-func TestCopiesComeFromNearby(t *testing.T) {
+// Missing parts are fetched from the nearest holder, and an answer moves within its region while
+// there is room.
+func TestFetchesAndMovesPreferNearUpstreams(t *testing.T) {
 	is := is.New(t)
-	f := threeRegions(30)
-	f.NoteKept(time.Second, []PartReport{{PartKey(7), Key("u2")}, {PartKey(7), Key("u7")}}) // u7 lies in a1
+	f := newRegionalFleet(30)
+	f.NoteKept(time.Second, []PartReport{{PartKey(7), Key("u2")}, {PartKey(7), Key("u7")}}) // u7 is in a1
 	f.SetOthers(map[LoadKey]Load{{Key("u7"), 0}: {Open: 5}})
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u0"]), "10.0.0.7:1")
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u8"]), "10.0.0.2:1")
@@ -198,15 +201,16 @@
 	f.cfg.Off = nil
 	for part := range uint64(50) {
 		r := large(part + 1)
-		is.Equal(f.apart("b0", f.calmest(time.Second, r, f.byID["u2"]).Domain) == otherRegion, false)
+		is.Equal(f.proximityOf("b0", f.calmest(time.Second, r, f.byID["u2"]).Domain) == otherRegion, false)
 	}
 }
 
-// Whatever is placed, fetched from and moved to lies within the homes, whatever was told to be kept
-// where, what is out of reach and busy, and where the request ran before.
-func TestNothingOfARequestLeavesItsHomes(t *testing.T) {
+// Placement, fetch sources and moves stay within the regions that a request may run in, whatever
+// the part index contains, whichever upstreams are unreachable or busy, and wherever the request
+// ran before.
+func TestRequestStaysInAllowedRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := threeRegions(24)
+		f := newRegionalFleet(24)
 		f.cfg.FirstStart = rapid.Bool().Draw(t, "first start")
 		regions := []string{"a", "b", "c", "none"}
 		r := large(uint64(rapid.IntRange(1, 3).Draw(t, "part")))
@@ -227,7 +231,7 @@
 		f.SetOthers(loads)
 		within := func(what, address string) {
 			if m := f.byAddress[address]; !f.mayRunIn(m.Domain, r) {
-				t.Fatalf("%s in %s, homes %v", what, m.Domain, r.Homes.Regions)
+				t.Fatalf("%s in %s, allowed regions %v", what, m.Domain, r.Homes.Regions)
 			}
 		}
 		var tried []string
@@ -253,9 +257,10 @@
 	})
 }
 
-// Where bytes over a link are dear, what is small is read once in each failure domain, and all boxes
-// of the domain send it to the same upstream; where they count for little, once for all.
-func TestDearLinksKeepSmallPromptsInTheirDomain(t *testing.T) {
+// If bytes between domains are costly, a small prompt is read once in each failure domain, and
+// all boxes of the domain send it to the same upstream. If they are cheap, it is read once
+// overall.
+func TestCostlyLinksKeepSmallPromptsInTheirDomain(t *testing.T) {
 	for _, c := range []struct {
 		perKB float64
 		homes int // of a prompt, over boxes of three domains of a region
--- a/balance/slots.go
+++ b/balance/slots.go
@@ -1,8 +1,8 @@
 package balance
 
-// This file defines how long a request waits for one of an upstream's slots, when streams
-// fill it rather than prompts that are to be read. The invariant: a request never waits
-// for those that are less urgent, since upstreams put them back for it.
+// This file estimates how long a request waits for a slot of an upstream when the slots are held
+// by running streams and not by prompts to be read. Invariant: a request never waits for less
+// urgent ones, since upstreams preempt those for it.
 
 import (
 	"math"
@@ -10,33 +10,34 @@
 )
 
 const (
-	// heldMemory is the time over which the time that slots are held is averaged.
-	heldMemory = 10 * time.Second
-	// heldMost bounds that mean: beyond it no caller waits for the end of its answer.
-	heldMost = time.Minute
+	// holdDecay is the time constant of the average hold time.
+	holdDecay = 10 * time.Second
+	// maxHoldTime bounds that average; no caller waits longer for the end of its answer.
+	maxHoldTime = time.Minute
 )
 
-// holding is how long requests of a service hold a slot, as this box's own show: the time
-// that all have held one, those that go on included, by how many have ended. Without those
-// that go on, the first to end would make slots seem to come free soon: a box that had just
-// started queued streams at full upstreams until their callers left.
+// holding estimates how long requests of a service hold a slot, from this box's own requests: the
+// total hold time, including requests that still run, divided by the number of completed ones.
+// Without the running ones, the first requests to complete would make slots seem to become free
+// soon: a box that had just started queued streams at full upstreams until their callers
+// disconnected.
 type holding struct {
-	running int
-	slots   float64 // time that was held, summed over requests
-	ended   float64 // requests
-	at      time.Duration
+	running   int
+	slots     float64 // hold time, summed over requests
+	completed float64 // completed requests
+	at        time.Duration
 }
 
-// advance brings the sums up to date; what is past counts less.
+// advance brings the sums up to now, decaying earlier contributions.
 func (h *holding) advance(now time.Duration) {
 	past := now - h.at
-	left := math.Exp(-float64(past) / float64(heldMemory))
+	left := math.Exp(-float64(past) / float64(holdDecay))
 	h.slots = h.slots*left + float64(h.running)*float64(past)
-	h.ended *= left
+	h.completed *= left
 	h.at = now
 }
 
-// begin notes that a request has got a slot, and end that it has left it.
+// begin records that a request has got a slot, and end that it has released it.
 func (h *holding) begin(now time.Duration) {
 	h.advance(now)
 	h.running++
@@ -45,31 +46,30 @@
 func (h *holding) end(now time.Duration) {
 	h.advance(now)
 	h.running--
-	h.ended++
+	h.completed++
 }
 
-// mean is how long a slot is held.
+// mean returns the average time that a slot is held.
 func (h *holding) mean(now time.Duration) time.Duration {
 	h.advance(now)
-	return min(time.Duration(h.slots/max(h.ended, 1)), heldMost)
+	return min(time.Duration(h.slots/max(h.completed, 1)), maxHoldTime)
 }
 
-// queued tells a place where streams hold all slots from one that only looks free since
-// little is to be read there. It is what could be read at an upstream, in tokens,
-// until a request with the urgency gets a slot there: slots come free one after the other
-// while all are held.
-func (f *Fleet) queued(now time.Duration, m *member, urgency int) int {
-	over := m.work.upTo(urgency).Open + m.others.upTo(urgency).Open + 1 - m.Slots
+// slotWait returns the wait for a slot at an upstream, expressed as the tokens that could be read
+// in that time. It distinguishes an upstream whose slots are all held by streams from a free one,
+// which also has little to read. While all slots are held, they become free one after the other.
+func (f *Fleet) slotWait(now time.Duration, m *member, urgency int) int {
+	over := m.work.upTo(urgency).Open + m.remoteWork.upTo(urgency).Open + 1 - m.Slots
 	if over <= 0 || m.Slots == 0 || f.cfg.Off[Slots] {
 		return 0
 	}
 	held := f.serviceOf(m.Service).holding.mean(now)
 	wait := float64(held) / float64(time.Millisecond) * float64(over) / float64(m.Slots)
-	return int(wait * f.rate)
+	return int(wait * f.prefillRate)
 }
 
-// backlog is what is read before a request with the urgency gets its first token at an
-// upstream, in tokens.
+// backlog returns the tokens that an upstream reads, or could read, before a request with the
+// given urgency gets its first token there.
 func (f *Fleet) backlog(now time.Duration, m *member, urgency int) int {
-	return m.ahead(urgency) + f.queued(now, m, urgency)
+	return m.unreadAhead(urgency) + f.slotWait(now, m, urgency)
 }
--- a/balance/tell.go
+++ b/balance/tell.go
@@ -48,25 +48,25 @@
 			continue
 		}
 		part := PartKey(p.ID)
-		x := f.kept.note(now, part, m)
-		if x == nil || now-x.told < retellAfter || len(f.kept.news) >= maxNews {
+		x := f.parts.note(now, part, m)
+		if x == nil || now-x.toldAt < retellAfter || len(f.parts.news) >= maxNews {
 			continue
 		}
-		x.told = now
-		f.kept.news = append(f.kept.news, PartReport{part, m.key})
+		x.toldAt = now
+		f.parts.news = append(f.parts.news, PartReport{part, m.key})
 	}
 }
 
 // unsent notes that an upstream did not read a request it was sent.
 func (f *Fleet) unsent(m *member, r Request) {
 	for _, p := range r.shared() {
-		f.kept.drop(PartKey(p.ID), m)
+		f.parts.drop(PartKey(p.ID), m)
 	}
 }
 
 // ended notes that another start of an upstream has its address, and tells the other boxes.
 func (f *Fleet) ended(m *member) {
-	if m.ended || !f.lists(m) {
+	if m.superseded || !f.isListed(m) {
 		return
 	}
 	f.leaveEnded(m)
@@ -76,35 +76,35 @@
 // tellFirst puts news before all that waits to be told, of which the last makes room: without
 // that, all boxes would go on sending to what one knows to have ended.
 func (f *Fleet) tellFirst(news PartReport) {
-	rest := f.kept.news[:min(len(f.kept.news), maxNews-1)]
-	f.kept.news = append([]PartReport{news}, rest...)
+	rest := f.parts.news[:min(len(f.parts.news), maxNews-1)]
+	f.parts.news = append([]PartReport{news}, rest...)
 }
 
 // leaveEnded sends nothing more to an upstream that has ended. It stays in the list until its
 // entry goes or another one gets its address, so that a late entry does not bring it back.
 func (f *Fleet) leaveEnded(m *member) {
-	m.Leaving, m.ended = true, true
+	m.Leaving, m.superseded = true, true
 	f.remember(m.Upstream)
-	f.rememberEnd(m)
-	f.kept.forget(m)
+	f.rememberSuperseded(m)
+	f.parts.forget(m)
 }
 
 // giveBack gives the address of an upstream that has ended to the latest of those that wait for
 // it and have not left. Which of them has it only the box knows that found out.
 func (f *Fleet) giveBack(now time.Duration, m *member) {
-	next := f.nextFor(m.Address)
+	next := f.nextWaiter(m.Address)
 	if f.byAddress[m.Address] != m || next == nil || f.isLeaving(*next) {
 		return
 	}
 	u := *next
-	f.wait(m.Upstream)
+	f.awaitAddress(m.Upstream)
 	f.Put(now, u)
 }
 
 // KeptNews returns, once, what other boxes should hear of.
 func (f *Fleet) KeptNews() []PartReport {
-	news := f.kept.news
-	f.kept.news = nil
+	news := f.parts.news
+	f.parts.news = nil
 	return news
 }
 
@@ -120,11 +120,11 @@
 			f.giveBack(now, m)
 			continue
 		}
-		if f.cfg.Off[Parts] || !f.believes(now, m) {
+		if f.cfg.Off[Parts] || !f.trustsCacheNews(now, m) {
 			continue
 		}
-		if x := f.kept.note(now, told.Part, m); x != nil {
-			x.told = now
+		if x := f.parts.note(now, told.Part, m); x != nil {
+			x.toldAt = now
 		}
 	}
 }
@@ -137,5 +137,5 @@
 
 // knowsAll reports whether nothing can have been sent that this box has not heard of.
 func (f *Fleet) knowsAll(now time.Duration) bool {
-	return f.cfg.FirstStart || len(f.byID) > 0 && now-f.listed > retellAfter
+	return f.cfg.FirstStart || len(f.byID) > 0 && now-f.firstListedAt > retellAfter
 }
--- a/balance/tell_test.go
+++ b/balance/tell_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			a, b := knowing(9), knowing(9)
+			a, b := newInformedFleet(9), newInformedFleet(9)
 			r := shortPrompt(test.tokens)
 			home, _ := a.Place(0, r, nil)
 			busy := a.Open(0, home.Upstream.ID, Request{Service: "s", Tokens: 5000})
@@ -44,10 +44,10 @@
 // that is told before all else.
 func TestAnEndIsNotedAndToldWhereMuchIsToBeTold(t *testing.T) {
 	is := is.New(t)
-	f := knowing(0)
+	f := newInformedFleet(0)
 	f.Put(0, entryOf("u", 100, 1))
 	for range maxNews {
-		f.kept.news = append(f.kept.news, PartReport{7, 8})
+		f.parts.news = append(f.parts.news, PartReport{7, 8})
 	}
 	key := f.byID["u"].key
 	f.Open(0, "u", prompt(9)).Close(0, Ended)
--- a/balance/tick_bench_test.go
+++ b/balance/tick_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkTick tells what a box does ten times a second for its fleet, whatever requests it has: a few upstreams of
-// many have work.
+// BenchmarkTick measures the periodic work of a box, ten times a second, independent of its
+// requests. A few of many upstreams have work.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{600, 6000, 12000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -1,44 +1,45 @@
 package balance
 
-// This file defines tickets: how a request is counted on an upstream. The invariant:
-// what a ticket adds to the work of an upstream it takes away again, once.
+// This file defines tickets, which count requests on upstreams. Invariant: a ticket removes from
+// the work of its upstream exactly what it added, once.
 
 import "time"
 
-// Ticket is a request on an upstream, from the moment it was placed to its end.
+// Ticket counts a request on an upstream, from its placement to its end.
 type Ticket struct {
-	fleet   *Fleet
-	member  *member
-	request Request
-	unread  int  // tokens of its prompt that are counted as not yet read
-	tight   int  // tight streams that it counts as, 0 or 1
-	held    int  // tokens of its upstream's memory that it is counted with
-	read    bool // its first event came
-	opened  time.Duration
-	begun   time.Duration // when its first event came
-	calm    bool          // its upstream read little when it was opened
-	moved   bool          // it ran elsewhere before
-	pause   *pause        // that it returned after, until it is answered
-	alone   bool          // nothing was before it
-	free    bool          // a slot was free
-	closed  bool
+	fleet        *Fleet
+	member       *member
+	request      Request
+	unread       int  // prompt tokens counted as not yet read
+	tight        int  // 1 if it counts as a tight stream, else 0
+	held         int  // tokens of the upstream's memory counted for it
+	prefilled    bool // the first event has arrived, so the prompt has been read
+	opened       time.Duration
+	firstEventAt time.Duration // when the first event arrived
+	calm         bool          // the upstream read little when the ticket was opened
+	moved        bool          // the request ran on another upstream before
+	pause        *pause        // the request was sent after this pause; nil once it has been answered
+	wasIdle      bool          // no other request was open on the upstream
+	hadFreeSlot  bool          // a slot was free
+	closed       bool
 }
 
-// Open counts a request on an upstream.
+// Open counts a request on an upstream. If the upstream is not listed, it returns a closed
+// ticket.
 func (f *Fleet) Open(now time.Duration, id string, r Request) *Ticket {
 	m := f.byID[id]
 	if m == nil {
 		return &Ticket{closed: true}
 	}
 	t := &Ticket{
-		fleet:   f,
-		member:  m,
-		request: r,
-		unread:  f.unread(now, m, r),
-		opened:  now,
-		calm:    m.calmStep() == 0,
-		alone:   m.open() == 0,
-		free:    m.open() < m.Slots,
+		fleet:       f,
+		member:      m,
+		request:     r,
+		unread:      f.unread(now, m, r),
+		opened:      now,
+		calm:        m.calmStep() == 0,
+		wasIdle:     m.open() == 0,
+		hadFreeSlot: m.open() < m.Slots,
 	}
 	f.serviceOf(r.Service).classes.observe(r, t.unread)
 	t.begin(now)
@@ -58,75 +59,76 @@
 	t.member.history.note(now)
 }
 
-// Opened is when the request was counted.
+// Opened returns when the request was counted.
 func (t *Ticket) Opened() time.Duration { return t.opened }
 
-// First notes that the first event came: the prompt has been read.
+// First records the first event of the answer: the prompt has been read.
 func (t *Ticket) First(now time.Duration) {
-	if t.closed || t.read {
+	if t.closed || t.prefilled {
 		return
 	}
-	if t.alone {
+	if t.wasIdle {
 		t.fleet.learnRate(t.unread, now-t.opened)
 	}
-	t.read, t.begun = true, now
+	t.prefilled, t.firstEventAt = true, now
 	t.cameBack(true)
 	t.fleet.serviceOf(t.request.Service).holding.begin(now)
 	t.fleet.reached(now, t.member)
-	t.clear()
+	t.clearUnread()
 }
 
-// clear takes the unread tokens of the prompt away.
-func (t *Ticket) clear() {
+// clearUnread removes the prompt's unread tokens from the work of the upstream.
+func (t *Ticket) clearUnread() {
 	t.count(Load{Unread: -t.unread})
 	t.unread = 0
 }
 
-// count adds a change to the work of the upstream, where that is counted by now.
+// count applies a change to the work of the upstream, on the member that holds it now.
 func (t *Ticket) count(change Load) {
-	m := t.member.counted()
-	m.work.add(t.request.level(), change)
+	m := t.member.current()
+	m.work.add(t.request.urgencyLevel(), change)
 	t.fleet.activate(m)
-	t.fleet.forgetGone(m)
+	t.fleet.dropIdleUnlisted(m)
 }
 
-// Events notes how many events came since the first, how many the answer had until now, with
-// those of its runs before, and whether it has ended whole.
+// Events records how far the answer has come: events is the number of events since the first one
+// of this run, all the number over all runs of the request, and whole reports whether the answer
+// is complete.
 func (t *Ticket) Events(now time.Duration, events, all int, whole bool) {
-	if t.closed || !t.read {
+	if t.closed || !t.prefilled {
 		return
 	}
 	a := &t.fleet.serviceOf(t.request.Service).answers
 	switch {
 	case t.moved:
-		notePace(&a.moved, events, now-t.begun)
+		notePace(&a.moved, events, now-t.firstEventAt)
 	case t.calm:
-		notePace(&a.calm, events, now-t.begun)
+		notePace(&a.calm, events, now-t.firstEventAt)
 	default:
-		notePace(&a.busy, events, now-t.begun)
+		notePace(&a.busy, events, now-t.firstEventAt)
 	}
 	if whole {
 		a.noteLength(t.request.Expected, all)
 	}
 }
 
-// Close ends the count, and tells what became of the request.
+// Close ends the count and records the outcome of the request. Further calls have no effect.
 func (t *Ticket) Close(now time.Duration, outcome Outcome) {
 	if t.closed {
 		return
 	}
-	t.clear()
+	t.clearUnread()
 	t.closed = true
 	t.cameBack(outcome == Answered)
 	t.count(Load{Open: -1, Tight: -t.tight, Held: -t.held})
 	t.member.health.note(now, outcome)
-	if t.read {
+	if t.prefilled {
 		t.fleet.serviceOf(t.request.Service).holding.end(now)
 	}
-	if !t.read && (outcome == Full || outcome == Unreachable || outcome == ConnectionRefused || outcome == Ended) {
-		t.fleet.unsent(t.member, t.request) // it keeps nothing of the prompt
+	if !t.prefilled && (outcome == Full || outcome == Unreachable || outcome == ConnectionRefused || outcome == Ended) {
+		t.fleet.unsent(t.member, t.request) // the upstream holds nothing of the prompt
 	}
-	if t.free && outcome == Answered && len(t.request.Parts) == 0 {
+	if t.hadFreeSlot && outcome == Answered && len(t.request.Parts) == 0 {
 		t.fleet.learnWork(t.member, now-t.opened)
 	}
 	switch outcome {
@@ -134,9 +136,9 @@
 		t.fleet.unreached(now, t.member)
 	case ConnectionRefused:
 		t.fleet.unreached(now, t.member)
-		t.fleet.doubt(now, t.member)
+		t.fleet.suspectRestart(now, t.member)
 	case ConnectionLost:
-		t.fleet.broke(now, t.member)
+		t.fleet.noteBreak(now, t.member)
 	case Ended:
 		t.fleet.ended(t.member)
 	case Answered, Full:
