--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -170,7 +170,7 @@
 			continue
 		}
 		lost++
-		ticket.Close(now, Ended)
+		ticket.Close(now, Replaced)
 		news := f.KeptNews()
 		for _, other := range boxes { // as the group tells them
 			other.NoteKept(now, news)
--- a/balance/health.go
+++ b/balance/health.go
@@ -14,7 +14,7 @@
 	Full                      // the upstream said that it has no room
 	Failed                    // an error, a broken connection, or no answer
 	Unreachable               // no connection came up, or it went silent
-	Ended                     // another start of the upstream has its address now
+	Replaced                  // another start of the upstream has its address now
 	Neutral                   // ended for reasons that say nothing about the upstream
 	ConnectionRefused         // nobody listens at its address
 	ConnectionLost            // the connection was reset or closed under a run
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -94,7 +94,7 @@
 	f.UpdateRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Open: 3}})
 	is.True(!f.kept.holds(time.Second, PartKey(7), m))
 	is.Equal(m.underWay(), Load{})
-	for i, outcome := range []Outcome{Unreachable, Ended, ConnectionRefused, ConnectionLost} {
+	for i, outcome := range []Outcome{Unreachable, Replaced, ConnectionRefused, ConnectionLost} {
 		open[i].Close(time.Second, outcome)
 	}
 	is.True(!m.out && !m.Leaving && !m.doubted)
@@ -132,7 +132,7 @@
 	is := is.New(t)
 	f := knowing(3)
 	f.Put(0, entryOf("u", 100, 1))
-	f.Open(0, "u", prompt(7)).Close(0, Ended)
+	f.Open(0, "u", prompt(7)).Close(0, Replaced)
 	is.True(f.Get("u").Leaving)
 	f.Remove("u") // its entry lapses with the store
 	f.Put(time.Minute, entryOf("u", 100, 5))
--- a/balance/tell_test.go
+++ b/balance/tell_test.go
@@ -50,7 +50,7 @@
 		f.kept.news = append(f.kept.news, PartReport{7, 8})
 	}
 	key := f.byID["u"].key
-	f.Open(0, "u", prompt(9)).Close(0, Ended)
+	f.Open(0, "u", prompt(9)).Close(0, Replaced)
 	is.True(f.Get("u").Leaving)
 	news := f.KeptNews()
 	is.Equal(len(news), maxNews)
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -123,7 +123,7 @@
 	if t.read {
 		t.fleet.serviceOf(t.request.Service).holding.end(now)
 	}
-	if !t.read && (outcome == Full || outcome == Unreachable || outcome == ConnectionRefused || outcome == Ended) {
+	if !t.read && (outcome == Full || outcome == Unreachable || outcome == ConnectionRefused || outcome == Replaced) {
 		t.fleet.unsent(t.member, t.request) // it keeps nothing of the prompt
 	}
 	if t.free && outcome == Answered && len(t.request.Parts) == 0 {
@@ -137,7 +137,7 @@
 		t.fleet.doubt(now, t.member)
 	case ConnectionLost:
 		t.fleet.broke(now, t.member)
-	case Ended:
+	case Replaced:
 		t.fleet.ended(t.member)
 	case Answered, Full:
 		t.fleet.reached(now, t.member)
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -100,10 +100,10 @@
 		x.mayHave = true
 	}
 	x.settle(outcome)
-	if isUnreached(outcome) && errors.Is(err, syscall.ECONNREFUSED) || outcome == balance.Ended {
+	if isUnreached(outcome) && errors.Is(err, syscall.ECONNREFUSED) || outcome == balance.Replaced {
 		x.relay.noteEnd(x.upstream.Incarnation())
 	}
-	if outcome == balance.Ended {
+	if outcome == balance.Replaced {
 		x.relay.takeName(x.upstream.Incarnation(), x.instead)
 	}
 	x.leaveUnreached(outcome)
@@ -121,7 +121,7 @@
 	if x.relay.isOver(x.upstream) {
 		return
 	}
-	if isUnreached(outcome) || outcome == balance.Ended {
+	if isUnreached(outcome) || outcome == balance.Replaced {
 		x.relay.conns.forget(x.upstream.ID)
 	}
 	if isUnreached(outcome) {
@@ -145,7 +145,7 @@
 	case state == runUnsent, errors.Is(err, syscall.ETIMEDOUT):
 		return balance.Unreachable
 	case errors.Is(err, errReplaced):
-		return balance.Ended
+		return balance.Replaced
 	case state == runRefused:
 		return balance.Full
 	case isBreak(err):
