--- a/group/across_test.go
+++ b/group/across_test.go
@@ -91,7 +91,7 @@
 		changed = true
 	}
 	if (int(t.now/step)+i)%tickStep == 0 {
-		b.node.TellKept(t.parts[name])
+		b.node.AnnounceSentParts(t.parts[name])
 		t.parts[name] = nil
 		b.node.DrainKept()
 		b.node.DrainLoadChanges()
--- a/group/kept.go
+++ b/group/kept.go
@@ -45,8 +45,10 @@
 	at   time.Duration
 }
 
-// TellKept notes what this box sent to upstreams, to be told.
-func (n *Node) TellKept(list []balance.PartReport) { n.queueKept(keptNews{reach: ReachDomain}, list) }
+// AnnounceSentParts notes what this box sent to upstreams, to be told.
+func (n *Node) AnnounceSentParts(list []balance.PartReport) {
+	n.queueKept(keptNews{reach: ReachDomain}, list)
+}
 
 // DrainKept returns, once, what other boxes told.
 func (n *Node) DrainKept() []balance.PartReport {
--- a/group/kept_test.go
+++ b/group/kept_test.go
@@ -39,7 +39,7 @@
 		for i := range 2000 {
 			list = append(list, balance.PartReport{Part: uint32(i), Upstream: uint32(i % 9)})
 		}
-		w.boxes[teller].node.TellKept(list)
+		w.boxes[teller].node.AnnounceSentParts(list)
 		for name, heard := range w.hear(3 * time.Second) {
 			if name == teller {
 				is.Equal(len(heard), 0)
@@ -62,7 +62,7 @@
 	w.fleet(1, 2)
 	w.run(2 * time.Second)
 	n := w.boxes[boxName(0, 1)].node
-	n.TellKept(make([]balance.PartReport, 2*maxKeptWaiting))
+	n.AnnounceSentParts(make([]balance.PartReport, 2*maxKeptWaiting))
 	is.Equal(len(n.keptNews), maxKeptWaiting)
 }
 
@@ -74,7 +74,7 @@
 	w.loss = 0.1
 	const told = 400
 	for i := range told {
-		w.boxes[boxName(0, 2)].node.TellKept([]balance.PartReport{{Part: uint32(i), Upstream: 1}})
+		w.boxes[boxName(0, 2)].node.AnnounceSentParts([]balance.PartReport{{Part: uint32(i), Upstream: 1}})
 		w.run(200 * time.Millisecond)
 	}
 	for name, heard := range w.hear(time.Second) {
@@ -91,7 +91,7 @@
 	w.fleet(2, 12)
 	w.run(4 * time.Second)
 	lead := w.boxes[boxName(0, 0)].node
-	lead.TellKept([]balance.PartReport{{Part: 1, Upstream: 2}})
+	lead.AnnounceSentParts([]balance.PartReport{{Part: 1, Upstream: 2}})
 	lead.Tick(w.now)
 	out, _ := lead.Drain()
 	made := make(map[*wire.GroupMessage]int)
@@ -114,7 +114,7 @@
 	w := newWorld(t, 45)
 	w.fleet(1, 4)
 	w.run(4 * time.Second)
-	w.boxes[boxName(0, 2)].node.TellKept([]balance.PartReport{{Part: 1, Upstream: 2}})
+	w.boxes[boxName(0, 2)].node.AnnounceSentParts([]balance.PartReport{{Part: 1, Upstream: 2}})
 	heard := w.hear(time.Second)
 	for _, name := range w.names {
 		is.Equal(len(heard[name]) == 0, name == boxName(0, 2))
@@ -130,7 +130,7 @@
 	w.run(4 * time.Second)
 	teller := boxName(1, 2)
 	for range 2 {
-		w.boxes[teller].node.TellKept([]balance.PartReport{{Part: 1, Upstream: 2}})
+		w.boxes[teller].node.AnnounceSentParts([]balance.PartReport{{Part: 1, Upstream: 2}})
 		for name, heard := range w.hear(3 * time.Second) {
 			is.Equal(len(heard) == 0, name == teller)
 		}
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -136,7 +136,7 @@
 	w.run(10 * time.Second)
 	w.loadAll()
 	part := balance.PartReport{Part: 5, Upstream: 9}
-	w.boxes[boxName(1, 2)].node.TellKept([]balance.PartReport{part})
+	w.boxes[boxName(1, 2)].node.AnnounceSentParts([]balance.PartReport{part})
 	links := make(map[string]bool) // from a region's box to another one's
 	heard := make(map[string][]balance.PartReport)
 	for range 100 {
