--- a/balance/admit.go
+++ b/balance/admit.go
@@ -18,8 +18,8 @@
 
 // Admission is what is to be decided about a request that found a place.
 type Admission struct {
-	Target time.Duration // its latency target; 0: none
-	Again  bool          // it has come back after a refusal
+	Target  time.Duration // its latency target; 0: none
+	Retried bool          // it has come back after a refusal
 }
 
 // refusals is when requests of a service were last refused, and their latency target, by
@@ -57,7 +57,7 @@
 func (f *Fleet) boundOf(s *service, a Admission, c Choice) time.Duration {
 	t := &f.cfg.Tuning
 	calm := part(a.Target, t.Admit)
-	if a.Again {
+	if a.Retried {
 		calm = part(a.Target, t.AdmitAgain)
 	}
 	loaded := max(part(a.Target, t.AdmitLoaded)-f.readTime(c.Unread), part(a.Target, t.AdmitLeast))
--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -22,7 +22,7 @@
 	after, ok := f.Admit(0, prompt(1), a, waitOf(1500*time.Millisecond))
 	is.True(!ok)
 	is.Equal(after, time.Second) // when half of the bound is left
-	a.Again = true
+	a.Retried = true
 	_, ok = f.Admit(0, prompt(1), a, waitOf(1500*time.Millisecond))
 	is.True(ok)
 	_, ok = f.Admit(0, prompt(1), a, waitOf(2100*time.Millisecond))
@@ -55,7 +55,7 @@
 			is := is.New(t)
 			f := newTestFleet(1)
 			f.serviceOf("s").unread = float64(waitOf(tt.mean).Backlog)
-			a := Admission{Target: target, Again: tt.again}
+			a := Admission{Target: target, Retried: tt.again}
 			for _, x := range []struct {
 				more time.Duration
 				ok   bool
@@ -85,7 +85,7 @@
 	f := newTestFleet(1)
 	urgent, other := prompt(1), prompt(2)
 	other.Urgency = 3
-	patient := Admission{Target: 10 * time.Second, Again: true}
+	patient := Admission{Target: 10 * time.Second, Retried: true}
 	_, ok := f.Admit(0, other, patient, waitOf(2*time.Second))
 	is.True(ok)
 	_, ok = f.Admit(0, urgent, Admission{Target: time.Second}, waitOf(time.Second))
@@ -115,7 +115,7 @@
 		holdSlots(f, time.Duration(rapid.IntRange(0, 5000).Draw(t, "held"))*time.Millisecond)
 		admission := func(name string) Admission {
 			target := rapid.IntRange(1, 5000).Draw(t, "target of the "+name)
-			return Admission{Target: time.Duration(target) * time.Millisecond, Again: rapid.Bool().Draw(t, name+" again")}
+			return Admission{Target: time.Duration(target) * time.Millisecond, Retried: rapid.Bool().Draw(t, name+" again")}
 		}
 		urgent, other := prompt(7), prompt(7)
 		urgent.Urgency = rapid.IntRange(0, Levels-2).Draw(t, "urgent")
@@ -124,7 +124,7 @@
 		first, _ := f.Place(0, urgent, nil)
 		first.Unread = rapid.IntRange(0, 90000).Draw(t, "read of the urgent")
 		a := admission("urgent")
-		a.Again = false
+		a.Retried = false
 		if _, ok := f.Admit(0, urgent, a, first); ok {
 			return
 		}
--- a/experiment/placing/run.go
+++ b/experiment/placing/run.go
@@ -131,7 +131,7 @@
 	choice, ok := d.fleet.Place(now, j.request, nil)
 	after := time.Duration(0)
 	if ok {
-		after, ok = d.fleet.Admit(now, j.request, balance.Admission{Target: j.class.Target.Std(), Again: again}, choice)
+		after, ok = d.fleet.Admit(now, j.request, balance.Admission{Target: j.class.Target.Std(), Retried: again}, choice)
 	}
 	switch {
 	case !ok && !again && now+after < j.end:
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -124,7 +124,7 @@
 // admission is what the fleet looks at to decide whether the request would come late.
 func (x *exchange) admission() balance.Admission {
 	x.again = float64(x.left()) < cameBack*float64(x.route.Timeout)
-	return balance.Admission{Target: x.route.Target, Again: x.again}
+	return balance.Admission{Target: x.route.Target, Retried: x.again}
 }
 
 // runOn runs the request on the upstream that was chosen.
