--- a/group/across_test.go
+++ b/group/across_test.go
@@ -93,7 +93,7 @@
 	if (int(t.now/step)+i)%tickStep == 0 {
 		b.node.AnnounceSentParts(t.parts[name])
 		t.parts[name] = nil
-		b.node.DrainKept()
+		b.node.DrainSentParts()
 		b.node.DrainLoadChanges()
 	}
 	if changed {
--- a/group/kept.go
+++ b/group/kept.go
@@ -50,8 +50,8 @@
 	n.queueKept(keptNews{reach: ReachDomain}, list)
 }
 
-// DrainKept returns, once, what other boxes told.
-func (n *Node) DrainKept() []balance.PartReport {
+// DrainSentParts returns, once, what other boxes told.
+func (n *Node) DrainSentParts() []balance.PartReport {
 	heard := n.keptHeard
 	n.keptHeard = nil
 	return heard
--- a/group/kept_test.go
+++ b/group/kept_test.go
@@ -19,7 +19,7 @@
 	for end := w.now + d; w.now < end; {
 		w.run(tickStep * step)
 		for _, name := range w.names {
-			for _, k := range w.boxes[name].node.DrainKept() {
+			for _, k := range w.boxes[name].node.DrainSentParts() {
 				heard[name][k]++
 			}
 		}
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -150,7 +150,7 @@
 			}
 		}
 		for _, name := range w.names {
-			heard[name] = append(heard[name], w.boxes[name].node.DrainKept()...)
+			heard[name] = append(heard[name], w.boxes[name].node.DrainSentParts()...)
 		}
 	}
 	is.Equal(len(links), 6) // three regions, each to two others
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -24,7 +24,7 @@
 	m.relay.fleet.NoteClasses(m.node.Classes(m.relay.now()))
 	m.sizeLanes()
 	m.node.AnnounceSentParts(m.relay.fleet.KeptNews())
-	m.relay.fleet.NoteKept(m.relay.now(), m.node.DrainKept())
+	m.relay.fleet.NoteKept(m.relay.now(), m.node.DrainSentParts())
 	m.relay.endedUnder.Forget(m.relay.now())
 	m.relay.budgets.Forget(m.relay.now())
 	m.node.SetWithheld(m.relay.endedUnder.Withheld(m.relay.now()))
