--- a/group/suspects.go
+++ b/group/suspects.go
@@ -41,8 +41,8 @@
 	n.suspects.all, n.suspects.digest = list, balance.DigestOf(list)
 }
 
-// TellSuspects notes what is new, to be told.
-func (n *Node) TellSuspects(list []balance.Suspect) { n.suspects.tell(list) }
+// AnnounceSuspects notes what is new, to be told.
+func (n *Node) AnnounceSuspects(list []balance.Suspect) { n.suspects.tell(list) }
 
 // DrainSuspects returns, once, what other boxes told.
 func (n *Node) DrainSuspects() []balance.Suspect { return n.suspects.drain() }
--- a/group/suspects_test.go
+++ b/group/suspects_test.go
@@ -35,7 +35,7 @@
 			}
 			s := h.tables[name]
 			s.Take(h.w.now, b.node.DrainSuspects())
-			b.node.TellSuspects(s.News(h.w.now))
+			b.node.AnnounceSuspects(s.News(h.w.now))
 			b.node.SetWithheld(s.Withheld(h.w.now))
 			b.node.FlushSuspects(h.w.now)
 			h.w.collect(b)
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -169,7 +169,7 @@
 	r.mu.Lock()
 	withheld := r.endedUnder.Take(now, heard)
 	if news := r.endedUnder.News(now); len(news) > 0 {
-		m.node.TellSuspects(news)
+		m.node.AnnounceSuspects(news)
 		m.node.SetWithheld(r.endedUnder.Withheld(now))
 	}
 	r.mu.Unlock()
