--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -135,7 +135,7 @@
 		}
 		f.TakeNamed(now, b.node.DrainLimits())
 		if news := f.NamedNews(now); len(news) > 0 {
-			b.node.TellLimits(news)
+			b.node.AnnounceLimits(news)
 			b.node.SetLimits(f.NamedAll(now))
 		}
 		b.node.FlushLimits(now)
--- a/group/limits.go
+++ b/group/limits.go
@@ -31,9 +31,9 @@
 	n.limits.all, n.limits.digest = known, balance.DigestOfNamed(inForce)
 }
 
-// TellLimits notes what is new, to be told. A member tells what it has read itself: all else comes from
+// AnnounceLimits notes what is new, to be told. A member tells what it has read itself: all else comes from
 // its lead, which told the others as well.
-func (n *Node) TellLimits(list []balance.LimitReport) {
+func (n *Node) AnnounceLimits(list []balance.LimitReport) {
 	if n.IsLeader() {
 		n.limits.tell(list)
 		return
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -116,7 +116,7 @@
 	r.mu.Lock()
 	changes := r.fleet.TakeNamed(now, heard)
 	if news := r.fleet.NamedNews(now); len(news) > 0 {
-		m.node.TellLimits(news)
+		m.node.AnnounceLimits(news)
 		m.node.SetLimits(r.fleet.NamedAll(now))
 	}
 	r.mu.Unlock()
