--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -95,7 +95,7 @@
 	f.UpdateRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Open: 3}})
 	is.True(!f.parts.holds(time.Second, PartKey(7), m))
 	is.Equal(m.totalLoad(), Load{})
-	for i, outcome := range []Outcome{Unreachable, Ended, ConnectionRefused, ConnectionLost} {
+	for i, outcome := range []Outcome{Unreachable, Replaced, ConnectionRefused, ConnectionLost} {
 		open[i].Close(time.Second, outcome)
 	}
 	is.True(!m.unreachable && !m.Leaving && !m.suspect)
@@ -133,7 +133,7 @@
 	is := is.New(t)
 	f := newInformedFleet(3)
 	f.Put(0, entryOf("u", 100, 1))
-	f.Open(0, "u", prompt(7)).Close(0, Ended)
+	f.Open(0, "u", prompt(7)).Close(0, Replaced)
 	is.True(f.Get("u").Leaving)
 	f.Remove("u") // its entry is lost together with the store
 	f.Put(time.Minute, entryOf("u", 100, 5))
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -125,7 +125,7 @@
 	if t.prefilled {
 		t.fleet.serviceOf(t.request.Service).holding.end(now)
 	}
-	if !t.prefilled && (outcome == Full || outcome == Unreachable || outcome == ConnectionRefused || outcome == Ended) {
+	if !t.prefilled && (outcome == Full || outcome == Unreachable || outcome == ConnectionRefused || outcome == Replaced) {
 		t.fleet.unsent(t.member, t.request) // the upstream holds nothing of the prompt
 	}
 	if t.hadFreeSlot && outcome == Answered && len(t.request.Parts) == 0 {
@@ -139,7 +139,7 @@
 		t.fleet.suspectRestart(now, t.member)
 	case ConnectionLost:
 		t.fleet.noteBreak(now, t.member)
-	case Ended:
+	case Replaced:
 		t.fleet.ended(t.member)
 	case Answered, Full:
 		t.fleet.reached(now, t.member)
--- a/group/kept.go
+++ b/group/kept.go
@@ -45,11 +45,13 @@
 	at   time.Duration
 }
 
-// TellKept notes what this box sent to upstreams, to be told.
-func (n *Node) TellKept(list []balance.PartReport) { n.queueKept(keptNews{reach: ReachDomain}, list) }
+// AnnounceSentParts notes what this box sent to upstreams, to be told.
+func (n *Node) AnnounceSentParts(list []balance.PartReport) {
+	n.queueKept(keptNews{reach: ReachDomain}, list)
+}
 
-// DrainKept returns, once, what other boxes told.
-func (n *Node) DrainKept() []balance.PartReport {
+// DrainSentParts returns, once, what other boxes told.
+func (n *Node) DrainSentParts() []balance.PartReport {
 	heard := n.keptHeard
 	n.keptHeard = nil
 	return heard
