--- a/group/changes_test.go
+++ b/group/changes_test.go
@@ -152,7 +152,7 @@
 	n.cfg.Mirror.Apply(1000, 1003, entriesOf(3, 1001))
 	ask := func(after uint64) *wire.MirrorResponse {
 		n.answers = answers{}
-		return n.Answer(time.Second, &wire.MirrorRequest{Packed: true, Pulls: "b", After: after})
+		return n.AnswerPull(time.Second, &wire.MirrorRequest{Packed: true, Pulls: "b", After: after})
 	}
 	r := ask(1000)
 	is.Equal(r.From, uint64(1000))
--- a/group/fetch.go
+++ b/group/fetch.go
@@ -43,9 +43,9 @@
 	boxes []answered    // the last ones, the newest last
 }
 
-// Answer is the answer to another box's pull: everything, or where else to ask. It must not
+// AnswerPull is the answer to another box's pull: everything, or where else to ask. It must not
 // be changed.
-func (n *Node) Answer(now time.Duration, req *wire.MirrorRequest) *wire.MirrorResponse {
+func (n *Node) AnswerPull(now time.Duration, req *wire.MirrorRequest) *wire.MirrorResponse {
 	if left := n.answers.until - now; left > answerBacklog {
 		return &wire.MirrorResponse{BusyLeft: micros(left - answerBacklog/2), Elsewhere: n.elsewhere(now, req)}
 	}
--- a/group/restart_test.go
+++ b/group/restart_test.go
@@ -190,7 +190,7 @@
 	n := w.boxes[boxName(0, 0)].node
 	n.answers = answers{}
 	ask := func(pulls, domain string) *wire.MirrorResponse {
-		return n.Answer(w.now, &wire.MirrorRequest{Packed: true, Pulls: pulls, Domain: domain})
+		return n.AnswerPull(w.now, &wire.MirrorRequest{Packed: true, Pulls: pulls, Domain: domain})
 	}
 	first := ask("a", "domain0")
 	is.True(len(first.Packed) > 0)
--- a/group/world_test.go
+++ b/group/world_test.go
@@ -245,7 +245,7 @@
 		return
 	}
 	b.pulls = true
-	r := from.node.Answer(w.now, &wire.MirrorRequest{Packed: true, Domain: b.self.Domain, Region: b.self.Region, Pulls: b.self.Pulls, After: b.copy.Revision()})
+	r := from.node.AnswerPull(w.now, &wire.MirrorRequest{Packed: true, Domain: b.self.Domain, Region: b.self.Region, Pulls: b.self.Pulls, After: b.copy.Revision()})
 	if r.BusyLeft == 0 && r.Revision > 0 && b.self.Domain != from.self.Domain {
 		w.crossed++
 	}
--- a/relay/members.go
+++ b/relay/members.go
@@ -149,7 +149,7 @@
 	case e.pulled != nil:
 		m.takePulled(now, e.pulled)
 	case e.ask != nil:
-		e.ask <- m.node.Answer(now, e.request)
+		e.ask <- m.node.AnswerPull(now, e.request)
 	case e.leave != nil:
 		m.node.Leave(now)
 		m.after(ctx)
--- a/relay/news_test.go
+++ b/relay/news_test.go
@@ -79,7 +79,7 @@
 	is.Equal(len(r.fleet.IDs()), mostHandedIn)
 	is.Equal(len(m.more), 1)                                                // it goes on
 	is.True(time.Duration(r.belief.confirmed.Load()) < r.now()-time.Hour/2) // and does not say yet that it knows all
-	answer := m.node.Answer(r.now(), &wire.MirrorRequest{Packed: true})
+	answer := m.node.AnswerPull(r.now(), &wire.MirrorRequest{Packed: true})
 	is.True(len(answer.Packed) > 0) // others get all of it
 	m.handIn()
 	m.after(context.Background())
