--- a/group/changes_test.go
+++ b/group/changes_test.go
@@ -156,7 +156,7 @@
 	}
 	r := ask(1000)
 	is.Equal(r.From, uint64(1000))
-	box.Pulled(time.Second, time.Second, r)
+	box.HandlePullResponse(time.Second, time.Second, r)
 	is.Equal(box.cfg.Mirror.Revision(), uint64(1003))
 	is.Equal(box.cfg.Mirror.Items(), n.cfg.Mirror.Items())
 	is.Equal(ask(1001).From, uint64(1001)) // and not what was packed for the one before
@@ -164,8 +164,8 @@
 		is.Equal(ask(after).From, uint64(0))
 	}
 	ahead := nodeWith(1000)
-	ahead.Pulled(time.Second, time.Second, ask(1001)) // it begins where the box is not
+	ahead.HandlePullResponse(time.Second, time.Second, ask(1001)) // it begins where the box is not
 	is.Equal(ahead.cfg.Mirror.Revision(), uint64(1000))
-	box.Pulled(2*time.Second, 2*time.Second, ask(1003)) // nothing new
+	box.HandlePullResponse(2*time.Second, 2*time.Second, ask(1003)) // nothing new
 	is.Equal(box.cfg.Mirror.Revision(), uint64(1003))
 }
--- a/group/pulled.go
+++ b/group/pulled.go
@@ -71,9 +71,9 @@
 	return unpack(all.Items)
 }
 
-// Pulled takes in all that another box has, which was asked for it at a moment. The ages in the
+// HandlePullResponse takes in all that another box has, which was asked for it at a moment. The ages in the
 // answer count from then on: it may have been on its way for long.
-func (n *Node) Pulled(now, asked time.Duration, r *wire.MirrorResponse) {
+func (n *Node) HandlePullResponse(now, asked time.Duration, r *wire.MirrorResponse) {
 	if r.BusyLeft > 0 {
 		n.turnedAway(now, r)
 		return
--- a/group/pulled_test.go
+++ b/group/pulled_test.go
@@ -41,7 +41,7 @@
 	for _, packed := range []bool{true, false} {
 		is := is.New(t)
 		from, to := nodeWith(1000), nodeWith(0)
-		to.Pulled(time.Second, time.Second, from.Everything(time.Second, packed))
+		to.HandlePullResponse(time.Second, time.Second, from.Everything(time.Second, packed))
 		is.Equal(to.cfg.Mirror.Items(), from.cfg.Mirror.Items())
 		is.Equal(to.cfg.Mirror.Revision(), uint64(1000))
 	}
@@ -53,7 +53,7 @@
 	from, to := nodeWith(10), nodeWith(0)
 	from.confirmed = 2 * time.Second
 	to.lastTick = 4 * time.Second
-	to.Pulled(4*time.Second, 2500*time.Millisecond, from.Everything(3500*time.Millisecond, true))
+	to.HandlePullResponse(4*time.Second, 2500*time.Millisecond, from.Everything(3500*time.Millisecond, true))
 	is.Equal(to.Confirmed(), time.Second) // 1.5 s old when it was packed, and asked for at 2.5 s
 }
 
@@ -74,7 +74,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			n := nodeWith(3)
-			n.Pulled(time.Second, time.Second, tt.response)
+			n.HandlePullResponse(time.Second, time.Second, tt.response)
 			is.Equal(len(n.cfg.Mirror.Items()), 3)
 			is.Equal(n.cfg.Mirror.Revision(), uint64(3))
 		})
@@ -88,7 +88,7 @@
 	from := nodeWith(1000)
 	n := NewNode(Config{Self: &wire.GroupBox{Name: "new", Domain: "d"}, Timing: DefaultTiming, Mirror: mirror.New(), Changed: func([]mirror.Item) {}}, 0)
 	first := from.Everything(time.Second, true)
-	n.Pulled(time.Second, time.Second, first)
+	n.HandlePullResponse(time.Second, time.Second, first)
 	second := n.Everything(2*time.Second, true)
 	is.True(&first.Packed[0] == &second.Packed[0])
 	is.Equal(second.Revision, first.Revision)
--- a/group/world_test.go
+++ b/group/world_test.go
@@ -238,7 +238,7 @@
 // pull begins to send everything from one box to another, over the link of the one that has it.
 func (w *world) pull(b, from *testBox) {
 	if w.link == 0 {
-		b.node.Pulled(w.now, w.now, from.node.Everything(w.now, true))
+		b.node.HandlePullResponse(w.now, w.now, from.node.Everything(w.now, true))
 		return
 	}
 	if b.pulls {
@@ -283,7 +283,7 @@
 	if p.what == nil {
 		b.node.PullFailed()
 	} else {
-		b.node.Pulled(w.now, p.asked, p.what)
+		b.node.HandlePullResponse(w.now, p.asked, p.what)
 	}
 	if p.what != nil && p.what.BusyLeft == 0 && p.what.From == 0 {
 		w.pulled++
--- a/relay/pull.go
+++ b/relay/pull.go
@@ -62,7 +62,7 @@
 	if left := p.response.BusyLeft; left > 0 {
 		m.relay.cfg.Log.Event("group", "pull turned away", Fields{"from": p.from, "busy_ms": left / microsOfMilli, "elsewhere": p.response.Elsewhere})
 	}
-	m.node.Pulled(now, p.asked, p.response)
+	m.node.HandlePullResponse(now, p.asked, p.response)
 }
 
 // mirrors answers other boxes' pulls.
