--- a/group/node_test.go
+++ b/group/node_test.go
@@ -163,7 +163,7 @@
 	is := is.New(t)
 	w := newWorld(t, 10)
 	b := w.start("a", "domain0", 1, false)
-	b.node.Read(w.now, w.now, w.published.Items(), 1, true)
+	b.node.HandleRead(w.now, w.now, w.published.Items(), 1, true)
 	b.node.Handle(w.now, &wire.GroupMessage{Sender: &wire.GroupBox{Name: "b", Domain: "domain0", Boot: 1}, From: 1, Revision: 2,
 		Items: []*wire.GroupItem{{Key: documentKey, Value: []byte("no flate"), Revision: 2, Packed: true}}})
 	is.Equal(b.copy.Revision(), uint64(1)) // it is asked for again
--- a/group/published.go
+++ b/group/published.go
@@ -147,10 +147,10 @@
 	n.sendAll(to, n.itemMessages(now, after, changes))
 }
 
-// Read notes that this box read the publisher itself: what is new behind the mirror's
+// HandleRead notes that this box read the publisher itself: what is new behind the mirror's
 // revision, or everything where whole is set, which was the newest at the moment
 // known. A box that reads for a lead tells it.
-func (n *Node) Read(now, known time.Duration, items []mirror.Item, revision uint64, whole bool) {
+func (n *Node) HandleRead(now, known time.Duration, items []mirror.Item, revision uint64, whole bool) {
 	if n.readFails && now-n.confirmed > n.cfg.Timing.Stale {
 		n.doubt = max(n.doubt, now+lapse) // nobody else could read either
 	}
--- a/group/published_test.go
+++ b/group/published_test.go
@@ -22,7 +22,7 @@
 	lead.node.note(w.boxes[boxName(0, 1)].self)
 	lead.node.Drain()
 	items, revision := w.published.Items(), w.published.Revision()
-	lead.node.Read(w.now, w.now, items, revision, true)
+	lead.node.HandleRead(w.now, w.now, items, revision, true)
 	out, _ := lead.node.Drain()
 	told := 0
 	for _, o := range out {
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -278,7 +278,7 @@
 	}
 	lead := w.boxes[boxName(0, 0)].node
 	changes := []mirror.Item{{Key: documentKey, Value: []byte("2"), Revision: 2}}
-	is.Equal(count(func() { lead.Read(w.now, w.now, changes, 2, false) })[ReachRegion], 2)
+	is.Equal(count(func() { lead.HandleRead(w.now, w.now, changes, 2, false) })[ReachRegion], 2)
 	is.Equal(count(func() { w.boxes[boxName(1, 5)].node.Leave(w.now) })[ReachRegion], 0)
 	is.Equal(count(func() { lead.Leave(w.now) })[ReachRegion], 2)
 }
--- a/group/store_test.go
+++ b/group/store_test.go
@@ -70,6 +70,6 @@
 		return
 	}
 	b.page = 0
-	b.node.Read(w.now, b.began, w.published.Items(), w.published.Revision(), true)
+	b.node.HandleRead(w.now, b.began, w.published.Items(), w.published.Revision(), true)
 	w.collect(b)
 }
--- a/group/world_test.go
+++ b/group/world_test.go
@@ -320,12 +320,12 @@
 	case away:
 		b.node.ReadFailed()
 	case b.whole || !known:
-		b.node.Read(w.now, b.began, w.published.Items(), w.published.Revision(), true)
+		b.node.HandleRead(w.now, b.began, w.published.Items(), w.published.Revision(), true)
 	case !news:
-		b.node.Read(w.now, b.began+b.waits, nil, b.asked, false)
+		b.node.HandleRead(w.now, b.began+b.waits, nil, b.asked, false)
 	default:
 		b.next = w.now + DefaultTiming.Gather
-		b.node.Read(w.now, b.began, items, w.published.Revision(), false)
+		b.node.HandleRead(w.now, b.began, items, w.published.Revision(), false)
 	}
 }
 
--- a/relay/news_test.go
+++ b/relay/news_test.go
@@ -73,7 +73,7 @@
 	for i := range 2 * mostHandedIn {
 		items = append(items, mirror.Item{Key: fmt.Sprintf("u%d", i), Revision: 1, Value: fmt.Appendf(nil, `{"ID":"u%d","Service":"s","Address":"10.0.0.1:%d"}`, i, i+1)})
 	}
-	m.node.Read(r.now(), r.now(), items, 1, true)
+	m.node.HandleRead(r.now(), r.now(), items, 1, true)
 	m.handIn()
 	m.after(context.Background())
 	is.Equal(len(r.fleet.IDs()), mostHandedIn)
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -130,7 +130,7 @@
 		// some ten readings with this, and a hundred without.
 		r.pause = m.relay.cfg.Timing.Gather
 	}
-	m.node.Read(now, r.known, r.items, r.revision, r.whole)
+	m.node.HandleRead(now, r.known, r.items, r.revision, r.whole)
 	m.relay.belief.regain(m.relay)
 }
 
