--- a/group/changes_test.go
+++ b/group/changes_test.go
@@ -103,7 +103,7 @@
 	box := nodeWith(5)
 	box.cfg.Self.Name = "another"
 	box.Handle(2*time.Second, messages[0])
-	is.True(box.Confirmed() < time.Second)
+	is.True(box.ConfirmedAt() < time.Second)
 	is.Equal(box.cfg.Mirror.Revision(), messages[0].Revision)
 }
 
--- a/group/member_bench_test.go
+++ b/group/member_bench_test.go
@@ -29,7 +29,7 @@
 		run("watch", func() { n.WatchTimeout(t.now) })
 		run("lanes", func() { n.Lanes(t.now) })
 		run("informed", func() { n.KnowsOtherLoads(t.now) })
-		run("confirmed", func() { n.Confirmed() })
+		run("confirmed", func() { n.ConfirmedAt() })
 		run("tick", func() { t.now += 100 * time.Millisecond; n.confirmed = t.now; n.Tick(t.now); n.Drain() })
 		run("flush", func() { n.FlushLoads(t.now) })
 	}
--- a/group/node.go
+++ b/group/node.go
@@ -247,8 +247,8 @@
 	return out, pull
 }
 
-// Confirmed is when the mirror was last known to be the newest.
-func (n *Node) Confirmed() time.Duration { return n.confirmed }
+// ConfirmedAt is when the mirror was last known to be the newest.
+func (n *Node) ConfirmedAt() time.Duration { return n.confirmed }
 
 // Doubt is until when entries that went may come back.
 func (n *Node) Doubt() time.Duration { return n.doubt }
--- a/group/node_test.go
+++ b/group/node_test.go
@@ -145,11 +145,11 @@
 	w.down = true
 	w.run(2 * time.Second) // a call that was waiting may have confirmed until now
 	for _, name := range w.names {
-		is.True(w.boxes[name].node.Confirmed() <= w.now-2*time.Second+DefaultTiming.Watch)
+		is.True(w.boxes[name].node.ConfirmedAt() <= w.now-2*time.Second+DefaultTiming.Watch)
 	}
 	w.run(4 * time.Second)
 	for _, name := range w.names {
-		is.True(w.now-w.boxes[name].node.Confirmed() >= 5*time.Second)
+		is.True(w.now-w.boxes[name].node.ConfirmedAt() >= 5*time.Second)
 	}
 	w.down = false
 	w.run(2 * time.Second)
--- a/group/pulled_test.go
+++ b/group/pulled_test.go
@@ -54,7 +54,7 @@
 	from.confirmed = 2 * time.Second
 	to.lastTick = 4 * time.Second
 	to.HandlePullResponse(4*time.Second, 2500*time.Millisecond, from.Everything(3500*time.Millisecond, true))
-	is.Equal(to.Confirmed(), time.Second) // 1.5 s old when it was packed, and asked for at 2.5 s
+	is.Equal(to.ConfirmedAt(), time.Second) // 1.5 s old when it was packed, and asked for at 2.5 s
 }
 
 // What cannot be read, or says nothing, leaves what the box has.
--- a/group/search_test.go
+++ b/group/search_test.go
@@ -150,9 +150,9 @@
 	}
 	w.counts[name] = b.node.BoxCount()
 	next := int(b.copy.Revision()) + 1 // the first revision it does not have
-	if b.copy.Revision() > 0 && next < len(w.changes) && b.node.Confirmed() > w.changes[next] {
+	if b.copy.Revision() > 0 && next < len(w.changes) && b.node.ConfirmedAt() > w.changes[next] {
 		t.Fatalf("%s: %s has revision %d and says it was the newest at %v, revision %d came at %v",
-			namesOf(path), name, b.copy.Revision(), b.node.Confirmed(), next, w.changes[next])
+			namesOf(path), name, b.copy.Revision(), b.node.ConfirmedAt(), next, w.changes[next])
 	}
 }
 
--- a/relay/members.go
+++ b/relay/members.go
@@ -165,7 +165,7 @@
 	m.sendOut(ctx)
 	m.showRevision()
 	if len(m.backlog) == 0 { // else the box still goes by what is older
-		m.relay.belief.confirmed.Store(int64(m.node.Confirmed()))
+		m.relay.belief.confirmed.Store(int64(m.node.ConfirmedAt()))
 	}
 	if m.node.SizeKnown() {
 		m.boxes.Store(int64(m.node.BoxCount()))
--- a/relay/news_test.go
+++ b/relay/news_test.go
@@ -84,5 +84,5 @@
 	m.handIn()
 	m.after(context.Background())
 	is.Equal(len(r.fleet.IDs()), 2*mostHandedIn)
-	is.Equal(time.Duration(r.belief.confirmed.Load()), m.node.Confirmed())
+	is.Equal(time.Duration(r.belief.confirmed.Load()), m.node.ConfirmedAt())
 }
