--- a/group/node.go
+++ b/group/node.go
@@ -250,8 +250,8 @@
 // ConfirmedAt is when the mirror was last known to be the newest.
 func (n *Node) ConfirmedAt() time.Duration { return n.confirmed }
 
-// Doubt is until when entries that went may come back.
-func (n *Node) Doubt() time.Duration { return n.doubt }
+// DeletionsUncertainUntil is until when entries that went may come back.
+func (n *Node) DeletionsUncertainUntil() time.Duration { return n.doubt }
 
 // Leave tells the boxes of the domain that this box is about to end, so that another leads,
 // and those that lead others, if it led.
--- a/group/node_test.go
+++ b/group/node_test.go
@@ -155,7 +155,7 @@
 	w.run(2 * time.Second)
 	is.Equal(w.behind(), nil)
 	for _, name := range w.names {
-		is.True(w.boxes[name].node.Doubt() > w.now-time.Second) // entries that lapsed may come back
+		is.True(w.boxes[name].node.DeletionsUncertainUntil() > w.now-time.Second) // entries that lapsed may come back
 	}
 }
 
@@ -240,7 +240,7 @@
 	w.run(2 * time.Second)
 	is.True(lead.node.readOK > w.now-2*time.Second) // it reads again
 	for _, name := range w.names {
-		is.True(w.boxes[name].node.Doubt() < 0)
+		is.True(w.boxes[name].node.DeletionsUncertainUntil() < 0)
 	}
 }
 
--- a/relay/news.go
+++ b/relay/news.go
@@ -195,7 +195,7 @@
 			m.logRefused(item, err)
 			news = Update{Invalid: news.Invalid}
 		}
-		m.relay.takeNews(news, m.node.Doubt(), m.missing)
+		m.relay.takeNews(news, m.node.DeletionsUncertainUntil(), m.missing)
 	}
 }
 
@@ -203,7 +203,7 @@
 func (m *members) dropMissing() {
 	now := m.relay.now()
 	for id, due := range m.missing {
-		if now >= due && now >= m.node.Doubt() {
+		if now >= due && now >= m.node.DeletionsUncertainUntil() {
 			delete(m.missing, id)
 			m.relay.dropUpstream(id, "gone from the list")
 		}
