--- a/group/node_test.go
+++ b/group/node_test.go
@@ -145,17 +145,17 @@
 	w.down = true
 	w.run(2 * time.Second) // a call that was waiting may have confirmed until now
 	for _, name := range w.names {
-		is.True(w.boxes[name].node.Confirmed() <= w.now-2*time.Second+DefaultTiming.Watch)
+		is.True(w.boxes[name].node.ConfirmedAt() <= w.now-2*time.Second+DefaultTiming.Watch)
 	}
 	w.run(4 * time.Second)
 	for _, name := range w.names {
-		is.True(w.now-w.boxes[name].node.Confirmed() >= 5*time.Second)
+		is.True(w.now-w.boxes[name].node.ConfirmedAt() >= 5*time.Second)
 	}
 	w.down = false
 	w.run(2 * time.Second)
 	is.Equal(w.behind(), nil)
 	for _, name := range w.names {
-		is.True(w.boxes[name].node.Doubt() > w.now-time.Second) // entries that lapsed may come back
+		is.True(w.boxes[name].node.DeletionsUncertainUntil() > w.now-time.Second) // entries that lapsed may come back
 	}
 }
 
@@ -163,7 +163,7 @@
 	is := is.New(t)
 	w := newWorld(t, 10)
 	b := w.start("a", "domain0", 1, false)
-	b.node.Read(w.now, w.now, w.published.Items(), 1, true)
+	b.node.HandleRead(w.now, w.now, w.published.Items(), 1, true)
 	b.node.Handle(w.now, &wire.GroupMessage{Sender: &wire.GroupBox{Name: "b", Domain: "domain0", Boot: 1}, From: 1, Revision: 2,
 		Items: []*wire.GroupItem{{Key: documentKey, Value: []byte("no flate"), Revision: 2, Packed: true}}})
 	is.Equal(b.copy.Revision(), uint64(1)) // it is asked for again
@@ -240,7 +240,7 @@
 	w.run(2 * time.Second)
 	is.True(lead.node.readOK > w.now-2*time.Second) // it reads again
 	for _, name := range w.names {
-		is.True(w.boxes[name].node.Doubt() < 0)
+		is.True(w.boxes[name].node.DeletionsUncertainUntil() < 0)
 	}
 }
 
--- a/group/world_test.go
+++ b/group/world_test.go
@@ -238,14 +238,14 @@
 // pull begins to send everything from one box to another, over the link of the one that has it.
 func (w *world) pull(b, from *testBox) {
 	if w.link == 0 {
-		b.node.Pulled(w.now, w.now, from.node.Everything(w.now, true))
+		b.node.HandlePullResponse(w.now, w.now, from.node.Everything(w.now, true))
 		return
 	}
 	if b.pulls {
 		return
 	}
 	b.pulls = true
-	r := from.node.Answer(w.now, &wire.MirrorRequest{Packed: true, Domain: b.self.Domain, Region: b.self.Region, Pulls: b.self.Pulls, After: b.copy.Revision()})
+	r := from.node.AnswerPull(w.now, &wire.MirrorRequest{Packed: true, Domain: b.self.Domain, Region: b.self.Region, Pulls: b.self.Pulls, After: b.copy.Revision()})
 	if r.BusyLeft == 0 && r.Revision > 0 && b.self.Domain != from.self.Domain {
 		w.crossed++
 	}
@@ -283,7 +283,7 @@
 	if p.what == nil {
 		b.node.PullFailed()
 	} else {
-		b.node.Pulled(w.now, p.asked, p.what)
+		b.node.HandlePullResponse(w.now, p.asked, p.what)
 	}
 	if p.what != nil && p.what.BusyLeft == 0 && p.what.From == 0 {
 		w.pulled++
@@ -320,12 +320,12 @@
 	case away:
 		b.node.ReadFailed()
 	case b.whole || !known:
-		b.node.Read(w.now, b.began, w.published.Items(), w.published.Revision(), true)
+		b.node.HandleRead(w.now, b.began, w.published.Items(), w.published.Revision(), true)
 	case !news:
-		b.node.Read(w.now, b.began+b.waits, nil, b.asked, false)
+		b.node.HandleRead(w.now, b.began+b.waits, nil, b.asked, false)
 	default:
 		b.next = w.now + DefaultTiming.Gather
-		b.node.Read(w.now, b.began, items, w.published.Revision(), false)
+		b.node.HandleRead(w.now, b.began, items, w.published.Revision(), false)
 	}
 }
 
--- a/relay/members.go
+++ b/relay/members.go
@@ -149,7 +149,7 @@
 	case e.pulled != nil:
 		m.takePulled(now, e.pulled)
 	case e.ask != nil:
-		e.ask <- m.node.Answer(now, e.request)
+		e.ask <- m.node.AnswerPull(now, e.request)
 	case e.leave != nil:
 		m.node.Leave(now)
 		m.after(ctx)
@@ -165,7 +165,7 @@
 	m.sendOut(ctx)
 	m.showRevision()
 	if len(m.backlog) == 0 { // else the box still goes by what is older
-		m.relay.belief.confirmed.Store(int64(m.node.Confirmed()))
+		m.relay.belief.confirmed.Store(int64(m.node.ConfirmedAt()))
 	}
 	if m.node.SizeKnown() {
 		m.boxes.Store(int64(m.node.BoxCount()))
--- a/relay/news_test.go
+++ b/relay/news_test.go
@@ -73,16 +73,16 @@
 	for i := range 2 * mostHandedIn {
 		items = append(items, mirror.Item{Key: fmt.Sprintf("u%d", i), Revision: 1, Value: fmt.Appendf(nil, `{"ID":"u%d","Service":"s","Address":"10.0.0.1:%d"}`, i, i+1)})
 	}
-	m.node.Read(r.now(), r.now(), items, 1, true)
+	m.node.HandleRead(r.now(), r.now(), items, 1, true)
 	m.handIn()
 	m.after(context.Background())
 	is.Equal(len(r.fleet.IDs()), mostHandedIn)
 	is.Equal(len(m.more), 1)                                                // it goes on
 	is.True(time.Duration(r.belief.confirmed.Load()) < r.now()-time.Hour/2) // and does not say yet that it knows all
-	answer := m.node.Answer(r.now(), &wire.MirrorRequest{Packed: true})
+	answer := m.node.AnswerPull(r.now(), &wire.MirrorRequest{Packed: true})
 	is.True(len(answer.Packed) > 0) // others get all of it
 	m.handIn()
 	m.after(context.Background())
 	is.Equal(len(r.fleet.IDs()), 2*mostHandedIn)
-	is.Equal(time.Duration(r.belief.confirmed.Load()), m.node.Confirmed())
+	is.Equal(time.Duration(r.belief.confirmed.Load()), m.node.ConfirmedAt())
 }
