--- a/relay/answer.go
+++ b/relay/answer.go
@@ -15,29 +15,29 @@
 	"github.com/valyala/fasthttp"
 )
 
-// answer is an upstream's answer, its head read.
-type answer struct {
+// response is an upstream's response, its head read.
+type response struct {
 	conn   *conn
 	header fasthttp.ResponseHeader
 	body   io.Reader // without its framing; io.EOF only after a whole body
 	reuse  bool      // the connection can carry another request after the body
-	sent   *sending
+	sent   *requestWrite
 }
 
-// foreignAnswers is how many answers to other requests are skipped on a
+// maxForeignResponses is how many answers to other requests are skipped on a
 // connection before it is given up.
-const foreignAnswers = 2
+const maxForeignResponses = 2
 
 // roundTrip makes a call of the box's own on a connection and reads the head of its answer.
-func (r *Relay) roundTrip(c *conn, o outgoing) (*answer, error) {
+func (r *Relay) roundTrip(c *conn, o outgoing) (*response, error) {
 	if r.isPaused(c.life) {
-		return nil, errTakesNone
+		return nil, errNotAccepting
 	}
-	return r.readAnswer(c, o.id, c.send(o))
+	return r.readResponse(c, o.id, c.send(o))
 }
 
-// readAnswer reads the head of the answer to a request that is being sent.
-func (r *Relay) readAnswer(c *conn, request string, sent *sending) (*answer, error) {
+// readResponse reads the head of the answer to a request that is being sent.
+func (r *Relay) readResponse(c *conn, request string, sent *requestWrite) (*response, error) {
 	for skipped := 0; ; skipped++ {
 		a, err := r.readHead(c)
 		if err != nil {
@@ -52,8 +52,8 @@
 			return a, nil
 		}
 		// An answer to an earlier request came late: it belongs to nobody.
-		if skipped == foreignAnswers || !a.framed() {
-			return nil, &Error{Op: "read answer", Kind: KindGarble, Err: errors.New("an answer to another request")}
+		if skipped == maxForeignResponses || !a.hasFraming() {
+			return nil, &Error{Op: "read answer", Kind: KindMalformed, Err: errors.New("an answer to another request")}
 		}
 		if _, err := io.Copy(io.Discard, a.body); err != nil {
 			return nil, err
@@ -62,18 +62,18 @@
 }
 
 // readHead reads a head and sets up the body's reader.
-func (r *Relay) readHead(c *conn) (*answer, error) {
+func (r *Relay) readHead(c *conn) (*response, error) {
 	if err := checkStatusLine(c); err != nil {
 		return nil, err
 	}
-	a := &answer{conn: c}
+	a := &response{conn: c}
 	a.header.DisableNormalizing()
 	a.header.SetNoDefaultContentType(true)
 	if err := a.header.Read(c.reader); err != nil {
-		return nil, &Error{Op: "read answer", Kind: KindGarble, Err: err}
+		return nil, &Error{Op: "read answer", Kind: KindMalformed, Err: err}
 	}
 	a.body = bodyReader(c, &a.header)
-	a.reuse = a.framed() && !a.header.ConnectionClose()
+	a.reuse = a.hasFraming() && !a.header.ConnectionClose()
 	return a, nil
 }
 
@@ -85,11 +85,11 @@
 func checkStatusLine(c *conn) error {
 	b, err := c.reader.Peek(len("HTTP/1.1 200"))
 	if err != nil {
-		return &Error{Op: "read answer", Kind: KindCut, Err: err}
+		return &Error{Op: "read answer", Kind: KindTruncated, Err: err}
 	}
 	space, class := b[len("HTTP/1.1")], b[len("HTTP/1.1 ")]
 	if !bytes.HasPrefix(b, statusPrefix) || space != ' ' || class < '1' || class > '5' {
-		return &Error{Op: "read answer", Kind: KindGarble, Err: errors.New("no status line")}
+		return &Error{Op: "read answer", Kind: KindMalformed, Err: errors.New("no status line")}
 	}
 	return nil
 }
@@ -100,21 +100,21 @@
 	lengthUnknown = -2 // it ends with the connection
 )
 
-// framed reports whether the body's end can be told without the connection's.
-func (a *answer) framed() bool { return a.header.ContentLength() != lengthUnknown }
+// hasFraming reports whether the body's end can be told without the connection's.
+func (a *response) hasFraming() bool { return a.header.ContentLength() != lengthUnknown }
 
-// finish ends the use of an answer's connection: it is kept if the answer was read
+// releaseConn ends the use of an answer's connection: it is kept if the answer was read
 // to its end and nothing speaks against it.
-func (r *Relay) finish(a *answer, whole bool) {
-	if whole && a.reuse && a.sent.finished() {
-		r.conns.keep(a.conn, keepTime(&a.header))
+func (r *Relay) releaseConn(a *response, whole bool) {
+	if whole && a.reuse && a.sent.succeeded() {
+		r.conns.keep(a.conn, keepAliveTimeout(&a.header))
 		return
 	}
 	r.conns.drop(a.conn)
 }
 
-// keepTime reads how long the upstream keeps the connection; 0 if it does not say.
-func keepTime(h *fasthttp.ResponseHeader) time.Duration {
+// keepAliveTimeout reads how long the upstream keeps the connection; 0 if it does not say.
+func keepAliveTimeout(h *fasthttp.ResponseHeader) time.Duration {
 	_, rest, ok := strings.Cut(headerValue(h, "Keep-Alive"), "timeout=")
 	if !ok {
 		return 0
@@ -127,7 +127,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// notRun reports whether the answer says that the upstream did not run the request.
-func (r *Relay) notRun(h *fasthttp.ResponseHeader) bool {
+// saysNotRun reports whether the answer says that the upstream did not run the request.
+func (r *Relay) saysNotRun(h *fasthttp.ResponseHeader) bool {
 	return h.StatusCode() == fasthttp.StatusMisdirectedRequest || headerValue(h, r.cfg.Protocol.NotExecuted) != ""
 }
--- a/relay/arrival.go
+++ b/relay/arrival.go
@@ -14,8 +14,8 @@
 	"github.com/doormast/doormast/route"
 )
 
-// defaultHold is how long a request is held whose route states no time.
-const defaultHold = 60 * time.Second
+// defaultTimeout is how long a request is held whose route states no time.
+const defaultTimeout = 60 * time.Second
 
 // handle serves one request.
 func (f *front) handle(ctx *fasthttp.RequestCtx) {
@@ -30,32 +30,32 @@
 		no = x.withhold()
 	}
 	if no == nil && c != nil {
-		no = x.charge(c)
+		no = x.chargeMemory(c)
 	}
 	if no != nil {
 		if no.reason == callerLeft {
 			ctx.SetConnectionClose()
 		}
 		r.logRefused(q, *no, x)
-		r.answerSelf(ctx, q, *no)
+		r.sendRefusal(ctx, q, *no)
 		return
 	}
 	x.serve(ctx)
 }
 
-// charge takes what a request under way needs besides what was read of it.
-func (x *exchange) charge(c *caller) *refusal {
+// chargeMemory takes what a request under way needs besides what was read of it.
+func (x *exchange) chargeMemory(c *callerConn) *refusal {
 	r := x.relay
-	if c.served {
-		c.next() // this one came together with the request before
+	if c.requestCharged {
+		c.releaseRequest() // this one came together with the request before
 	}
-	c.served = true
-	c.share, c.request = shareFor(x.urgency, x.doc.Urgencies(r.cfg.Protocol.Priorities)), x.request.id
-	if !c.lease.Grow(requestBytes, c.share) {
-		r.turnedAway(x.request.id, "request")
-		return &refusal{fasthttp.StatusServiceUnavailable, shortReason, comeBackUsual}
+	c.requestCharged = true
+	c.memoryShare, c.requestID = shareFor(x.urgency, x.doc.Urgencies(r.cfg.Protocol.Priorities)), x.request.id
+	if !c.lease.Grow(requestBytes, c.memoryShare) {
+		r.logTurnedAway(x.request.id, "request")
+		return &refusal{fasthttp.StatusServiceUnavailable, shortReason, defaultRetryAfter}
 	}
-	c.until = x.end.Add(lateWait)
+	c.answerDeadline = x.deadline.Add(lateAnswerTimeout)
 	x.caller = c
 	return nil
 }
@@ -77,29 +77,29 @@
 // runs from its arrival, also where it is held until there is a document.
 func (r *Relay) admit(q *request, conn net.Conn) (*exchange, *refusal) {
 	arrived := time.Now()
-	r.noticeBefore(arrived)
-	slept := r.slept.Load()
-	if r.ended.Load() {
-		return nil, &refusal{fasthttp.StatusServiceUnavailable, "stopping", comeBackUsual}
+	r.detectSuspensionBefore(arrived)
+	slept := r.suspendedFor.Load()
+	if r.graceOver.Load() {
+		return nil, &refusal{fasthttp.StatusServiceUnavailable, "stopping", defaultRetryAfter}
 	}
 	doc, left := r.awaitDocument(q, conn)
 	if left {
 		return nil, &refusal{status: fasthttp.StatusBadGateway, reason: callerLeft}
 	}
 	if doc == nil {
-		return nil, &refusal{fasthttp.StatusServiceUnavailable, "starting", comeBackStarting}
+		return nil, &refusal{fasthttp.StatusServiceUnavailable, "starting", startingRetryAfter}
 	}
 	rt := doc.Match(q.host, q.path())
 	if rt == nil {
 		return nil, &refusal{status: fasthttp.StatusNotFound, reason: "no route"}
 	}
-	if doc.Limits.HeaderBytes > 0 && q.head > doc.Limits.HeaderBytes {
+	if doc.Limits.HeaderBytes > 0 && q.headBytes > doc.Limits.HeaderBytes {
 		return nil, &refusal{status: fasthttp.StatusRequestHeaderFieldsTooLarge, reason: "headers too large"}
 	}
 	if doc.Limits.BodyBytes > 0 && len(q.body) > doc.Limits.BodyBytes {
 		return nil, &refusal{status: fasthttp.StatusRequestEntityTooLarge, reason: "body too large"}
 	}
-	customer := doc.Customer(q.key)
+	customer := doc.Customer(q.customerKey)
 	if customer == nil && !rt.Public && len(doc.Customers) > 0 {
 		return nil, &refusal{status: fasthttp.StatusUnauthorized, reason: "unknown key"}
 	}
@@ -113,16 +113,16 @@
 		urgency:  doc.Urgency(rt, customer, r.cfg.Protocol.Priorities),
 		arrived:  arrived,
 
-		sleptBefore: slept,
+		suspendedBefore: slept,
 	}
-	x.end = x.arrived.Add(holdTime(rt, q))
+	x.deadline = x.arrived.Add(requestTimeout(rt, q))
 	return x, nil
 }
 
-// holdTime is how long a request is held: as its route says, and no longer than its
+// requestTimeout is how long a request is held: as its route says, and no longer than its
 // caller waits.
-func holdTime(rt *route.Route, q *request) time.Duration {
-	hold := defaultHold
+func requestTimeout(rt *route.Route, q *request) time.Duration {
+	hold := defaultTimeout
 	if rt.Timeout > 0 {
 		hold = rt.Timeout
 	}
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -23,18 +23,18 @@
 	runAnswered                 // there is an answer
 )
 
-// hold notes the connection on which the request runs; release undoes it.
-func (x *exchange) hold(c *conn) {
+// attachConn notes the connection on which the request runs; release undoes it.
+func (x *exchange) attachConn(c *conn) {
 	r := x.relay
 	x.silent.Store(false)
 	r.mu.Lock()
-	r.runs[x] = c
-	x.endInTime()
+	r.runConns[x] = c
+	x.cancelAtDeadline()
 	r.mu.Unlock()
 	stop := context.AfterFunc(x.ctx, func() { _ = c.Close() })
-	x.release = func() bool {
+	x.detachConn = func() bool {
 		r.mu.Lock()
-		delete(r.runs, x)
+		delete(r.runConns, x)
 		r.mu.Unlock()
 		return stop()
 	}
@@ -43,7 +43,7 @@
 // attempt runs the request on the upstream it was placed at. An answer is only returned
 // with runAnswered. The exchange's ctx ends when the caller leaves or its time is over,
 // which closes the connection under whoever reads from it.
-func (x *exchange) attempt(o outgoing) (runState, *answer, error) {
+func (x *exchange) attempt(o outgoing) (runState, *response, error) {
 	r := x.relay
 	open := r.conns.get
 	if x.distrusts() {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return runUnsent, nil, err
 	}
-	if err := x.mayGo(); err != nil {
+	if err := x.checkSend(); err != nil {
 		r.conns.putBack(c)
 		return runUnsent, nil, err
 	}
@@ -61,43 +61,43 @@
 		r.conns.putBack(c)
 		return runUnsent, nil, errBudget
 	}
-	x.hold(c)
+	x.attachConn(c)
 	sent := c.send(o)
 	x.listen(sent)
-	a, err := r.readAnswer(c, o.id, sent)
+	a, err := r.readResponse(c, o.id, sent)
 	x.heard()
 	if err != nil {
-		x.release()
+		x.detachConn()
 		r.conns.drop(c)
 		return runUnknown, nil, err
 	}
-	if !r.notRun(&a.header) {
+	if !r.saysNotRun(&a.header) {
 		return runAnswered, a, nil
 	}
-	x.release()
+	x.detachConn()
 	_, err = io.Copy(io.Discard, a.body)
-	r.finish(a, err == nil)
+	r.releaseConn(a, err == nil)
 	x.refusalStatus = a.header.StatusCode()
-	x.instead, err = r.whyRefused(&a.header, x.upstream.ID)
+	x.replacement, err = r.replacedBy(&a.header, x.upstream.ID)
 	return runRefused, nil, err
 }
 
-// mayGo says why the run may no longer be sent, now that it has a connection; nil where it may.
-func (x *exchange) mayGo() error {
+// checkSend says why the run may no longer be sent, now that it has a connection; nil where it may.
+func (x *exchange) checkSend() error {
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case !r.fleet.Accepts(r.now(), x.upstream.Incarnation()):
-		return errTakesNone
+		return errNotAccepting
 	case x.ticket != nil && !x.ticket.MayGo(r.now()):
 		return errLimit
 	}
 	return nil
 }
 
-// takesNone reports whether an upstream takes no request from this box now.
-func (r *Relay) takesNone(u balance.Upstream) bool {
+// rejectsRequests reports whether an upstream takes no request from this box now.
+func (r *Relay) rejectsRequests(u balance.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.fleet.Accepts(r.now(), u.Incarnation()) || r.fleet.TakesNoMore(r.now(), u.ID)
@@ -105,16 +105,16 @@
 
 // What an upstream came to say while the request waited for a connection.
 var (
-	errTakesNone = &Error{Op: "run", Kind: KindFull}   // it is leaving, or asks for a pause
-	errLimit     = &Error{Op: "limit", Kind: KindFull} // it names a limit
+	errNotAccepting = &Error{Op: "run", Kind: KindExhausted}   // it is leaving, or asks for a pause
+	errLimit        = &Error{Op: "limit", Kind: KindExhausted} // it names a limit
 )
 
 // errReplaced says that another start of an upstream has its address now.
 var errReplaced = &Error{Op: "run", Kind: KindReplaced}
 
-// whyRefused says what an upstream's refusal tells besides: the id of the upstream that has the
+// replacedBy says what an upstream's refusal tells besides: the id of the upstream that has the
 // address now; no error where that is the one that was meant, or not told.
-func (r *Relay) whyRefused(h *fasthttp.ResponseHeader, meant string) (id string, err error) {
+func (r *Relay) replacedBy(h *fasthttp.ResponseHeader, meant string) (id string, err error) {
 	started := headerValue(h, r.cfg.Protocol.CurrentInstance)
 	if h.StatusCode() == fasthttp.StatusMisdirectedRequest && started != "" && started != meant {
 		return started, errReplaced
--- a/relay/body.go
+++ b/relay/body.go
@@ -19,7 +19,7 @@
 	case h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified:
 		return bytes.NewReader(nil)
 	case n >= 0:
-		return &sizedReader{r: c.reader, left: n}
+		return &fixedLengthReader{r: c.reader, left: n}
 	case n == lengthChunked:
 		return &chunkedReader{c: c, r: httputil.NewChunkedReader(c.reader)}
 	default:
@@ -28,18 +28,18 @@
 }
 
 var (
-	_ io.Reader = (*sizedReader)(nil)
+	_ io.Reader = (*fixedLengthReader)(nil)
 	_ io.Reader = (*chunkedReader)(nil)
 )
 
-// sizedReader reads a body of a known length; an earlier end is an error.
-type sizedReader struct {
+// fixedLengthReader reads a body of a known length; an earlier end is an error.
+type fixedLengthReader struct {
 	r    io.Reader
 	left int
 }
 
 // Read implements io.Reader.
-func (s *sizedReader) Read(p []byte) (int, error) {
+func (s *fixedLengthReader) Read(p []byte) (int, error) {
 	if s.left == 0 {
 		return 0, io.EOF
 	}
--- a/relay/caller.go
+++ b/relay/caller.go
@@ -23,30 +23,30 @@
 )
 
 const (
-	// shortWait is how long a head waits for memory; callers give up what has not been
+	// memoryWait is how long a head waits for memory; callers give up what has not been
 	// read after a second.
-	shortWait = 300 * time.Millisecond
-	// refusedLinger is how long, and refusedBytes how much, a box goes on reading of a
+	memoryWait = 300 * time.Millisecond
+	// drainTimeout is how long, and refusedBytes how much, a box goes on reading of a
 	// body that it has turned away, since closing at once would take the answer along.
-	refusedLinger = 500 * time.Millisecond
-	refusedBytes  = 1 << 20
-	// collectStep is the first size of the buffer for a request, in bytes.
-	collectStep = 1 << 10
-	// collectBytes is the largest body that is collected with its head.
-	collectBytes = 32 << 10
+	drainTimeout  = 500 * time.Millisecond
+	maxDrainBytes = 1 << 20
+	// initialBufferBytes is the first size of the buffer for a request, in bytes.
+	initialBufferBytes = 1 << 10
+	// maxCollectedBody is the largest body that is collected with its head.
+	maxCollectedBody = 32 << 10
 )
 
-// callers accepts callers' connections.
-type callers struct {
+// callerListener accepts callerListener' connections.
+type callerListener struct {
 	net.Listener
 	relay *Relay
 }
 
-var _ net.Listener = callers{}
+var _ net.Listener = callerListener{}
 
 // Accept implements net.Listener. A connection that there is no memory for is closed
 // before anything is read of it.
-func (l callers) Accept() (net.Conn, error) {
+func (l callerListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
@@ -56,35 +56,35 @@
 		if c.lease.Grow(callerBytes, wholeShare) {
 			return c, nil
 		}
-		l.relay.turnedAway("", "connection")
+		l.relay.logTurnedAway("", "connection")
 		_ = c.Close()
 	}
 }
 
-// caller is a caller's connection.
-type caller struct {
+// callerConn is a callerConn's connection.
+type callerConn struct {
 	net.Conn
 	relay *Relay
 	raw   syscall.RawConn // nil where the connection has none
 	lease *account.Lease
 
-	pending []byte    // read of a request, and not handed on yet
-	broken  error     // comes behind pending: why no more is read
-	share   float64   // of the bound, that the request may fill
-	request string    // id of the request under way, as far as it is known
-	until   time.Time // when its answer has to be gone; zero: not said
-	rested  bool      // it has waited for a request before
-	served  bool      // a request of it is under way, or was since the lease was last shrunk
-	cut     atomic.Bool
+	pending        []byte    // read of a request, and not handed on yet
+	readErr        error     // comes behind pending: why no more is read
+	memoryShare    float64   // of the bound, that the request may fill
+	requestID      string    // id of the request under way, as far as it is known
+	answerDeadline time.Time // when its answer has to be gone; zero: not said
+	reused         bool      // it has waited for a request before
+	requestCharged bool      // a request of it is under way, or was since the lease was last shrunk
+	aborted        atomic.Bool
 }
 
 var (
-	_ net.Conn     = (*caller)(nil)
-	_ syscall.Conn = (*caller)(nil)
+	_ net.Conn     = (*callerConn)(nil)
+	_ syscall.Conn = (*callerConn)(nil)
 )
 
-func newCaller(r *Relay, conn net.Conn) *caller {
-	c := &caller{Conn: conn, relay: r, lease: r.account.Lease()}
+func newCaller(r *Relay, conn net.Conn) *callerConn {
+	c := &callerConn{Conn: conn, relay: r, lease: r.account.Lease()}
 	if sc, ok := conn.(syscall.Conn); ok {
 		c.raw, _ = sc.SyscallConn() // nil with an error
 	}
@@ -92,13 +92,13 @@
 }
 
 // callerOf is the caller of a request; nil where its connection is another's.
-func callerOf(ctx *fasthttp.RequestCtx) *caller {
-	c, _ := ctx.Conn().(*caller)
+func callerOf(ctx *fasthttp.RequestCtx) *callerConn {
+	c, _ := ctx.Conn().(*callerConn)
 	return c
 }
 
 // SyscallConn implements syscall.Conn.
-func (c *caller) SyscallConn() (syscall.RawConn, error) {
+func (c *callerConn) SyscallConn() (syscall.RawConn, error) {
 	if c.raw == nil {
 		return nil, errors.ErrUnsupported
 	}
@@ -107,7 +107,7 @@
 
 // Read implements net.Conn. fasthttp reads the first byte of a request alone where
 // nothing of it has been read with the one before.
-func (c *caller) Read(p []byte) (int, error) {
+func (c *callerConn) Read(p []byte) (int, error) {
 	switch {
 	case len(c.pending) > 0:
 		n := copy(p, c.pending)
@@ -116,8 +116,8 @@
 			c.pending = nil
 		}
 		return n, nil
-	case c.broken != nil:
-		return 0, c.broken
+	case c.readErr != nil:
+		return 0, c.readErr
 	case len(p) == 1:
 		return c.readRequest(p)
 	}
@@ -125,20 +125,20 @@
 }
 
 // readRequest waits for a request, collects it, and returns its first byte.
-func (c *caller) readRequest(first []byte) (int, error) {
-	c.next()
+func (c *callerConn) readRequest(first []byte) (int, error) {
+	c.releaseRequest()
 	limits := c.limits()
-	if c.rested && limits.IdleWait > 0 {
+	if c.reused && limits.IdleWait > 0 {
 		_ = c.SetReadDeadline(time.Now().Add(limits.IdleWait))
 	}
-	c.rested = true
+	c.reused = true
 	n, err := c.Conn.Read(first)
 	if err != nil {
 		return n, err
 	}
 	headWait := limits.HeaderWait
 	if headWait == 0 {
-		headWait = readWait
+		headWait = readTimeout
 	}
 	_ = c.SetReadDeadline(time.Now().Add(headWait))
 	c.collect(first[0])
@@ -146,55 +146,55 @@
 }
 
 // limits are those of the document in force.
-func (c *caller) limits() route.Limits {
+func (c *callerConn) limits() route.Limits {
 	if doc := c.relay.belief.document(); doc != nil {
 		return doc.Limits
 	}
 	return route.Limits{}
 }
 
-// next gives back what the last request has taken.
-func (c *caller) next() {
+// releaseRequest gives back what the last request has taken.
+func (c *callerConn) releaseRequest() {
 	c.lease.Shrink(callerBytes)
-	c.share, c.request, c.until, c.served = leastShare, "", time.Time{}, false
+	c.memoryShare, c.requestID, c.answerDeadline, c.requestCharged = leastShare, "", time.Time{}, false
 }
 
 // collect reads a request until it can be handed on.
-func (c *caller) collect(first byte) {
-	b := collected{buf: []byte{first}}
+func (c *callerConn) collect(first byte) {
+	b := requestBuffer{buf: []byte{first}}
 	headOnly := true // so far
 	// While the box stops, the server closes connections that it thinks are at rest.
-	for !b.whole() && !c.relay.stopping.Load() {
-		if headOnly && b.head > 0 {
+	for !b.complete() && !c.relay.stopping.Load() {
+		if headOnly && b.headLen > 0 {
 			headOnly = false
-			_ = c.SetReadDeadline(time.Now().Add(readWait))
+			_ = c.SetReadDeadline(time.Now().Add(readTimeout))
 		}
-		if !c.makeRoom(&b) {
-			c.broken = errShort
+		if !c.growBuffer(&b) {
+			c.readErr = errShort
 			break
 		}
 		n, err := c.Conn.Read(b.buf[len(b.buf):cap(b.buf)])
 		b.buf = b.buf[:len(b.buf)+n]
 		if err != nil {
-			c.broken = err
+			c.readErr = err
 			break
 		}
 	}
 	c.pending = b.buf[1:]
-	if b.head > 0 && b.more {
-		c.announce(b.buf[:b.head], b.length)
+	if b.headLen > 0 && b.bodyFollows {
+		c.checkAnnouncedBody(b.buf[:b.headLen], b.bodyLen)
 	}
 }
 
-// makeRoom lets a request grow. It waits a little where memory is short: before the
+// growBuffer lets a request grow. It waits a little where memory is short: before the
 // head is read, nobody knows how urgent it is.
-func (c *caller) makeRoom(b *collected) bool {
+func (c *callerConn) growBuffer(b *requestBuffer) bool {
 	if len(b.buf) < cap(b.buf) {
 		return true
 	}
-	size := max(collectStep, 2*cap(b.buf))
+	size := max(initialBufferBytes, 2*cap(b.buf))
 	if !c.lease.Grow(int64(size), wholeShare) {
-		ctx, cancel := context.WithTimeout(context.Background(), shortWait)
+		ctx, cancel := context.WithTimeout(context.Background(), memoryWait)
 		defer cancel()
 		if !c.lease.Await(ctx, int64(size), wholeShare) {
 			return false
@@ -204,53 +204,53 @@
 	return true
 }
 
-// announce looks at the head of a request whose body is still to come. What does not
+// checkAnnouncedBody looks at the head of a request whose body is still to come. What does not
 // fit is not read.
-func (c *caller) announce(head []byte, length int) {
+func (c *callerConn) checkAnnouncedBody(head []byte, length int) {
 	var h fasthttp.RequestHeader
 	h.DisableNormalizing()
 	if h.Read(bufio.NewReaderSize(bytes.NewReader(head), len(head))) != nil {
 		return // the server says so
 	}
-	c.share = c.relay.shareOf(&h)
-	c.request = headerValue(&h, c.relay.cfg.Protocol.RequestID)
-	body := int64(min(max(length, 0), bodyBytes)) // a longer one is refused by the server
-	if !c.lease.Grow(headerBytes, c.share) || !c.lease.Fits(bodyCost*body, c.share) {
-		c.broken = errShort
+	c.memoryShare = c.relay.shareOf(&h)
+	c.requestID = headerValue(&h, c.relay.cfg.Protocol.RequestID)
+	body := int64(min(max(length, 0), maxBodyBytes)) // a longer one is refused by the server
+	if !c.lease.Grow(maxHeaderBytes, c.memoryShare) || !c.lease.Fits(bodyCost*body, c.memoryShare) {
+		c.readErr = errShort
 	}
 }
 
 // readBody reads more of a body that was not collected.
-func (c *caller) readBody(p []byte) (int, error) {
+func (c *callerConn) readBody(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && !c.lease.Grow(bodyCost*int64(n), c.share) {
-		c.broken = errShort
+	if n > 0 && !c.lease.Grow(bodyCost*int64(n), c.memoryShare) {
+		c.readErr = errShort
 		return 0, errShort
 	}
 	return n, err
 }
 
 // Close implements net.Conn. All that was charged is given back.
-func (c *caller) Close() error {
+func (c *callerConn) Close() error {
 	c.lease.Close()
-	if errors.Is(c.broken, errShort) {
+	if errors.Is(c.readErr, errShort) {
 		c.drain()
 	}
 	return c.Conn.Close()
 }
 
 // drain reads on for a moment, so that the caller gets to read why it was refused.
-func (c *caller) drain() {
+func (c *callerConn) drain() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
-	_ = c.SetReadDeadline(time.Now().Add(refusedLinger))
-	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, refusedBytes))
+	_ = c.SetReadDeadline(time.Now().Add(drainTimeout))
+	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxDrainBytes))
 }
 
-// turnedAway notes that something was not taken since memory is short.
-func (r *Relay) turnedAway(id, what string) {
+// logTurnedAway notes that something was not taken since memory is short.
+func (r *Relay) logTurnedAway(id, what string) {
 	r.stats.count(callersTurnedAway)
 	r.cfg.Log.Event("caller", "turned away", Fields{"id": id, "what": what, "memory_used": r.account.Used(),
 		"memory_bound": r.account.Bound()})
--- a/relay/caller_test.go
+++ b/relay/caller_test.go
@@ -63,7 +63,7 @@
 // serving is how many goroutines serve connections of the box's callers; others rest in their
 // pool. It is the server's own count: one over all stacks of the process counted what tests before
 // had left behind as well.
-func (b *bench) serving() int { return int(b.relay.front.server.GetCurrentConcurrency()) }
+func (b *bench) serving() int { return int(b.relay.callerServer.server.GetCurrentConcurrency()) }
 
 func TestCallersThatReadNothingAreCutOff(t *testing.T) {
 	is := is.New(t)
@@ -149,7 +149,7 @@
 	}
 	answer()
 	// Several at once, and a part of the next; small bodies and large ones.
-	large := strings.Repeat("l", 2*collectBytes)
+	large := strings.Repeat("l", 2*maxCollectedBody)
 	all := lines("/once/b", "one") + lines("/once/c", large) + lines("/once/d", "") + lines("/once/e", "last")
 	cut := len(all) - len("HTTP/1.1\r\n") - 40
 	send(all[:cut])
--- a/relay/collect.go
+++ b/relay/collect.go
@@ -8,26 +8,26 @@
 	"strconv"
 )
 
-// collected is what has come of a request.
-type collected struct {
-	buf     []byte
-	scanned int  // up to there no head ends
-	head    int  // where the head ends; 0: not yet
-	length  int  // of the body; below 0: not stated
-	more    bool // the body is not collected
+// requestBuffer is what has come of a request.
+type requestBuffer struct {
+	buf         []byte
+	scanned     int  // up to there no head ends
+	headLen     int  // where the head ends; 0: not yet
+	bodyLen     int  // of the body; below 0: not stated
+	bodyFollows bool // the body is not collected
 }
 
-// whole reports whether the request can be handed on: it is complete, or what is to
+// complete reports whether the request can be handed on: it is complete, or what is to
 // come is not collected.
-func (b *collected) whole() bool {
-	if b.head == 0 {
-		if b.head = headEnd(b.buf, b.scanned); b.head == 0 {
+func (b *requestBuffer) complete() bool {
+	if b.headLen == 0 {
+		if b.headLen = headEnd(b.buf, b.scanned); b.headLen == 0 {
 			b.scanned = max(0, len(b.buf)-len("\n\r"))
-			return len(b.buf) >= headerBytes // the server says that it is too long
+			return len(b.buf) >= maxHeaderBytes // the server says that it is too long
 		}
-		b.length, b.more = bodyOf(b.buf[:b.head])
+		b.bodyLen, b.bodyFollows = parseBodyLength(b.buf[:b.headLen])
 	}
-	return b.more || len(b.buf) >= b.head+b.length
+	return b.bodyFollows || len(b.buf) >= b.headLen+b.bodyLen
 }
 
 // headEnd is where the head ends, 0 where it does not yet; none ends before from.
@@ -47,9 +47,9 @@
 	}
 }
 
-// bodyOf reads from a head how long its body is, and whether that is not collected
+// parseBodyLength reads from a head how long its body is, and whether that is not collected
 // since it is long, of unknown length, or only sent when it is asked for.
-func bodyOf(head []byte) (length int, more bool) {
+func parseBodyLength(head []byte) (length int, more bool) {
 	for len(head) > 0 {
 		var line []byte
 		line, head, _ = bytes.Cut(head, []byte("\n"))
@@ -70,5 +70,5 @@
 			length = n
 		}
 	}
-	return length, more || length > collectBytes
+	return length, more || length > maxCollectedBody
 }
--- a/relay/collect_test.go
+++ b/relay/collect_test.go
@@ -9,7 +9,7 @@
 
 // A request is handed on once it is complete, whatever the steps in which it comes.
 func TestWhenARequestIsHandedOn(t *testing.T) {
-	long := strings.Repeat("x", collectBytes+1)
+	long := strings.Repeat("x", maxCollectedBody+1)
 	for _, c := range []struct {
 		name string
 		sent string
@@ -25,22 +25,22 @@
 		{"a body that waits to be asked for", "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n", 60, true},
 		{"no length", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n", 38, true},
 		{"no end of the head", "GET / HTTP/1.1\r\nHost: h\r\n", 0, false},
-		{"a head that is too long", "GET /" + strings.Repeat("x", headerBytes), headerBytes, false},
+		{"a head that is too long", "GET /" + strings.Repeat("x", maxHeaderBytes), maxHeaderBytes, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var b collected
+			var b requestBuffer
 			at := 0
 			for i := 0; i < len(c.sent) && at == 0; i++ {
 				b.buf = append(b.buf, c.sent[i])
-				if b.whole() {
+				if b.complete() {
 					at = len(b.buf)
 				}
 			}
 			is.Equal(at, c.at)
-			is.Equal(b.more, c.more)
-			whole := collected{buf: []byte(c.sent)}
-			is.Equal(whole.whole(), c.at > 0) // all at once
+			is.Equal(b.bodyFollows, c.more)
+			whole := requestBuffer{buf: []byte(c.sent)}
+			is.Equal(whole.complete(), c.at > 0) // all at once
 		})
 	}
 }
--- a/relay/conns.go
+++ b/relay/conns.go
@@ -53,7 +53,7 @@
 }
 
 // errConnections says that this box's share of an upstream's connections is used up.
-var errConnections = &Error{Op: "connect", Kind: KindFull}
+var errConnections = &Error{Op: "connect", Kind: KindExhausted}
 
 // get returns a connection that is known to be open, so that a failure after this
 // has to do with the request.
@@ -113,7 +113,7 @@
 		return false
 	}
 	known := true
-	err = raw.Control(func(fd uintptr) { _, known = peekEnd(int(fd)) })
+	err = raw.Control(func(fd uintptr) { _, known = peekClosed(int(fd)) })
 	return err == nil && !known
 }
 
--- a/relay/content.go
+++ b/relay/content.go
@@ -14,12 +14,12 @@
 // contentOf is a hash of a request's method, host, path with query, customer and body. It is called by
 // the exchange, and by others as long as they hold the relay's mu and a run of it goes on.
 func (x *exchange) contentOf() uint64 {
-	if number := x.content.Load(); number != 0 {
+	if number := x.contentHash.Load(); number != 0 {
 		return number
 	}
 	q := x.request
 	number := content.Of(x.customerName(), q.body, q.method, strings.ToLower(q.host), q.uri)
-	x.content.Store(number)
+	x.contentHash.Store(number)
 	return number
 }
 
--- a/relay/content_test.go
+++ b/relay/content_test.go
@@ -24,8 +24,8 @@
 		same   bool
 	}{
 		{"another id", func(q *request) { q.id = "2" }, customer, true},
-		{"another key of the customer", func(q *request) { q.key = "k2" }, customer, true},
-		{"taken up behind an event", func(q *request) { q.lastSeen = "7" }, customer, true},
+		{"another key of the customer", func(q *request) { q.customerKey = "k2" }, customer, true},
+		{"taken up behind an event", func(q *request) { q.lastEventID = "7" }, customer, true},
 		{"the host in capitals", func(q *request) { q.host = "H.example" }, customer, true},
 		{"another method", func(q *request) { q.method = "GET" }, customer, false},
 		{"another host", func(q *request) { q.host = "g.example" }, customer, false},
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -96,7 +96,7 @@
 func (r *Relay) moveRunsFrom(domain string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for x, c := range r.runs {
+	for x, c := range r.runConns {
 		u := r.fleet.Get(c.life.ID)
 		if u != nil && u.Domain == domain && x.route.Again() {
 			_ = c.Close()
--- a/relay/error.go
+++ b/relay/error.go
@@ -5,13 +5,13 @@
 
 // Kinds of error.
 const (
-	KindFull     Kind = "full"     // this box may use no more of something
-	KindGarble   Kind = "garble"   // bytes that are no answer in the protocol
-	KindCut      Kind = "cut"      // an answer ended before its end
-	KindReplaced Kind = "replaced" // another start of an upstream has its address
-	KindUnread   Kind = "unread"   // a caller does not take its answer
-	KindSilent   Kind = "silent"   // a connection carries nothing more
-	KindEdge     Kind = "edge"     // an address cannot be listened on
+	KindExhausted  Kind = "full"     // this box may use no more of something
+	KindMalformed  Kind = "garble"   // bytes that are no answer in the protocol
+	KindTruncated  Kind = "cut"      // an answer ended before its end
+	KindReplaced   Kind = "replaced" // another start of an upstream has its address
+	KindNotReading Kind = "unread"   // a caller does not take its answer
+	KindSilent     Kind = "silent"   // a connection carries nothing more
+	KindListen     Kind = "edge"     // an address cannot be listened on
 )
 
 // Error is the error of this package: what was being done, and what went wrong.
--- a/relay/evacuate_test.go
+++ b/relay/evacuate_test.go
@@ -134,7 +134,7 @@
 		{ColdBounds{Overshoot: 1.5, Slack: 5}, 0, 0}, // the service states no bound
 		{ColdBounds{}, 5.2, 0},                       // there is none
 	} {
-		is.New(t).Equal(c.bounds.most(c.perSecond), c.want)
+		is.New(t).Equal(c.bounds.maxRequests(c.perSecond), c.want)
 	}
 }
 
--- a/relay/events.go
+++ b/relay/events.go
@@ -13,27 +13,27 @@
 // maxEvent is the most bytes an event may have.
 const maxEvent = 1 << 20
 
-// events takes events from a body.
-type events struct {
-	src   io.Reader
-	buf   []byte
-	last  int64 // the highest id that came out
-	seen  bool  // an event has come out
-	total int   // events that came out
-	came  int   // events of the present body that came out
-
-	keep func(n int64) error // charges what is kept beyond what is free; nil: nobody asks
-	kept int64               // the largest buffer that was charged
+// eventReader takes eventReader from a body.
+type eventReader struct {
+	src        io.Reader
+	buf        []byte
+	lastID     int64 // the highest id that came out
+	hasEvents  bool  // an event has come out
+	total      int   // events that came out
+	bodyEvents int   // events of the present body that came out
+
+	reserve  func(n int64) error // charges what is kept beyond what is free; nil: nobody asks
+	reserved int64               // the largest buffer that was charged
 }
 
-var errLongEvent = &Error{Op: "read event", Kind: KindGarble, Err: errors.New("longer than a megabyte")}
+var errLongEvent = &Error{Op: "read event", Kind: KindMalformed, Err: errors.New("longer than a megabyte")}
 
 // next returns the whole events that have arrived, waiting for one at least. The
 // bytes are valid until the next call.
-func (e *events) next() ([]byte, error) {
+func (e *eventReader) next() ([]byte, error) {
 	for {
-		if end := lastEnd(e.buf); end > 0 {
-			out := e.fresh(e.buf[:end])
+		if end := lastEventEnd(e.buf); end > 0 {
+			out := e.newEvents(e.buf[:end])
 			e.buf = bytes.Clone(e.buf[end:])
 			if len(out) > 0 {
 				return out, nil
@@ -56,14 +56,14 @@
 	}
 }
 
-// fillStep is how much is read at once, in bytes; an event has some 60.
-const fillStep = 2 << 10
+// readSize is how much is read at once, in bytes; an event has some 60.
+const readSize = 2 << 10
 
 // fill reads more of the body, and returns how many bytes came.
-func (e *events) fill() (int, error) {
+func (e *eventReader) fill() (int, error) {
 	at := len(e.buf)
-	if cap(e.buf)-at < fillStep {
-		size := at + max(at, 2*fillStep)
+	if cap(e.buf)-at < readSize {
+		size := at + max(at, 2*readSize)
 		if err := e.charge(int64(size)); err != nil {
 			return 0, err
 		}
@@ -75,13 +75,13 @@
 }
 
 // charge charges a buffer of a size, where it is larger than any before.
-func (e *events) charge(size int64) error {
-	if e.keep == nil || size <= max(e.kept, freeAnswer) {
+func (e *eventReader) charge(size int64) error {
+	if e.reserve == nil || size <= max(e.reserved, freeAnswer) {
 		return nil
 	}
-	n := size - e.kept
-	e.kept = size
-	return e.keep(n)
+	n := size - e.reserved
+	e.reserved = size
+	return e.reserve(n)
 }
 
 // An empty line ends an event, with either end of a line.
@@ -90,8 +90,8 @@
 	endCRLF = []byte("\r\n\r\n")
 )
 
-// lastEnd is where the last whole event in b ends, 0 if there is none.
-func lastEnd(b []byte) int {
+// lastEventEnd is where the last whole event in b ends, 0 if there is none.
+func lastEventEnd(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, endLF); i >= 0 {
 		end = i + len(endLF)
@@ -102,30 +102,30 @@
 	return end
 }
 
-// fresh returns the events of b that did not come out before.
-func (e *events) fresh(b []byte) []byte {
+// newEvents returns the events of b that did not come out before.
+func (e *eventReader) newEvents(b []byte) []byte {
 	out := b[:0:0]
 	for len(b) > 0 {
-		n := firstEnd(b)
+		n := firstEventEnd(b)
 		event := b[:n]
 		b = b[n:]
 		id, ok := eventID(event)
-		if ok && e.seen && id <= e.last {
+		if ok && e.hasEvents && id <= e.lastID {
 			continue
 		}
 		if ok {
-			e.last = id
+			e.lastID = id
 		}
-		e.seen = true
-		e.came++
+		e.hasEvents = true
+		e.bodyEvents++
 		e.total++
 		out = append(out, event...)
 	}
 	return out
 }
 
-// firstEnd is where the first event in b ends.
-func firstEnd(b []byte) int {
+// firstEventEnd is where the first event in b ends.
+func firstEventEnd(b []byte) int {
 	lf, crlf := bytes.Index(b, endLF), bytes.Index(b, endCRLF)
 	switch {
 	case crlf >= 0 && (lf < 0 || crlf < lf):
@@ -149,9 +149,9 @@
 	return 0, false
 }
 
-// from goes on with another body: what was left of the old one is dropped.
-func (e *events) from(src io.Reader) {
+// continueWith goes on with another body: what was left of the old one is dropped.
+func (e *eventReader) continueWith(src io.Reader) {
 	e.src = src
 	e.buf = nil
-	e.came = 0
+	e.bodyEvents = 0
 }
--- a/relay/fatal_test.go
+++ b/relay/fatal_test.go
@@ -163,8 +163,8 @@
 	ends := func(id string) {
 		m.b.relay.mu.Lock()
 		defer m.b.relay.mu.Unlock()
-		m.b.relay.endedUnder.CutOff(m.b.relay.now(), x.contentOf(), balance.Incarnation{ID: id})
-		m.b.relay.endedUnder.Ended(m.b.relay.now(), balance.Incarnation{ID: id})
+		m.b.relay.crashSuspects.CutOff(m.b.relay.now(), x.contentOf(), balance.Incarnation{ID: id})
+		m.b.relay.crashSuspects.Ended(m.b.relay.now(), balance.Incarnation{ID: id})
 	}
 	ends("gone-1")
 	is.Equal(m.b.do(m.b.request(http.MethodPost, "/safe/x", "sound")).status, http.StatusOK)
@@ -284,13 +284,13 @@
 		}
 		const content = 7
 		b.relay.mu.Lock()
-		b.relay.endedUnder.CutOff(b.relay.now(), content, balance.Incarnation{ID: "u"})
+		b.relay.crashSuspects.CutOff(b.relay.now(), content, balance.Incarnation{ID: "u"})
 		b.relay.mu.Unlock()
 		next := &stub{id: "next", listener: u.listener}
 		b.list(next, false)
 		b.until(func() bool { return b.log.contains(`"upstream":"next"`) }) // all is taken in that its entry says
 		b.relay.mu.Lock()
-		is.Equal(b.relay.endedUnder.Suspected(content), !leaving)
+		is.Equal(b.relay.crashSuspects.Suspected(content), !leaving)
 		b.relay.mu.Unlock()
 	}
 }
--- a/relay/front.go
+++ b/relay/front.go
@@ -17,13 +17,13 @@
 const (
 	// The most bytes that are read of a request's head and of its body; where the
 	// document bounds bodies more narrowly, admit refuses what is longer.
-	headerBytes = 64 << 10
-	bodyBytes   = 16 << 20
-	// readWait is the longest a caller may take over a request's body, and over its head
+	maxHeaderBytes = 64 << 10
+	maxBodyBytes   = 16 << 20
+	// readTimeout is the longest a caller may take over a request's body, and over its head
 	// where the document says nothing.
-	readWait = 10 * time.Second
-	// idleWait is how long a caller's connection may rest where the document says nothing.
-	idleWait = 75 * time.Second
+	readTimeout = 10 * time.Second
+	// idleTimeout is how long a caller's connection may rest where the document says nothing.
+	idleTimeout = 75 * time.Second
 )
 
 // front serves callers and the balancer's readiness checks.
@@ -37,13 +37,13 @@
 	f := &front{relay: r}
 	f.server = &fasthttp.Server{
 		Handler:                       f.handle,
-		ErrorHandler:                  f.malformed,
-		ExpectHandler:                 f.expected,
-		ReadBufferSize:                headerBytes,
+		ErrorHandler:                  f.handleReadError,
+		ExpectHandler:                 f.handleExpect,
+		ReadBufferSize:                maxHeaderBytes,
 		WriteBufferSize:               readBuffer,
-		MaxRequestBodySize:            bodyBytes,
-		ReadTimeout:                   readWait,
-		IdleTimeout:                   idleWait,
+		MaxRequestBodySize:            maxBodyBytes,
+		ReadTimeout:                   readTimeout,
+		IdleTimeout:                   idleTimeout,
 		ReduceMemoryUsage:             true,
 		DisableHeaderNamesNormalizing: true,
 		DisablePreParseMultipartForm:  true,
@@ -51,23 +51,23 @@
 		NoDefaultDate:                 true,
 		NoDefaultContentType:          true,
 		CloseOnShutdown:               true,
-		Logger:                        silent{},
+		Logger:                        noLogger{},
 	}
-	f.ready = &fasthttp.Server{Handler: f.handleReady, NoDefaultServerHeader: true, ReduceMemoryUsage: true, Logger: silent{}}
+	f.ready = &fasthttp.Server{Handler: f.handleReady, NoDefaultServerHeader: true, ReduceMemoryUsage: true, Logger: noLogger{}}
 	return f
 }
 
-// silent keeps fasthttp's own log lines away: the process has one log.
-type silent struct{}
+// noLogger keeps fasthttp's own log lines away: the process has one log.
+type noLogger struct{}
 
-var _ fasthttp.Logger = silent{}
+var _ fasthttp.Logger = noLogger{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (noLogger) Printf(string, ...any) {}
 
 func (f *front) serve(l net.Listener) {
 	boundCallers(l)
-	_ = f.server.Serve(callers{l, f.relay})
+	_ = f.server.Serve(callerListener{l, f.relay})
 }
 
 func (f *front) serveReady(l net.Listener) { _ = f.ready.Serve(l) }
@@ -88,26 +88,26 @@
 	}
 }
 
-// expected decides whether a body is asked for that its caller holds back until then.
-func (f *front) expected(ctx *fasthttp.RequestCtx) int {
-	if c := callerOf(ctx); c != nil && c.broken != nil {
-		f.turnAway(ctx, c)
+// handleExpect decides whether a body is asked for that its caller holds back until then.
+func (f *front) handleExpect(ctx *fasthttp.RequestCtx) int {
+	if c := callerOf(ctx); c != nil && c.readErr != nil {
+		f.refuseForMemory(ctx, c)
 		return fasthttp.StatusServiceUnavailable
 	}
 	return fasthttp.StatusContinue
 }
 
-// turnAway answers a request that there is no memory for, and ends its connection.
-func (f *front) turnAway(ctx *fasthttp.RequestCtx, c *caller) {
-	f.relay.turnedAway(c.request, "request")
+// refuseForMemory answers a request that there is no memory for, and ends its connection.
+func (f *front) refuseForMemory(ctx *fasthttp.RequestCtx, c *callerConn) {
+	f.relay.logTurnedAway(c.requestID, "request")
 	ctx.SetConnectionClose()
-	f.relay.answerSelf(ctx, &request{id: c.request}, refusal{fasthttp.StatusServiceUnavailable, shortReason, comeBackUsual})
+	f.relay.sendRefusal(ctx, &request{id: c.requestID}, refusal{fasthttp.StatusServiceUnavailable, shortReason, defaultRetryAfter})
 }
 
-// malformed answers what could not be read as a request.
-func (f *front) malformed(ctx *fasthttp.RequestCtx, err error) {
-	if c := callerOf(ctx); c != nil && errors.Is(c.broken, errShort) {
-		f.turnAway(ctx, c)
+// handleReadError answers what could not be read as a request.
+func (f *front) handleReadError(ctx *fasthttp.RequestCtx, err error) {
+	if c := callerOf(ctx); c != nil && errors.Is(c.readErr, errShort) {
+		f.refuseForMemory(ctx, c)
 		return
 	}
 	var small *fasthttp.ErrSmallBuffer
@@ -123,5 +123,5 @@
 	}
 	f.relay.cfg.Log.Event("request", "malformed", Fields{"status": status, "error": err.Error()})
 	ctx.SetConnectionClose()
-	refuse(ctx, refusal{status: status, reason: "the request cannot be read"})
+	writeRefusal(ctx, refusal{status: status, reason: "the request cannot be read"})
 }
--- a/relay/leave.go
+++ b/relay/leave.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// leaveWatch waits for a caller to leave.
-type leaveWatch struct {
-	conn net.Conn
-	gone atomic.Bool
-	done chan struct{}
+// disconnectWatch waits for a caller to leave.
+type disconnectWatch struct {
+	conn         net.Conn
+	disconnected atomic.Bool
+	done         chan struct{}
 }
 
-// watchLeave calls gone, once and from another goroutine, if the caller closes its
+// watchDisconnect calls gone, once and from another goroutine, if the caller closes its
 // connection before stop is called.
-func watchLeave(conn net.Conn, gone func()) *leaveWatch {
-	w := &leaveWatch{conn: conn, done: make(chan struct{})}
+func watchDisconnect(conn net.Conn, gone func()) *disconnectWatch {
+	w := &disconnectWatch{conn: conn, done: make(chan struct{})}
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		close(w.done)
@@ -39,20 +39,20 @@
 		left := false
 		err := raw.Read(func(fd uintptr) bool {
 			var ok bool
-			left, ok = peekEnd(int(fd))
+			left, ok = peekClosed(int(fd))
 			return ok
 		})
 		if err == nil && left {
-			w.gone.Store(true)
+			w.disconnected.Store(true)
 			gone()
 		}
 	}()
 	return w
 }
 
-// peekEnd looks at a socket without reading from it: left is whether the other
+// peekClosed looks at a socket without reading from it: left is whether the other
 // side has closed, known whether anything could be told at all.
-func peekEnd(fd int) (left, known bool) {
+func peekClosed(fd int) (left, known bool) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
@@ -64,13 +64,13 @@
 	return n == 0, true
 }
 
-// past is a deadline that ends a wait at once.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that ends a wait at once.
+var expiredDeadline = time.Unix(1, 0)
 
 // stop ends the watch and waits for its goroutine; the connection can be read from
 // again afterwards.
-func (w *leaveWatch) stop() {
-	_ = w.conn.SetReadDeadline(past)
+func (w *disconnectWatch) stop() {
+	_ = w.conn.SetReadDeadline(expiredDeadline)
 	<-w.done
 	_ = w.conn.SetReadDeadline(time.Time{})
 }
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -61,7 +61,7 @@
 
 // noteLimit notes what an answer says of its upstream's limit; request is empty where it answers a call of
 // the box's own, of which nothing says that it names the limit whenever there is one.
-func (r *Relay) noteLimit(a *answer, request string) {
+func (r *Relay) noteLimit(a *response, request string) {
 	if r.cfg.Protocol.Limit == "" {
 		return
 	}
@@ -70,7 +70,7 @@
 		return
 	}
 	life := a.conn.life
-	if _, err := r.whyRefused(&a.header, life.ID); err != nil {
+	if _, err := r.replacedBy(&a.header, life.ID); err != nil {
 		return // another start of it answers there
 	}
 	r.mu.Lock()
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -257,7 +257,7 @@
 	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return answerNaming("200 OK", limit)(c, r) })
 	b := newBench(t, u)
 	call := func() {
-		_, _, err := b.relay.call(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
+		_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 		is.NoErr(err)
 	}
 	call()
--- a/relay/lives.go
+++ b/relay/lives.go
@@ -56,7 +56,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	runs := make(map[string][]*conn)
-	for x, c := range r.runs {
+	for x, c := range r.runConns {
 		if x.route.Again() && u.Incarnation().After(c.life) && c.openedBefore(now, u.StartedAt) {
 			address := c.RemoteAddr().String()
 			runs[address] = append(runs[address], c)
@@ -120,8 +120,8 @@
 // triedPresent lists the upstreams that the request was sent to in their present lives. The
 // caller holds the relay's mu.
 func (x *exchange) triedPresent() []string {
-	ids := make([]string, 0, len(x.tried))
-	for _, l := range x.tried {
+	ids := make([]string, 0, len(x.triedInstances))
+	for _, l := range x.triedInstances {
 		if u := x.relay.fleet.Get(l.ID); u == nil || u.Incarnation() == l {
 			ids = append(ids, l.ID)
 		}
--- a/relay/lives_test.go
+++ b/relay/lives_test.go
@@ -236,7 +236,7 @@
 // The entry of a life went while entries may come back, and a new life's came: that stays.
 func TestANewLifeIsNotDroppedWithTheOneThatIsMissing(t *testing.T) {
 	is := is.New(t)
-	r := &Relay{start: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConns(nil), stats: newStats()}
+	r := &Relay{startedAt: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConns(nil), stats: newStats()}
 	missing := make(map[string]time.Duration)
 	u := upstreamOf("u")
 	u.StartedAt = 100
--- a/relay/members.go
+++ b/relay/members.go
@@ -107,7 +107,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			m.relay.noticeSleep()
+			m.relay.detectSuspension()
 			m.syncFleet()
 			m.node.Tick(m.relay.now())
 			m.shareCutOff(ctx)
@@ -116,7 +116,7 @@
 			m.takeLoads()
 		case <-m.more:
 		case <-m.events.Ready():
-			m.relay.noticeSleep() // messages that waited meanwhile are not to be taken for new
+			m.relay.detectSuspension() // messages that waited meanwhile are not to be taken for new
 		}
 		batch = m.events.Drain(batch[:0])
 		for _, e := range batch {
--- a/relay/memory.go
+++ b/relay/memory.go
@@ -46,7 +46,7 @@
 )
 
 // errShort says that the box has no memory for something.
-var errShort = &Error{Op: "keep", Kind: KindFull, Err: errors.New("memory is short")}
+var errShort = &Error{Op: "keep", Kind: KindExhausted, Err: errors.New("memory is short")}
 
 // shortReason is how callers and logs are told of it.
 const shortReason = "memory short"
@@ -97,7 +97,7 @@
 // keptReader charges what is read of a body beyond what is free.
 type keptReader struct {
 	exchange *exchange
-	answer   *answer
+	answer   *response
 	read     int64
 	charged  int64 // of what was read
 }
--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -195,13 +195,13 @@
 	for range 100 {
 		m := &move{copied: make(chan Copy, 1)}
 		m.copied <- Copy{Name: "h7"}
-		_, ok := m.await(ended)
+		_, ok := m.awaitCopy(ended)
 		is.True(!ok)
 		is.Equal((<-m.copied).Name, "h7")
 	}
 	m := &move{copied: make(chan Copy, 1)}
 	m.copied <- Copy{Name: "h7"}
-	c, ok := m.await(context.Background())
+	c, ok := m.awaitCopy(context.Background())
 	is.True(ok)
 	is.Equal(c.Name, "h7")
 }
--- a/relay/news.go
+++ b/relay/news.go
@@ -79,7 +79,7 @@
 		c.otherEnded = &life
 	}
 	c.present, c.listed = r.listed(u.ID)
-	r.wakeWaiting(u.Service)
+	r.wakeReady(u.Service)
 	c.serves = r.fleet.Serves(u.ID)
 	c.asks = c.listed && r.fleet.Unproven(c.present.Incarnation())
 	return c
@@ -151,7 +151,7 @@
 	defer r.mu.Unlock()
 	r.fleet.SetServices(r.now(), names)
 	for _, s := range d.Services {
-		r.fleet.SetCold(s.Name, balance.ColdLimit{Lasts: s.ColdFor, Most: r.cfg.Cold.most(s.ColdPerSecond)})
+		r.fleet.SetCold(s.Name, balance.ColdLimit{Lasts: s.ColdFor, Most: r.cfg.Cold.maxRequests(s.ColdPerSecond)})
 		r.fleet.SetMemory(s.Name, s.Memory)
 	}
 }
--- a/relay/news_test.go
+++ b/relay/news_test.go
@@ -47,7 +47,7 @@
 
 func TestEntriesThatLapseWithThePublisherAreKeptForAWhile(t *testing.T) {
 	is := is.New(t)
-	r := &Relay{start: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConns(nil)}
+	r := &Relay{startedAt: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConns(nil)}
 	missing := make(map[string]time.Duration)
 	r.takeNews(Update{Upstream: upstreamOf("u1")}, 0, missing)
 	r.takeNews(Update{Removed: "u1"}, r.now()+time.Hour, missing)
@@ -64,7 +64,7 @@
 // a second on a small box, and answered nobody meanwhile, though the others have the list from each other.
 func TestABoxAnswersOthersWhileItTakesInALongList(t *testing.T) {
 	is := is.New(t)
-	r := &Relay{start: time.Now(), fleet: newEmptyFleet(), conns: newConns(nil), stats: newStats(),
+	r := &Relay{startedAt: time.Now(), fleet: newEmptyFleet(), conns: newConns(nil), stats: newStats(),
 		cfg: Config{Log: NewLog("box", io.Discard), Decode: decode, Self: &wire.GroupBox{Name: "box", Domain: "d", Boot: 1}, Timing: group.DefaultTiming, Boxes: 1}}
 	m, err := newMembers(r)
 	is.NoErr(err)
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -14,19 +14,19 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// wholeAnswer is the most bytes of an answer that is read before it is passed on, so
+// maxBufferedResponse is the most bytes of an answer that is read before it is passed on, so
 // that a failure within it can be answered otherwise.
-const wholeAnswer = 4 << 20
+const maxBufferedResponse = 4 << 20
 
 // accept takes an answer in: the first events of a stream, or a whole body.
-func (x *exchange) accept(a *answer) (runState, []byte, error) {
+func (x *exchange) accept(a *response) (runState, []byte, error) {
 	if x.isStream(a) {
 		return x.acceptStream(a)
 	}
-	body, err := io.ReadAll(io.LimitReader(&keptReader{exchange: x, answer: a}, wholeAnswer+1))
-	x.release()
-	whole := err == nil && len(body) <= wholeAnswer
-	x.relay.finish(a, whole)
+	body, err := io.ReadAll(io.LimitReader(&keptReader{exchange: x, answer: a}, maxBufferedResponse+1))
+	x.detachConn()
+	whole := err == nil && len(body) <= maxBufferedResponse
+	x.relay.releaseConn(a, whole)
 	if !whole {
 		return runUnknown, nil, err
 	}
@@ -35,11 +35,11 @@
 	}
 	status := a.header.StatusCode()
 	if status >= fasthttp.StatusInternalServerError && x.route.Again() {
-		x.failure = &wholeFailure{a, body}
+		x.failure = &failedResponse{a, body}
 		return runUnknown, nil, statusError(status)
 	}
-	x.answer = a
-	x.settle(x.outcomeOf(status))
+	x.response = a
+	x.closeTicket(x.outcomeOf(status))
 	return runAnswered, body, nil
 }
 
@@ -51,10 +51,10 @@
 // Error implements error.
 func (s statusError) Error() string { return fasthttp.StatusMessage(int(s)) }
 
-// wholeFailure is an upstream's own failure, which its caller gets if no other
+// failedResponse is an upstream's own failure, which its caller gets if no other
 // upstream does better.
-type wholeFailure struct {
-	answer *answer
+type failedResponse struct {
+	answer *response
 	body   []byte
 }
 
@@ -63,16 +63,16 @@
 	if x.failure == nil || x.ctx.Err() != nil {
 		return nil, false
 	}
-	x.answer = x.failure.answer
+	x.response = x.failure.answer
 	return x.failure.body, true
 }
 
 // errNoStream says that a stream was not taken up where it was to go on.
 var errNoStream = errors.New("the answer is no stream")
 
-// shortShare is the share of its route's time below which a caller's own time is so short
+// shortTimeShare is the share of its route's time below which a caller's own time is so short
 // that running out of it says nothing about the upstream.
-const shortShare = 0.5
+const shortTimeShare = 0.5
 
 // outcomeOf says what a status tells about the upstream that gave it.
 func (x *exchange) outcomeOf(status int) balance.Outcome {
@@ -87,44 +87,44 @@
 
 // hasShortTime reports whether the caller gave much less time than the route does.
 func (x *exchange) hasShortTime() bool {
-	return float64(x.end.Sub(x.arrived)) < shortShare*float64(x.route.Timeout)
+	return float64(x.deadline.Sub(x.arrived)) < shortTimeShare*float64(x.route.Timeout)
 }
 
-// failed notes a run that brought nothing.
-func (x *exchange) failed(state runState, err error) {
+// recordFailure notes a run that brought nothing.
+func (x *exchange) recordFailure(state runState, err error) {
 	outcome := x.outcomeOfFailure(state, err)
 	if state == runUnsent && outcome != balance.Neutral {
-		x.unsent++
+		x.unreachable++
 	}
 	if state == runUnknown {
-		x.mayHave = true
+		x.mayHaveRun = true
 	}
-	x.settle(outcome)
-	if isUnreached(outcome) && errors.Is(err, syscall.ECONNREFUSED) || outcome == balance.Ended {
+	x.closeTicket(outcome)
+	if isConnectFailure(outcome) && errors.Is(err, syscall.ECONNREFUSED) || outcome == balance.Ended {
 		x.relay.noteEnd(x.upstream.Incarnation())
 	}
 	if outcome == balance.Ended {
-		x.relay.takeName(x.upstream.Incarnation(), x.instead)
+		x.relay.takeName(x.upstream.Incarnation(), x.replacement)
 	}
-	x.leaveUnreached(outcome)
+	x.dropUnreached(outcome)
 	if outcome == balance.Broken {
-		x.cutOff++
+		x.runsCut++
 		x.noteCutOff()
 	}
 	x.logFailed(state, outcome, err)
 }
 
-// leaveUnreached closes the connections that rest to an upstream that could not be reached, or
+// dropUnreached closes the connections that rest to an upstream that could not be reached, or
 // is another one. Those to a life that has followed are sound: with a run on the one before they
 // would all be opened again.
-func (x *exchange) leaveUnreached(outcome balance.Outcome) {
+func (x *exchange) dropUnreached(outcome balance.Outcome) {
 	if x.relay.isOver(x.upstream) {
 		return
 	}
-	if isUnreached(outcome) || outcome == balance.Ended {
+	if isConnectFailure(outcome) || outcome == balance.Ended {
 		x.relay.conns.forget(x.upstream.ID)
 	}
-	if isUnreached(outcome) {
+	if isConnectFailure(outcome) {
 		x.relay.logUnreached(x.upstream.ID)
 		x.relay.tryLater()
 	}
@@ -134,7 +134,7 @@
 func (x *exchange) outcomeOfFailure(state runState, err error) balance.Outcome {
 	var status statusError
 	switch {
-	case x.ctx.Err() != nil, errors.Is(err, errShort), errors.Is(err, errTakesNone), errors.Is(err, errLimit), errors.Is(err, errBudget), x.silent.Load() && state == runUnknown, x.held.Load():
+	case x.ctx.Err() != nil, errors.Is(err, errShort), errors.Is(err, errNotAccepting), errors.Is(err, errLimit), errors.Is(err, errBudget), x.silent.Load() && state == runUnknown, x.withheldRun.Load():
 		return balance.Neutral
 	case errors.As(err, &status):
 		return x.outcomeOf(int(status))
@@ -148,25 +148,25 @@
 		return balance.Ended
 	case state == runRefused:
 		return balance.Full
-	case isBreak(err):
+	case isConnectionLost(err):
 		return balance.Broken
 	}
 	return balance.Failed
 }
 
-// isUnreached reports whether no connection came up, or one went silent.
-func isUnreached(o balance.Outcome) bool {
+// isConnectFailure reports whether no connection came up, or one went silent.
+func isConnectFailure(o balance.Outcome) bool {
 	return o == balance.Unreachable || o == balance.ConnectionRefused
 }
 
-// isBreak reports whether the other side closed or reset a connection under a run.
-func isBreak(err error) bool {
+// isConnectionLost reports whether the other side closed or reset a connection under a run.
+func isConnectionLost(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)
 }
 
 func (x *exchange) logFailed(state runState, outcome balance.Outcome, err error) {
 	r := x.relay
-	fields := Fields{"id": x.request.id, "upstream": x.upstream.ID, "born": x.upstream.StartedAt, "service": x.service, "state": runNames[state], "runs": x.sent, "status": x.refusalStatus,
+	fields := Fields{"id": x.request.id, "upstream": x.upstream.ID, "born": x.upstream.StartedAt, "service": x.service, "state": runNames[state], "runs": x.runsSent, "status": x.refusalStatus,
 		"budget_left": x.budgetLeft(), "loads_age_ms": r.members.loadsAge().Milliseconds()}
 	if err != nil {
 		fields["error"] = err.Error()
@@ -188,8 +188,8 @@
 	return r.budgets.Of(x.service).Left(r.now(), r.divisor())
 }
 
-// settle closes the count of the current run.
-func (x *exchange) settle(o balance.Outcome) {
+// closeTicket closes the count of the current run.
+func (x *exchange) closeTicket(o balance.Outcome) {
 	if x.ticket == nil {
 		return
 	}
@@ -199,7 +199,7 @@
 	}
 	r.mu.Lock()
 	x.ticket.Close(r.now(), o)
-	r.wakeWaiting(x.service)
+	r.wakeReady(x.service)
 	over := r.fleet.PausesOver()
 	r.mu.Unlock()
 	r.logPausesOver(over)
--- a/relay/outcome_test.go
+++ b/relay/outcome_test.go
@@ -28,7 +28,7 @@
 	for _, tt := range tests {
 		is := is.New(t)
 		x := &exchange{route: &route.Route{Timeout: 12 * time.Second}, arrived: time.Unix(1, 0)}
-		x.end = x.arrived.Add(tt.time)
+		x.deadline = x.arrived.Add(tt.time)
 		is.Equal(x.outcomeOf(tt.status), tt.want) // as in the table
 		x.ctx = context.Background()
 		if tt.status >= 500 { // where the request may be sent again, it comes as a failure
@@ -61,7 +61,7 @@
 
 	x := &exchange{relay: r, request: &request{}, ctx: context.Background(), upstream: present}
 	x.upstream.StartedAt = 100
-	x.failed(runUnsent, syscall.ECONNREFUSED)
+	x.recordFailure(runUnsent, syscall.ECONNREFUSED)
 	is.Equal(resting(), 1)
 	r.mu.Lock()
 	lost := r.fleet.NewlyLost()
@@ -69,7 +69,7 @@
 	r.mu.Unlock()
 	is.Equal(len(lost), 1) // nobody has put it down to u
 	x.upstream.StartedAt = 200
-	x.failed(runUnsent, syscall.ECONNREFUSED)
+	x.recordFailure(runUnsent, syscall.ECONNREFUSED)
 	is.Equal(resting(), 0)
 	b.until(func() bool { return b.log.contains("out of reach") })
 }
--- a/relay/outgoing.go
+++ b/relay/outgoing.go
@@ -17,8 +17,8 @@
 	"github.com/doormast/doormast/route"
 )
 
-// run is what differs from one run of a request to the next.
-type run struct {
+// runParams is what differs from one runParams of a request to the next.
+type runParams struct {
 	upstream balance.Upstream
 	timeLeft time.Duration
 	urgency  int
@@ -29,12 +29,12 @@
 }
 
 // outgoing writes the request for a run.
-func (r *Relay) outgoing(q *request, n run) outgoing {
+func (r *Relay) outgoing(q *request, n runParams) outgoing {
 	p := &r.cfg.Protocol
 	var b bytes.Buffer
 	b.WriteString(q.method + " " + q.uri + " HTTP/1.1\r\n")
 	writeHeader(&b, "Host", q.host)
-	b.Write(q.passed)
+	b.Write(q.forwardedHeaders)
 	writeHeader(&b, p.TimeLeft, strconv.FormatInt(max(1, n.timeLeft.Milliseconds()), 10))
 	writeHeader(&b, p.Instance, n.upstream.ID)
 	if n.customer != nil {
@@ -71,35 +71,35 @@
 	id   string // comes back in the answer
 }
 
-// largeBody is from how many bytes on a body is sent while the answer is awaited,
+// asyncBodyBytes is from how many bytes on a body is sent while the answer is awaited,
 // since an upstream may answer before it has read it all.
-const largeBody = 8 << 10
+const asyncBodyBytes = 8 << 10
 
-// sending is a request on its way out.
-type sending struct {
+// requestWrite is a request on its way out.
+type requestWrite struct {
 	began   time.Time
 	done    chan error
 	written atomic.Pointer[time.Time] // when all was; nil: not yet, or it failed
 }
 
 // send writes the request; a large one goes on being written in the background.
-func (c *conn) send(o outgoing) *sending {
-	s := &sending{began: time.Now(), done: make(chan error, 1)}
-	if len(o.head)+len(o.body) <= largeBody {
+func (c *conn) send(o outgoing) *requestWrite {
+	s := &requestWrite{began: time.Now(), done: make(chan error, 1)}
+	if len(o.head)+len(o.body) <= asyncBodyBytes {
 		_, err := c.Write(slices.Concat(o.head, o.body))
-		s.end(err)
+		s.finish(err)
 		return s
 	}
 	go func() {
 		parts := net.Buffers{o.head, o.body} // a large body is not copied
 		_, err := parts.WriteTo(c.Conn)
-		s.end(err)
+		s.finish(err)
 	}()
 	return s
 }
 
-// end notes the end of the writing.
-func (s *sending) end(err error) {
+// finish notes the finish of the writing.
+func (s *requestWrite) finish(err error) {
 	if err == nil {
 		now := time.Now()
 		s.written.Store(&now)
@@ -107,8 +107,8 @@
 	s.done <- err
 }
 
-// finished reports whether all was written without an error.
-func (s *sending) finished() bool {
+// succeeded reports whether all was written without an error.
+func (s *requestWrite) succeeded() bool {
 	select {
 	case err := <-s.done:
 		s.done <- err
--- a/relay/pace.go
+++ b/relay/pace.go
@@ -6,8 +6,8 @@
 
 import "time"
 
-// recentShare is the share of the newest pause in the mean of those of late.
-const recentShare = 0.25
+// recentWeight is the share of the newest pause in the mean of those of late.
+const recentWeight = 0.25
 
 // pace measures the pauses between events.
 type pace struct {
@@ -17,13 +17,13 @@
 	late    int           // pauses that were longer than the route allows
 }
 
-// events takes in that events came; allowed is the longest pause that is in time, 0 where
+// observe takes in that observe came; allowed is the longest pause that is in time, 0 where
 // none is stated.
-func (p *pace) events(now time.Time, allowed time.Duration) {
+func (p *pace) observe(now time.Time, allowed time.Duration) {
 	if !p.last.IsZero() {
 		pause := now.Sub(p.last)
 		p.longest = max(p.longest, pause)
-		p.recent += time.Duration(recentShare * float64(pause-p.recent))
+		p.recent += time.Duration(recentWeight * float64(pause-p.recent))
 		if allowed > 0 && pause > allowed {
 			p.late++
 		}
--- a/relay/pace_test.go
+++ b/relay/pace_test.go
@@ -27,7 +27,7 @@
 			var p pace
 			start := time.Unix(1000, 0)
 			for _, ms := range tt.at {
-				p.events(start.Add(time.Duration(ms)*time.Millisecond), tt.allowed)
+				p.observe(start.Add(time.Duration(ms)*time.Millisecond), tt.allowed)
 			}
 			is.Equal(p.longest, tt.longest)
 			is.Equal(p.late, tt.late)
--- a/relay/pause_test.go
+++ b/relay/pause_test.go
@@ -115,7 +115,7 @@
 func (b *bench) waits() int {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
-	if q := b.relay.waiting["s"]; q != nil {
+	if q := b.relay.pauseQueues["s"]; q != nil {
 		return len(q.list)
 	}
 	return 0
@@ -166,7 +166,7 @@
 		is.Equal(got.status, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		is.NoErr(err)
-		is.True(after > 20 && after <= (30+3)*(1+comeBackSpread))
+		is.True(after > 20 && after <= (30+3)*(1+retryAfterJitter))
 		is.True(strings.Contains(got.body, pauseReason))
 		is.True(strings.Contains(got.body, `"ran":"no"`))
 	}
@@ -196,11 +196,11 @@
 	u := newPauser(t, "30")
 	b := newBench(t, u.stub)
 	call := func() error {
-		_, _, err := b.relay.call(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
+		_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 		return err
 	}
 	is.NoErr(call())
-	is.Equal(call(), error(errTakesNone))
+	is.Equal(call(), error(errNotAccepting))
 	is.Equal(len(u.requests()), 1)
 }
 
--- a/relay/reader_test.go
+++ b/relay/reader_test.go
@@ -33,7 +33,7 @@
 func TestAReadingIsAsOldAsTheOneItWentOnFrom(t *testing.T) {
 	for _, revision := range []uint64{0, 5} { // nothing known yet, and the history forgotten
 		is := is.New(t)
-		m := &members{relay: &Relay{start: time.Now().Add(-time.Minute), cfg: Config{Publisher: &flaky{fails: 2}}}}
+		m := &members{relay: &Relay{startedAt: time.Now().Add(-time.Minute), cfg: Config{Publisher: &flaky{fails: 2}}}}
 		m.revision.Store(revision)
 		first := m.callPublisher(context.Background())
 		m.callPublisher(context.Background())
@@ -59,7 +59,7 @@
 // A reading that hangs, and fails after another box has told all, is none that failed.
 func TestAReadingThatHangsIsNotNeeded(t *testing.T) {
 	is := is.New(t)
-	m := &members{relay: &Relay{start: time.Now(), cfg: Config{Publisher: &hanging{}}}, known: make(chan struct{})}
+	m := &members{relay: &Relay{startedAt: time.Now(), cfg: Config{Publisher: &hanging{}}}, known: make(chan struct{})}
 	close(m.known)
 	is.Equal(m.callPublisher(context.Background()).err, mirror.ErrNotNeeded)
 	ctx, end := context.WithCancel(context.Background())
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -13,50 +13,50 @@
 )
 
 const (
-	// comeBackUsual is when a caller that is refused shall come back where nothing
+	// defaultRetryAfter is when a caller that is refused shall come back where nothing
 	// better is known.
-	comeBackUsual = 400 * time.Millisecond
-	// comeBackStarting is the same while the box knows no document yet.
-	comeBackStarting = time.Second
+	defaultRetryAfter = 400 * time.Millisecond
+	// startingRetryAfter is the same while the box knows no document yet.
+	startingRetryAfter = time.Second
 )
 
-// answerSelf gives an answer of the box's own.
-func (r *Relay) answerSelf(ctx *fasthttp.RequestCtx, q *request, no refusal) {
+// sendRefusal gives an answer of the box's own.
+func (r *Relay) sendRefusal(ctx *fasthttp.RequestCtx, q *request, no refusal) {
 	if q.id != "" {
 		ctx.Response.Header.Set(r.cfg.Protocol.RequestID, q.id)
 	}
-	refuse(ctx, no)
+	writeRefusal(ctx, no)
 }
 
 // callerLeft is how logs are told of a request whose caller nobody can answer any more.
 const callerLeft = "caller left"
 
-// giveUp is the final answer of a request that no upstream answered.
-func (x *exchange) giveUp(reason string) *refusal {
-	if x.watch.gone.Load() {
+// finalRefusal is the final answer of a request that no upstream answered.
+func (x *exchange) finalRefusal(reason string) *refusal {
+	if x.watch.disconnected.Load() {
 		return &refusal{status: fasthttp.StatusBadGateway, reason: callerLeft}
 	}
-	late := x.outOfTime()
+	late := x.deadlinePassed()
 	switch {
-	case x.mayHave && late:
+	case x.mayHaveRun && late:
 		return &refusal{status: fasthttp.StatusGatewayTimeout, reason: "out of time"}
-	case x.mayHave:
+	case x.mayHaveRun:
 		return &refusal{status: fasthttp.StatusBadGateway, reason: reason}
 	case x.tooLarge:
-		return &refusal{fasthttp.StatusServiceUnavailable, "larger than an upstream's memory", mostComeBack}
+		return &refusal{fasthttp.StatusServiceUnavailable, "larger than an upstream's memory", maxRetryAfter}
 	}
-	if x.limited {
+	if x.allLimited {
 		reason = limitReason
 	}
-	after := max(comeBackUsual, x.comeBack)
-	if left := x.noPlaceFor(); left > 0 {
-		reason, after = pauseReason, spread(min(max(after, left), longestComeBack))
+	retryAfter := max(defaultRetryAfter, x.retryAfter)
+	if left := x.allPausedFor(); left > 0 {
+		reason, retryAfter = pauseReason, addJitter(min(max(retryAfter, left), maxPauseRetryAfter))
 	}
-	return &refusal{fasthttp.StatusServiceUnavailable, reason, after}
+	return &refusal{fasthttp.StatusServiceUnavailable, reason, retryAfter}
 }
 
-// noPlaceFor is for how long pauses keep all upstreams from the request, also those that it was sent to; 0: they do not.
-func (x *exchange) noPlaceFor() time.Duration {
+// allPausedFor is for how long pauses keep all upstreams from the request, also those that it was sent to; 0: they do not.
+func (x *exchange) allPausedFor() time.Duration {
 	x.relay.mu.Lock()
 	defer x.relay.mu.Unlock()
 	return x.pauseLeft(nil)
@@ -75,9 +75,9 @@
 	Ran   string `json:"ran"` // "no" or "unknown"
 }
 
-// refuse writes the answer. A status that tells of an upstream says that the request
+// writeRefusal writes the answer. A status that tells of an upstream says that the request
 // may have run.
-func refuse(ctx *fasthttp.RequestCtx, f refusal) {
+func writeRefusal(ctx *fasthttp.RequestCtx, f refusal) {
 	body := refusalBody{Error: f.reason, Ran: "no"}
 	if f.status == fasthttp.StatusBadGateway || f.status == fasthttp.StatusGatewayTimeout {
 		body.Ran = "unknown"
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -62,8 +62,8 @@
 	Slack     float64 // and so many requests besides
 }
 
-// most is how many requests a cold upstream that bears so many a second may be sent in one.
-func (b ColdBounds) most(perSecond float64) int {
+// maxRequests is how many requests a cold upstream that bears so many a second may be sent in one.
+func (b ColdBounds) maxRequests(perSecond float64) int {
 	if b.Overshoot == 0 || perSecond == 0 {
 		return 0
 	}
@@ -72,35 +72,35 @@
 
 // Relay is a running box.
 type Relay struct {
-	cfg       Config
-	start     time.Time
-	startBoot time.Duration // the same by the clock that counts suspensions
-	slept     atomic.Int64  // time.Duration for which the machine was suspended since
-	startWall atomic.Int64  // the time of day at the start, Unix ns, as it seemed when a request last came
-	belief    belief
-	account   *account.Account // of what is kept for callers and upstreams
-	conns     *conns
-	stats     stats
-	front     *front
+	cfg          Config
+	startedAt    time.Time
+	startBoot    time.Duration // the same by the clock that counts suspensions
+	suspendedFor atomic.Int64  // time.Duration for which the machine was suspended since
+	startWall    atomic.Int64  // the time of day at the start, Unix ns, as it seemed when a request last came
+	belief       belief
+	account      *account.Account // of what is kept for callers and upstreams
+	conns        *conns
+	stats        stats
+	callerServer *front
 
 	members    *members
 	pullClient *http.Client
 
-	mu         sync.Mutex // guards what follows, up to finding
-	fleet      *balance.Fleet
-	budgets    *balance.Budgets
-	endedUnder balance.Suspects    // requests that upstreams ended under
-	runs       map[*exchange]*conn // the connections on which requests run
-	waiting    map[string]*waiting // requests that wait for the end of a pause, by service
+	mu            sync.Mutex // guards what follows, up to finding
+	fleet         *balance.Fleet
+	budgets       *balance.Budgets
+	crashSuspects balance.Suspects       // requests that upstreams ended under
+	runConns      map[*exchange]*conn    // the connections on which requests run
+	pauseQueues   map[string]*pauseQueue // requests that wait for the end of a pause, by service
 	// Lives of which it is being found out whether they have ended; closed when that is known.
-	finding map[balance.Incarnation]chan struct{}
-
-	trials   chan struct{} // readable when an upstream could not be reached
-	stopping atomic.Bool
-	ended    atomic.Bool // the grace of a planned stop is over
-	cancel   context.CancelFunc
-	ends     chan string // the name of each duty that has ended
-	duties   int
+	endChecks map[balance.Incarnation]chan struct{}
+
+	trialNeeded  chan struct{} // readable when an upstream could not be reached
+	stopping     atomic.Bool
+	graceOver    atomic.Bool // the grace of a planned stop is over
+	cancel       context.CancelFunc
+	endedTasks   chan string // the name of each duty that has ended
+	runningTasks int
 }
 
 // Start starts a relay; Stop ends it. The error is an Error of KindEdge where datagrams
@@ -111,60 +111,60 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Relay{
-		cfg:        cfg,
-		start:      time.Now(),
-		startBoot:  cfg.Clock.Boot(),
-		belief:     newBelief(),
-		account:    account.New(cfg.Memory),
-		cancel:     cancel,
-		ends:       make(chan string, maxDuties),
-		pullClient: newPullClient(),
-		trials:     make(chan struct{}, 1),
-		runs:       make(map[*exchange]*conn),
-		waiting:    make(map[string]*waiting),
-		finding:    make(map[balance.Incarnation]chan struct{}),
-		stats:      newStats(),
+		cfg:         cfg,
+		startedAt:   time.Now(),
+		startBoot:   cfg.Clock.Boot(),
+		belief:      newBelief(),
+		account:     account.New(cfg.Memory),
+		cancel:      cancel,
+		endedTasks:  make(chan string, maxTasks),
+		pullClient:  newPullClient(),
+		trialNeeded: make(chan struct{}, 1),
+		runConns:    make(map[*exchange]*conn),
+		pauseQueues: make(map[string]*pauseQueue),
+		endChecks:   make(map[balance.Incarnation]chan struct{}),
+		stats:       newStats(),
 	}
-	r.startWall.Store(r.start.UnixNano())
+	r.startWall.Store(r.startedAt.UnixNano())
 	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, Named: cfg.Limits, Off: cfg.Off, FirstStart: cfg.FirstStart})
 	r.budgets = balance.NewBudgets(cfg.Budget, r.now(), cfg.FirstStart)
 	r.conns = newConns(r.connectionCap)
 	r.conns.cameUp = r.noteWay
-	r.front = newFront(r)
+	r.callerServer = newFront(r)
 	var err error
 	if r.members, err = newMembers(r); err != nil {
 		cancel()
-		return nil, &Error{Op: "listen to other boxes", Kind: KindEdge, Err: err}
+		return nil, &Error{Op: "listen to other boxes", Kind: KindListen, Err: err}
 	}
-	r.startDuties(ctx)
+	r.startTasks(ctx)
 	r.cfg.Log.Event("box", "start", Fields{"box": cfg.Box, "domain": cfg.Domain, "off": cfg.Off.Names()})
 	return r, nil
 }
 
-// startDuties starts what goes on until the box ends.
-func (r *Relay) startDuties(ctx context.Context) {
-	r.run("members", func() { r.members.duty(ctx) })
-	r.run("reader", func() { r.members.readDuty(ctx) })
-	r.run("trials", func() { r.trialDuty(ctx) })
+// startTasks starts what goes on until the box ends.
+func (r *Relay) startTasks(ctx context.Context) {
+	r.startTask("members", func() { r.members.duty(ctx) })
+	r.startTask("reader", func() { r.members.readDuty(ctx) })
+	r.startTask("trials", func() { r.trialDuty(ctx) })
 	if r.cfg.Protocol.ReportCall != nil {
-		r.run("silence", func() { r.silenceDuty(ctx) })
+		r.startTask("silence", func() { r.silenceDuty(ctx) })
 	}
 	if r.cfg.Control != nil {
-		r.run("control", r.serveControl)
+		r.startTask("control", r.serveControl)
 	}
-	r.run("callers", func() { r.front.serve(r.cfg.Callers) })
-	r.run("ready", func() { r.front.serveReady(r.cfg.Ready) })
+	r.startTask("callers", func() { r.callerServer.serve(r.cfg.Callers) })
+	r.startTask("ready", func() { r.callerServer.serveReady(r.cfg.Ready) })
 }
 
-// maxDuties is how many duties a box has at most.
-const maxDuties = 8
+// maxTasks is how many duties a box has at most.
+const maxTasks = 8
 
-// run starts a duty; its name comes from ends when it has ended.
-func (r *Relay) run(duty string, f func()) {
-	r.duties++
+// startTask starts a duty; its name comes from ends when it has ended.
+func (r *Relay) startTask(duty string, f func()) {
+	r.runningTasks++
 	go func() {
 		f()
-		r.ends <- duty
+		r.endedTasks <- duty
 	}()
 }
 
--- a/relay/request.go
+++ b/relay/request.go
@@ -17,21 +17,21 @@
 
 // request is what the box reads of a caller's request.
 type request struct {
-	id       string // of this attempt of the caller
-	method   string
-	uri      string // as it was sent
-	host     string
-	timeLeft time.Duration // the caller waits; 0: not said
-	key      string        // the caller's secret
-	prompt   Prompt
-	body     []byte
-	head     int    // bytes of its request line and headers
-	passed   []byte // the headers that go on, as lines
-	lastSeen string // the caller's last event, as it was sent
+	id               string // of this attempt of the caller
+	method           string
+	uri              string // as it was sent
+	host             string
+	timeLeft         time.Duration // the caller waits; 0: not said
+	customerKey      string        // the caller's secret
+	prompt           Prompt
+	body             []byte
+	headBytes        int    // bytes of its request line and headers
+	forwardedHeaders []byte // the headers that go on, as lines
+	lastEventID      string // the caller's last event, as it was sent
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{"connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization",
+// hopByHopHeaders concern one connection only.
+var hopByHopHeaders = []string{"connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization",
 	"te", "trailer", "transfer-encoding", "upgrade", "expect", "content-length", "host"}
 
 // readRequest reads what the handler was given.
@@ -40,13 +40,13 @@
 	p := &r.cfg.Protocol
 	get := func(name string) string { return headerValue(h, name) }
 	q := &request{
-		id:       get(p.RequestID),
-		method:   string(h.Method()),
-		uri:      string(h.RequestURI()),
-		host:     string(h.Host()),
-		key:      get(p.Key),
-		body:     ctx.Request.Body(),
-		lastSeen: get(p.LastEvent),
+		id:          get(p.RequestID),
+		method:      string(h.Method()),
+		uri:         string(h.RequestURI()),
+		host:        string(h.Host()),
+		customerKey: get(p.Key),
+		body:        ctx.Request.Body(),
+		lastEventID: get(p.LastEvent),
 	}
 	if ms, err := strconv.ParseInt(get(p.TimeLeft), 10, 64); err == nil && ms > 0 {
 		q.timeLeft = time.Duration(ms) * time.Millisecond
@@ -54,19 +54,19 @@
 	if p.Prompt != nil {
 		q.prompt = p.Prompt(get)
 	}
-	q.passed = r.passOn(h)
-	q.head = len(h.RawHeaders()) + len(q.method) + len(q.uri) + len("  HTTP/1.1\r\n")
+	q.forwardedHeaders = r.forwardHeaders(h)
+	q.headBytes = len(h.RawHeaders()) + len(q.method) + len(q.uri) + len("  HTTP/1.1\r\n")
 	return q
 }
 
-// header is a request's or an answer's.
-type header interface {
+// headerReader is a request's or an answer's.
+type headerReader interface {
 	Peek(name string) []byte
 	All() iter.Seq2[[]byte, []byte]
 }
 
 // headerValue finds a header whatever the case of its name.
-func headerValue(h header, name string) string {
+func headerValue(h headerReader, name string) string {
 	if name == "" {
 		return ""
 	}
@@ -81,15 +81,15 @@
 	return ""
 }
 
-// passOn collects the headers that go to the upstream.
-func (r *Relay) passOn(h *fasthttp.RequestHeader) []byte {
+// forwardHeaders collects the headers that go to the upstream.
+func (r *Relay) forwardHeaders(h *fasthttp.RequestHeader) []byte {
 	vital := r.cfg.Protocol.vital()
-	drop := slices.Concat(r.cfg.Protocol.own(), hopHeaders)
+	drop := slices.Concat(r.cfg.Protocol.own(), hopByHopHeaders)
 	hop := connectionHeaders(h)
 	var out bytes.Buffer
 	for name, value := range h.All() {
-		ofConnection := namedIn(hop, name) && !namedIn(vital, name)
-		if !ofConnection && !namedIn(drop, name) {
+		ofConnection := containsHeader(hop, name) && !containsHeader(vital, name)
+		if !ofConnection && !containsHeader(drop, name) {
 			writeHeader(&out, string(name), string(value))
 		}
 	}
@@ -101,14 +101,14 @@
 	var list []string
 	for name, value := range h.All() { // it may come more than once
 		if strings.EqualFold(string(name), "Connection") {
-			list = append(list, listOf(string(value))...)
+			list = append(list, splitList(string(value))...)
 		}
 	}
 	return list
 }
 
-// listOf reads a list whose entries are joined by commas.
-func listOf(value string) []string {
+// splitList reads a list whose entries are joined by commas.
+func splitList(value string) []string {
 	list := strings.Split(value, ",")
 	for i := range list {
 		list[i] = strings.TrimSpace(list[i])
@@ -116,8 +116,8 @@
 	return list
 }
 
-// namedIn reports whether the list names a header, whatever the case.
-func namedIn(list []string, header []byte) bool {
+// containsHeader reports whether the list names a header, whatever the case.
+func containsHeader(list []string, header []byte) bool {
 	return slices.ContainsFunc(list, func(name string) bool { return strings.EqualFold(name, string(header)) })
 }
 
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -16,7 +16,7 @@
 )
 
 // errBudget says that other requests used the retry budget up while this one waited for a connection.
-var errBudget = &Error{Op: "retry", Kind: KindFull}
+var errBudget = &Error{Op: "retry", Kind: KindExhausted}
 
 // hasRetry reports whether the budget has a retry left for the request, and logs that it has none.
 func (x *exchange) hasRetry() bool {
@@ -26,7 +26,7 @@
 	left := budget.Left(r.now(), r.divisor())
 	use := budget.Use(r.now(), r.divisor())
 	r.mu.Unlock()
-	if left > 0 || x.paid {
+	if left > 0 || x.retryPaid {
 		return true
 	}
 	r.stats.count(retriesDenied)
@@ -37,16 +37,16 @@
 // spendRetry takes the run that is about to be sent from the budget; false: there is no retry left. A first run
 // and a move that was ordered cost nothing here.
 func (x *exchange) spendRetry() bool {
-	if x.sent == 0 {
+	if x.runsSent == 0 {
 		return true
 	}
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !x.paid && !r.budgets.Of(x.service).Spend(r.now(), r.divisor()) {
+	if !x.retryPaid && !r.budgets.Of(x.service).Spend(r.now(), r.divisor()) {
 		return false
 	}
-	x.paid = false
+	x.retryPaid = false
 	r.stats.count(retriesSent)
 	return true
 }
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// shortest is the least time left with which a request is sent (again).
-	shortest = 20 * time.Millisecond
-	// maxUnsent is how many upstreams may be unreachable before a request is given up.
-	maxUnsent = 4
-	// mostComeBack bounds when a caller shall come back where all upstreams are cold.
-	mostComeBack = 3 * time.Second
-	// answerBytes is what an answer takes for each of its tokens: some 4 bytes of text, and the
+	// minTimeLeft is the least time left with which a request is sent (again).
+	minTimeLeft = 20 * time.Millisecond
+	// maxUnreachable is how many upstreams may be unreachable before a request is given up.
+	maxUnreachable = 4
+	// maxRetryAfter bounds when a caller shall come back where all upstreams are cold.
+	maxRetryAfter = 3 * time.Second
+	// bytesPerToken is what an answer takes for each of its tokens: some 4 bytes of text, and the
 	// frame of an event around each few tokens.
-	answerBytes = 16
+	bytesPerToken = 16
 )
 
-// run sends the request to upstreams until one answers, or it is given up. The
+// runUntilAnswered sends the request to upstreams until one answers, or it is given up. The
 // body is that of an answer that is no stream.
-func (x *exchange) run() ([]byte, *refusal) {
+func (x *exchange) runUntilAnswered() ([]byte, *refusal) {
 	for {
 		choice, ok := x.place()
 		switch {
-		case x.late:
-			return nil, x.giveUp("too much before it")
-		case !ok && x.await():
+		case x.tooLate:
+			return nil, x.finalRefusal("too much before it")
+		case !ok && x.awaitPauseEnd():
 			continue
 		case !ok:
 			return x.unanswered("no upstream")
@@ -41,7 +41,7 @@
 		if state == runAnswered {
 			return body, nil
 		}
-		if !x.mayRunAgain(state) {
+		if !x.mayRetry(state) {
 			return x.unanswered("no answer")
 		}
 	}
@@ -53,12 +53,12 @@
 	if body, ok := x.lastFailure(); ok {
 		return body, nil
 	}
-	return nil, x.giveUp(reason)
+	return nil, x.finalRefusal(reason)
 }
 
 // place chooses an upstream and counts the request there.
 func (x *exchange) place() (balance.Choice, bool) {
-	x.paused = 0
+	x.pausedFor = 0
 	if x.ctx.Err() != nil {
 		return balance.Choice{}, false
 	}
@@ -73,23 +73,23 @@
 		r.stats.count(heldBack)
 	}
 	if !ok {
-		x.paused = x.pauseLeft(x.triedPresent())
-		x.limited = choice.Passed > 0 && x.paused == 0
+		x.pausedFor = x.pauseLeft(x.triedPresent())
+		x.allLimited = choice.Passed > 0 && x.pausedFor == 0
 		x.tooLarge = r.fleet.TooLarge(q)
-		left := max(r.fleet.ColdLeft(r.now(), x.service), r.fleet.MemoryLeft(r.now(), q), r.fleet.LimitLeft(r.now(), x.service), spread(r.fleet.LackedFor(r.now(), x.service)))
-		x.comeBack = min(left, mostComeBack)
+		left := max(r.fleet.ColdLeft(r.now(), x.service), r.fleet.MemoryLeft(r.now(), q), r.fleet.LimitLeft(r.now(), x.service), addJitter(r.fleet.LackedFor(r.now(), x.service)))
+		x.retryAfter = min(left, maxRetryAfter)
 		return choice, false
 	}
-	if x.sent == 0 && len(q.Parts) > 0 {
-		if x.comeBack, ok = r.fleet.Admit(r.now(), q, x.admission(), choice); !ok {
-			x.upstream, x.ahead, x.late = *choice.Upstream, choice.Backlog, true
+	if x.runsSent == 0 && len(q.Parts) > 0 {
+		if x.retryAfter, ok = r.fleet.Admit(r.now(), q, x.admission(), choice); !ok {
+			x.upstream, x.backlog, x.tooLate = *choice.Upstream, choice.Backlog, true
 			return choice, false
 		}
 	}
 	x.ticket = r.fleet.Open(r.now(), choice.Upstream.ID, q)
 	wake(r.members.loaded)
 	x.upstream = *choice.Upstream
-	x.fetched, x.kept, x.ahead = choice.Fetch != "", choice.Kept, choice.Backlog
+	x.fetchOffered, x.prefixCached, x.backlog = choice.Fetch != "", choice.Kept, choice.Backlog
 	return choice, true
 }
 
@@ -100,31 +100,31 @@
 		Service:  x.service,
 		Parts:    p.Parts,
 		Tokens:   p.Tokens,
-		Bytes:    x.request.head + len(x.request.body) + p.Expected*answerBytes,
-		Moves:    x.moves(),
+		Bytes:    x.request.headBytes + len(x.request.body) + p.Expected*bytesPerToken,
+		Moves:    x.canFetchPrompts(),
 		Class:    x.route.Name,
 		Gap:      x.route.EventGap,
 		Expected: p.Expected,
 		Homes:    route.HomesOf(x.route, x.customer),
 		Urgency:  x.urgency,
-		Waited:   x.waited > 0,
+		Waited:   x.pauseWaited > 0,
 	}
 }
 
-// moves reports whether the service's upstreams can fetch prompts from each other.
-func (x *exchange) moves() bool {
+// canFetchPrompts reports whether the service's upstreams can fetch prompts from each other.
+func (x *exchange) canFetchPrompts() bool {
 	s := x.doc.Service(x.service)
 	return s != nil && s.Moves
 }
 
-// cameBack is the share of the route's time below which a request has come back
+// cameBackShare is the share of the route's time below which a request has come back
 // after a refusal: a first attempt has all of it.
-const cameBack = 0.95
+const cameBackShare = 0.95
 
 // admission is what the fleet looks at to decide whether the request would come late.
 func (x *exchange) admission() balance.Admission {
-	x.again = float64(x.left()) < cameBack*float64(x.route.Timeout)
-	return balance.Admission{Target: x.route.Target, Again: x.again}
+	x.cameBack = float64(x.timeLeft()) < cameBackShare*float64(x.route.Timeout)
+	return balance.Admission{Target: x.route.Target, Again: x.cameBack}
 }
 
 // runOn runs the request on the upstream that was chosen.
@@ -134,55 +134,55 @@
 
 // send sends the request for a run. With runAnswered, either the whole body has been read
 // or the stream's first events are pending.
-func (x *exchange) send(n run) (runState, []byte) {
-	x.tried = append(x.tried, x.upstream.Incarnation())
+func (x *exchange) send(n runParams) (runState, []byte) {
+	x.triedInstances = append(x.triedInstances, x.upstream.Incarnation())
 	state, a, err := x.attempt(x.relay.outgoing(x.request, n))
-	if errors.Is(err, errTakesNone) {
-		x.tried = x.tried[:len(x.tried)-1] // it may wait for it
+	if errors.Is(err, errNotAccepting) {
+		x.triedInstances = x.triedInstances[:len(x.triedInstances)-1] // it may wait for it
 	}
 	if state != runUnsent {
-		x.sent++
+		x.runsSent++
 	}
 	var body []byte
 	if state == runAnswered {
 		state, body, err = x.accept(a)
 	}
 	if state != runAnswered {
-		x.failed(state, err)
+		x.recordFailure(state, err)
 	}
 	return state, body
 }
 
 // nextRun is what the coming run has of its own; fetch is from where its upstream may
 // fetch the prompt.
-func (x *exchange) nextRun(fetch string) run {
-	n := run{
+func (x *exchange) nextRun(fetch string) runParams {
+	n := runParams{
 		upstream: x.upstream,
-		timeLeft: x.left(),
+		timeLeft: x.timeLeft(),
 		urgency:  x.urgency,
 		customer: x.customer,
 		fetch:    fetch,
-		lastSeen: x.request.lastSeen,
+		lastSeen: x.request.lastEventID,
 	}
-	if x.events != nil && x.events.seen {
-		n.lastSeen = formatID(x.events.last)
+	if x.events != nil && x.events.hasEvents {
+		n.lastSeen = formatID(x.events.lastID)
 	}
 	return n
 }
 
-// mayRunAgain decides whether the request may go to another upstream after a run
+// mayRetry decides whether the request may go to another upstream after a run
 // that came as far as state.
-func (x *exchange) mayRunAgain(state runState) bool {
-	if x.ctx.Err() != nil || x.left() < shortest || x.withheldFor() > 0 {
+func (x *exchange) mayRetry(state runState) bool {
+	if x.ctx.Err() != nil || x.timeLeft() < minTimeLeft || x.withheldFor() > 0 {
 		return false
 	}
 	if state == runUnsent {
-		return x.unsent < maxUnsent && (x.sent == 0 || x.sent < x.route.MaxAttempts && x.hasRetry())
+		return x.unreachable < maxUnreachable && (x.runsSent == 0 || x.runsSent < x.route.MaxAttempts && x.hasRetry())
 	}
 	if x.events == nil && x.relay.cfg.Off[balance.Repeating] {
 		return false
 	}
-	if x.sent >= x.route.MaxAttempts || state == runUnknown && !x.route.Again() {
+	if x.runsSent >= x.route.MaxAttempts || state == runUnknown && !x.route.Again() {
 		return false
 	}
 	return x.hasRetry()
--- a/relay/said.go
+++ b/relay/said.go
@@ -85,7 +85,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), askWait)
 		defer cancel()
 		fields := Fields{"upstream": u.ID, "born": u.StartedAt}
-		if _, _, err := r.call(ctx, u, u.Service, r.cfg.Protocol.ReportCall()); err != nil {
+		if _, _, err := r.callUpstream(ctx, u, u.Service, r.cfg.Protocol.ReportCall()); err != nil {
 			fields["error"] = err.Error()
 		}
 		r.cfg.Log.Event("upstream", "asked whether it is leaving", fields)
@@ -93,13 +93,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fleet.Proved(u.Incarnation())
-	r.wakeWaiting(u.Service)
+	r.wakeReady(u.Service)
 }
 
 // noteSaid notes what an answer says of its upstream; request is the one it was read for.
-func (r *Relay) noteSaid(a *answer, request string) {
+func (r *Relay) noteSaid(a *response, request string) {
 	life := a.conn.life
-	if _, err := r.whyRefused(&a.header, life.ID); err != nil {
+	if _, err := r.replacedBy(&a.header, life.ID); err != nil {
 		return // another start of it answers there
 	}
 	if r.saysLeaving(&a.header) {
--- a/relay/said_test.go
+++ b/relay/said_test.go
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	u := newStub(t, "u", answerNaming("200 OK", "X-Leaving: 1"))
 	b := newBench(t, u)
-	_, _, err := b.relay.call(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
+	_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 	is.NoErr(err)
 	is.True(b.isLeaving("u"))
 }
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -53,7 +53,7 @@
 // wait is a run's wait for the next bytes of its upstream.
 type wait struct {
 	since time.Time
-	sent  *sending      // the request, where nothing of its answer has come; or nil
+	sent  *requestWrite // the request, where nothing of its answer has come; or nil
 	came  int           // events of the answer that came
 	limit time.Duration // of the silence, before the upstream is asked
 
@@ -63,13 +63,13 @@
 
 // listen notes that the exchange waits for its upstream's next bytes, until heard; sent is
 // the request, where nothing of its answer has come.
-func (x *exchange) listen(sent *sending) {
+func (x *exchange) listen(sent *requestWrite) {
 	if x.relay.cfg.Protocol.ReportCall == nil || x.events == nil && len(x.request.prompt.Parts) == 0 {
 		return
 	}
 	w := &wait{since: time.Now(), sent: sent, limit: max(silentAfter, silentTargets*x.route.Target)}
-	if x.events != nil && x.events.came > 0 {
-		w.came = max(x.events.total, int(x.events.last))
+	if x.events != nil && x.events.bodyEvents > 0 {
+		w.came = max(x.events.total, int(x.events.lastID))
 		w.limit = max(silentAfter, silentGaps*x.route.EventGap)
 	}
 	x.waits.Store(w)
@@ -154,7 +154,7 @@
 	defer r.mu.Unlock()
 	var list []suspect
 	asked := make(map[string]bool)
-	for x, c := range r.runs {
+	for x, c := range r.runConns {
 		w := x.waits.Load()
 		if w == nil || asked[c.life.ID] || !w.due(now) {
 			continue
@@ -192,14 +192,14 @@
 	}
 	r.stats.count("upstreams_asked")
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	a, err := r.roundTrip(c, r.outgoingCall(s.upstream, r.cfg.Protocol.ReportCall()))
+	a, err := r.roundTrip(c, r.buildCall(s.upstream, r.cfg.Protocol.ReportCall()))
 	if err != nil {
 		stop()
 		r.conns.drop(c)
 		return Report{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(a.body, wholeAnswer))
-	r.finish(a, stop() && err == nil)
+	body, err := io.ReadAll(io.LimitReader(a.body, maxBufferedResponse))
+	r.releaseConn(a, stop() && err == nil)
 	if err != nil {
 		return Report{}, err
 	}
@@ -222,7 +222,7 @@
 // connections that rest are dropped as well, so that no other request finds out by itself.
 func (r *Relay) endSilent(s suspect, report Report) {
 	r.mu.Lock()
-	ended := r.runs[s.exchange] == s.conn && s.exchange.waits.CompareAndSwap(s.wait, nil)
+	ended := r.runConns[s.exchange] == s.conn && s.exchange.waits.CompareAndSwap(s.wait, nil)
 	if ended {
 		s.exchange.silent.Store(true)
 		_ = s.conn.Close()
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -229,9 +229,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			x := &exchange{watch: &leaveWatch{}}
-			x.watch.gone.Store(c.gone)
-			is.Equal(x.outcomeOfBreak(c.cause), c.want)
+			x := &exchange{watch: &disconnectWatch{}}
+			x.watch.disconnected.Store(c.gone)
+			is.Equal(x.outcomeOfDisconnect(c.cause), c.want)
 		})
 	}
 }
@@ -259,7 +259,7 @@
 func TestARequestThatGoesOutIsNoSilence(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	w := wait{since: start, sent: &sending{done: make(chan error, 1)}, limit: time.Second}
+	w := wait{since: start, sent: &requestWrite{done: make(chan error, 1)}, limit: time.Second}
 	is.True(!w.due(start.Add(time.Minute)))
 	is.True(!w.missing(start.Add(time.Minute), Report{}))
 	written := start.Add(time.Minute)
@@ -361,7 +361,7 @@
 	x := &exchange{relay: b.relay, request: &request{prompt: Prompt{Parts: []balance.Part{{}}}}, route: &route.Route{}}
 	c := &conn{Conn: near}
 	b.relay.mu.Lock()
-	b.relay.runs[x] = c
+	b.relay.runConns[x] = c
 	b.relay.mu.Unlock()
 	x.listen(nil)
 	s := suspect{exchange: x, conn: c, wait: x.waits.Load()}
@@ -370,6 +370,6 @@
 	is.Equal(b.relay.stats.counted("connections_silent"), uint64(1))
 	is.Equal(len(b.relay.suspects(time.Now().Add(time.Minute))), 0)
 	b.relay.mu.Lock()
-	delete(b.relay.runs, x)
+	delete(b.relay.runConns, x)
 	b.relay.mu.Unlock()
 }
--- a/relay/starting.go
+++ b/relay/starting.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// startHold is the longest that such a request waits: a box that starts among others has the
+	// maxDocumentWait is the longest that such a request waits: a box that starts among others has the
 	// document well within it.
-	startHold = 500 * time.Millisecond
-	// startShare is the part of what its caller waits that it may take of that.
-	startShare = 4
+	maxDocumentWait = 500 * time.Millisecond
+	// documentWaitDivisor is the part of what its caller waits that it may take of that.
+	documentWaitDivisor = 4
 )
 
 // awaitDocument returns the document in force; nil where none comes in time, or the caller, whose
@@ -27,20 +27,20 @@
 	if d := r.belief.document(); d != nil {
 		return d, false
 	}
-	hold := startHold
+	hold := maxDocumentWait
 	if q.timeLeft > 0 {
-		hold = min(hold, q.timeLeft/startShare)
+		hold = min(hold, q.timeLeft/documentWaitDivisor)
 	}
 	r.stats.count("held_starting")
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	gone := make(chan struct{})
-	watch := watchLeave(conn, func() { close(gone) })
+	watch := watchDisconnect(conn, func() { close(gone) })
 	select {
 	case <-r.belief.known:
 	case <-timer.C:
 	case <-gone:
 	}
 	watch.stop()
-	return r.belief.document(), watch.gone.Load()
+	return r.belief.document(), watch.disconnected.Load()
 }
--- a/relay/state.go
+++ b/relay/state.go
@@ -35,9 +35,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out.Retries, out.BudgetLeft = r.retryRows()
-	for _, s := range r.endedUnder.Withheld(r.now()) {
+	for _, s := range r.crashSuspects.Withheld(r.now()) {
 		out.Withheld = append(out.Withheld, &wire.WithheldRow{Content: contentName(s.Content), Ended: uint32(len(s.Ended)),
-			Left: uint64(r.endedUnder.Left(r.now(), s.Content).Microseconds())})
+			Left: uint64(r.crashSuspects.Left(r.now(), s.Content).Microseconds())})
 	}
 	for _, u := range r.fleet.View(r.now()) {
 		out.Upstreams = append(out.Upstreams, &wire.UpstreamRow{Limit: r.limitRow(u.ID),
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// callersLinger is how long a stopping box still accepts connections: two
+	// acceptLinger is how long a stopping box still accepts connections: two
 	// missed readiness checks of a second each, and some room.
-	callersLinger = 2500 * time.Millisecond
+	acceptLinger = 2500 * time.Millisecond
 	// graceMargin is kept of the grace for the process's own end.
 	graceMargin = 500 * time.Millisecond
 )
@@ -27,12 +27,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), r.cfg.Grace-graceMargin)
 	defer cancel()
 	r.members.leave(ctx)
-	sleep(ctx, callersLinger)
+	sleep(ctx, acceptLinger)
 	// The server goes on with its open connections when its shutdown returns.
-	context.AfterFunc(ctx, func() { r.ended.Store(true) })
-	if err := r.front.close(ctx); err != nil {
+	context.AfterFunc(ctx, func() { r.graceOver.Store(true) })
+	if err := r.callerServer.close(ctx); err != nil {
 		r.cfg.Log.Event("box", "stopped with requests under way", Fields{"open": r.stats.open.Load(), "error": err.Error()})
-		r.logCut()
+		r.logRequestsCut()
 	}
 	r.cancel()
 	r.conns.close()
@@ -40,20 +40,20 @@
 	if r.cfg.Control != nil {
 		_ = r.cfg.Control.Close() // it serves nobody any more
 	}
-	for ; r.duties > 0; r.duties-- {
-		<-r.ends
+	for ; r.runningTasks > 0; r.runningTasks-- {
+		<-r.endedTasks
 	}
 	r.cfg.Log.Event("box", "stopped", nil)
 }
 
-// logCut writes a line for each request that still runs at an upstream when the grace is
+// logRequestsCut writes a line for each request that still runs at an upstream when the grace is
 // over: its caller sees it cut, and no other line tells of it, since the process ends first.
-func (r *Relay) logCut() {
+func (r *Relay) logRequestsCut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for x := range r.runs {
+	for x := range r.runConns {
 		f := Fields{"id": x.request.id, "route": x.route.Name, "upstream": x.upstream.ID, "urgency": x.urgency,
-			"held_ms": time.Since(x.arrived).Milliseconds(), "left_ms": x.left().Milliseconds()}
+			"held_ms": time.Since(x.arrived).Milliseconds(), "left_ms": x.timeLeft().Milliseconds()}
 		if x.customer != nil {
 			f["customer"] = x.customer.Name
 		}
--- a/relay/stop_test.go
+++ b/relay/stop_test.go
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	u := newStub(t, "u1", answerOK("ok"))
 	b := newBench(t, u)
-	b.relay.ended.Store(true)
+	b.relay.graceOver.Store(true)
 	a := b.do(b.request("POST", "/once/x", ""))
 	is.Equal(a.status, 503)
 	is.True(strings.Contains(a.body, `"ran":"no"`))
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -22,106 +22,106 @@
 func formatID(id int64) string { return strconv.FormatInt(id, 10) }
 
 // isStream reports whether an answer is a stream of events.
-func (x *exchange) isStream(a *answer) bool {
+func (x *exchange) isStream(a *response) bool {
 	return x.route.Repeat == route.Stream && a.header.StatusCode() == fasthttp.StatusOK &&
 		bytes.HasPrefix(a.header.ContentType(), []byte("text/event-stream"))
 }
 
 // acceptStream waits for the first events of a stream, so that a run that fails
 // before them can still be answered otherwise.
-func (x *exchange) acceptStream(a *answer) (runState, []byte, error) {
-	e := &events{src: a.body, keep: x.keep}
+func (x *exchange) acceptStream(a *response) (runState, []byte, error) {
+	e := &eventReader{src: a.body, reserve: x.keep}
 	if x.events != nil {
 		e = x.events
-		e.from(a.body)
+		e.continueWith(a.body)
 	}
 	x.listen(nil)
 	pending, err := e.next()
 	x.heard()
 	if err != nil && !errors.Is(err, io.EOF) {
-		x.release()
+		x.detachConn()
 		x.relay.conns.drop(a.conn)
 		return runUnknown, nil, err
 	}
-	if x.first == 0 {
-		x.first = time.Since(x.arrived)
+	if x.firstEventsAfter == 0 {
+		x.firstEventsAfter = time.Since(x.arrived)
 	}
-	x.pace.events(time.Now(), x.route.EventGap)
+	x.pace.observe(time.Now(), x.route.EventGap)
 	x.relay.mu.Lock()
 	x.ticket.First(x.relay.now())
-	x.relay.wakeWaiting(x.service)
+	x.relay.wakeReady(x.service)
 	x.relay.mu.Unlock()
 	wake(x.relay.members.loaded)
-	x.begun.Store(true)
-	x.answer, x.events, x.pending = a, e, pending
+	x.eventsBegan.Store(true)
+	x.response, x.events, x.pendingEvents = a, e, pending
 	return runAnswered, nil, nil
 }
 
 // Read gives the caller's side what comes next of the stream.
 func (x *exchange) Read(p []byte) (int, error) {
-	for len(x.pending) == 0 {
+	for len(x.pendingEvents) == 0 {
 		x.listen(nil)
 		pending, err := x.events.next()
 		x.heard()
-		x.pending = pending
+		x.pendingEvents = pending
 		if len(pending) > 0 {
-			x.pace.events(time.Now(), x.route.EventGap)
-			x.lookAtAnswer()
+			x.pace.observe(time.Now(), x.route.EventGap)
+			x.checkProgress()
 		}
 		if errors.Is(err, io.EOF) {
 			x.endRun(true, balance.Answered)
 			x.outcome = "answered"
 			return 0, io.EOF
 		}
-		if err != nil && !x.goOnMoved() && !x.goOn(err) {
+		if err != nil && !x.resumeMoved() && !x.resume(err) {
 			return 0, err
 		}
 	}
-	n := copy(p, x.pending)
-	x.pending = x.pending[n:]
+	n := copy(p, x.pendingEvents)
+	x.pendingEvents = x.pendingEvents[n:]
 	return n, nil
 }
 
 // endRun gives the connection of the current run back.
 func (x *exchange) endRun(whole bool, o balance.Outcome) {
-	if x.answer == nil || x.answer.conn == nil {
+	if x.response == nil || x.response.conn == nil {
 		return
 	}
-	if !x.release() {
+	if !x.detachConn() {
 		whole = false // ctx has closed it
 	}
-	x.relay.finish(x.answer, whole)
-	x.answer.conn = nil
-	x.measure(o == balance.Answered)
-	x.settle(o)
+	x.relay.releaseConn(x.response, whole)
+	x.response.conn = nil
+	x.reportPace(o == balance.Answered)
+	x.closeTicket(o)
 }
 
-// outcomeOfBreak says what a stream that broke off tells about its upstream: nothing where
+// outcomeOfDisconnect says what a stream that broke off tells about its upstream: nothing where
 // its caller left, this box was short of memory, or the connection fell silent.
-func (x *exchange) outcomeOfBreak(cause error) balance.Outcome {
-	if x.watch.gone.Load() || errors.Is(cause, errShort) || errors.Is(cause, errSilent) {
+func (x *exchange) outcomeOfDisconnect(cause error) balance.Outcome {
+	if x.watch.disconnected.Load() || errors.Is(cause, errShort) || errors.Is(cause, errSilent) {
 		return balance.Neutral
 	}
-	if isBreak(cause) {
+	if isConnectionLost(cause) {
 		return balance.Broken
 	}
 	return balance.Failed
 }
 
-// goOn takes a stream up at another upstream after its run broke off.
-func (x *exchange) goOn(cause error) bool {
-	head := x.answer
+// resume takes a stream up at another upstream after its run broke off.
+func (x *exchange) resume(cause error) bool {
+	head := x.response
 	if x.silent.Load() {
 		cause = errSilent
 	}
-	x.endRun(false, x.outcomeOfBreak(cause))
-	x.failed(runUnknown, cause)
-	for x.route.Resumable && x.events.seen && !x.relay.cfg.Off[balance.Resuming] && x.mayRunAgain(runUnknown) {
+	x.endRun(false, x.outcomeOfDisconnect(cause))
+	x.recordFailure(runUnknown, cause)
+	for x.route.Resumable && x.events.hasEvents && !x.relay.cfg.Off[balance.Resuming] && x.mayRetry(runUnknown) {
 		choice, ok := x.place()
 		if !ok {
 			return false
 		}
-		if state, _ := x.runOn(choice); state == runAnswered && x.answer != head {
+		if state, _ := x.runOn(choice); state == runAnswered && x.response != head {
 			x.relay.stats.count("streams_resumed")
 			return true
 		}
@@ -133,28 +133,28 @@
 func (x *exchange) Close() error {
 	if x.outcome == "" {
 		x.outcome = "broken off"
-		if x.watch.gone.Load() {
+		if x.watch.disconnected.Load() {
 			x.outcome = callerLeft
 		}
-		if x.caller != nil && x.caller.cut.Load() {
+		if x.caller != nil && x.caller.aborted.Load() {
 			x.outcome = "caller does not read"
 		}
 	}
 	x.endRun(false, balance.Neutral)
 	if x.move != nil {
-		x.relay.closeAside(x.move)
-		x.relay.giveUpCopy(x.move, x.request.id, x.service)
+		x.relay.closeReservation(x.move)
+		x.relay.freeCopy(x.move, x.request.id, x.service)
 	}
 	x.close()
 	return nil
 }
 
-// measure tells the fleet how fast the events of the current run came.
-func (x *exchange) measure(whole bool) {
+// reportPace tells the fleet how fast the events of the current run came.
+func (x *exchange) reportPace(whole bool) {
 	if x.events == nil || x.ticket == nil {
 		return
 	}
 	x.relay.mu.Lock()
 	defer x.relay.mu.Unlock()
-	x.ticket.Events(x.relay.now(), x.events.came, x.events.total, whole)
+	x.ticket.Events(x.relay.now(), x.events.bodyEvents, x.events.total, whole)
 }
--- a/relay/suspended.go
+++ b/relay/suspended.go
@@ -11,58 +11,60 @@
 	"time"
 )
 
-// sleptFrom is the least time by which the two clocks must have come apart for the machine to
+// minSuspension is the least time by which the two clocks must have come apart for the machine to
 // have been suspended; what is less may lie between two readings.
-const sleptFrom = 100 * time.Millisecond
+const minSuspension = 100 * time.Millisecond
 
 // now is the time since the start, what the machine was suspended for included as far as it has
 // been noticed.
-func (r *Relay) now() time.Duration { return time.Since(r.start) + time.Duration(r.slept.Load()) }
+func (r *Relay) now() time.Duration {
+	return time.Since(r.startedAt) + time.Duration(r.suspendedFor.Load())
+}
 
-// noticeBefore notices a suspension before a request that has just come is taken in: it was not under way
+// detectSuspensionBefore notices a suspension before a request that has just come is taken in: it was not under way
 // then, and is to keep its time. The boot clock is only asked where the time of day has moved against the steady
 // clock, since that is a system call.
-func (r *Relay) noticeBefore(now time.Time) {
-	started := now.UnixNano() - int64(now.Sub(r.start)) // the time of day at the start, as it seems by now
-	if moved := time.Duration(started - r.startWall.Load()); moved.Abs() < sleptFrom {
+func (r *Relay) detectSuspensionBefore(now time.Time) {
+	started := now.UnixNano() - int64(now.Sub(r.startedAt)) // the time of day at the start, as it seems by now
+	if moved := time.Duration(started - r.startWall.Load()); moved.Abs() < minSuspension {
 		return
 	}
 	r.startWall.Store(started)
-	r.noticeSleep()
+	r.detectSuspension()
 }
 
-// noticeSleep notices that the machine was suspended since it was last called, which the members' duty
+// detectSuspension notices that the machine was suspended since it was last called, which the members' duty
 // does before it takes anything in.
-func (r *Relay) noticeSleep() {
+func (r *Relay) detectSuspension() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	boot := r.cfg.Clock.Boot() // the earlier of the two: a pause between them is no suspension
-	slept := boot - r.startBoot - time.Since(r.start)
-	before := time.Duration(r.slept.Load())
-	if slept-before < sleptFrom {
+	slept := boot - r.startBoot - time.Since(r.startedAt)
+	before := time.Duration(r.suspendedFor.Load())
+	if slept-before < minSuspension {
 		return
 	}
-	r.slept.Store(int64(slept))
+	r.suspendedFor.Store(int64(slept))
 	r.cfg.Log.Event("box", "was suspended", Fields{"for_ms": (slept - before).Milliseconds(), "open": r.stats.open.Load()})
-	for x := range r.runs {
-		x.endInTime()
+	for x := range r.runConns {
+		x.cancelAtDeadline()
 	}
 }
 
-// left is how long the request may still take.
-func (x *exchange) left() time.Duration {
-	return time.Until(x.end) - time.Duration(x.relay.slept.Load()-x.sleptBefore)
+// timeLeft is how long the request may still take.
+func (x *exchange) timeLeft() time.Duration {
+	return time.Until(x.deadline) - time.Duration(x.relay.suspendedFor.Load()-x.suspendedBefore)
 }
 
-// endInTime ends the request when its time is over, where the machine was suspended since it came: its
+// cancelAtDeadline ends the request when its time is over, where the machine was suspended since it came: its
 // context goes by the steady clock.
-func (x *exchange) endInTime() {
-	if x.relay.slept.Load() > x.sleptBefore {
-		time.AfterFunc(max(x.left(), 0), x.cancel)
+func (x *exchange) cancelAtDeadline() {
+	if x.relay.suspendedFor.Load() > x.suspendedBefore {
+		time.AfterFunc(max(x.timeLeft(), 0), x.cancel)
 	}
 }
 
-// outOfTime reports whether the request was ended since its time is over.
-func (x *exchange) outOfTime() bool {
-	return errors.Is(x.ctx.Err(), context.DeadlineExceeded) || x.ctx.Err() != nil && x.left() <= 0
+// deadlinePassed reports whether the request was ended since its time is over.
+func (x *exchange) deadlinePassed() bool {
+	return errors.Is(x.ctx.Err(), context.DeadlineExceeded) || x.ctx.Err() != nil && x.timeLeft() <= 0
 }
--- a/relay/suspended_test.go
+++ b/relay/suspended_test.go
@@ -104,8 +104,8 @@
 	b := newBenchWith(t, func(c *Config) { c.Clock = clock }, newStub(t, "u", answerOK("well")))
 	clock.suspend(time.Hour)
 	b.relay.startWall.Add(-int64(time.Hour)) // the time of day has gone on
-	x, no := b.relay.admit(&request{method: http.MethodGet, host: "h.example", uri: "/safe/x", key: "secret", timeLeft: time.Minute}, nil)
+	x, no := b.relay.admit(&request{method: http.MethodGet, host: "h.example", uri: "/safe/x", customerKey: "secret", timeLeft: time.Minute}, nil)
 	is.Equal(no, nil)
-	is.True(x.left() > 0)
+	is.True(x.timeLeft() > 0)
 	is.True(b.relay.now() >= time.Hour)
 }
--- a/relay/trial.go
+++ b/relay/trial.go
@@ -27,7 +27,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.trials:
+		case <-r.trialNeeded:
 		}
 		for list := r.unreached(); len(list) > 0 && ctx.Err() == nil; list = r.unreached() {
 			for range min(trialsAtOnce, len(list)) {
@@ -86,7 +86,7 @@
 func (r *Relay) moveRuns(l balance.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for x, c := range r.runs {
+	for x, c := range r.runConns {
 		if c.life == l && x.route.Again() {
 			_ = c.Close()
 		}
@@ -96,7 +96,7 @@
 // tryLater wakes the duty.
 func (r *Relay) tryLater() {
 	select {
-	case r.trials <- struct{}{}:
+	case r.trialNeeded <- struct{}{}:
 	default:
 	}
 }
--- a/relay/unread.go
+++ b/relay/unread.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// unreadWait is how long a caller may take no byte of an answer that waits for it.
+	// writeStallTimeout is how long a caller may take no byte of an answer that waits for it.
 	// Callers give a stream up after a gap of 2 s at the least, and upstreams cut off
 	// what is left unread for some seconds.
-	unreadWait = 2 * time.Second
-	// unreadLook is how often it is looked whether the caller has taken something.
-	unreadLook = 250 * time.Millisecond
-	// lateWait is how long after a request's end its caller may still be taking the
+	writeStallTimeout = 2 * time.Second
+	// writeCheckInterval is how often it is looked whether the caller has taken something.
+	writeCheckInterval = 250 * time.Millisecond
+	// lateAnswerTimeout is how long after a request's end its caller may still be taking the
 	// answer, however slowly.
-	lateWait = 10 * time.Second
+	lateAnswerTimeout = 10 * time.Second
 )
 
-// errUnread says that a caller takes nothing of its answer.
-var errUnread = &Error{Op: "answer", Kind: KindUnread}
+// errNotReading says that a caller takes nothing of its answer.
+var errNotReading = &Error{Op: "answer", Kind: KindNotReading}
 
 // Write implements net.Conn.
-func (c *caller) Write(p []byte) (int, error) {
-	sent, err := c.writeNow(p)
+func (c *callerConn) Write(p []byte) (int, error) {
+	sent, err := c.writeNonblocking(p)
 	if err != nil || sent == len(p) {
 		return sent, err
 	}
-	n, err := c.writeSlowly(p[sent:])
+	n, err := c.writeWhileTaken(p[sent:])
 	return sent + n, err
 }
 
-// writeNow writes what the kernel takes at once. It asks the kernel itself: the poller
+// writeNonblocking writes what the kernel takes at once. It asks the kernel itself: the poller
 // tells of room only when a third of the buffer is free.
-func (c *caller) writeNow(p []byte) (n int, err error) {
+func (c *callerConn) writeNonblocking(p []byte) (n int, err error) {
 	if c.raw == nil {
 		return 0, nil
 	}
@@ -55,9 +55,9 @@
 	return max(n, 0), err
 }
 
-// writeSlowly writes to a caller that does not take all at once, for as long as it
+// writeWhileTaken writes to a caller that does not take all at once, for as long as it
 // takes something.
-func (c *caller) writeSlowly(p []byte) (int, error) {
+func (c *callerConn) writeWhileTaken(p []byte) (int, error) {
 	held := c.lease.Held()
 	if !c.lease.Grow(unreadBytes, wholeShare) {
 		return 0, c.cutOff(len(p), shortReason)
@@ -75,17 +75,17 @@
 		switch {
 		case sent == len(p) || err != nil:
 			return sent, err
-		case now.Sub(taken) >= unreadWait:
+		case now.Sub(taken) >= writeStallTimeout:
 			return sent, c.cutOff(len(p)-sent, "takes nothing")
-		case !c.until.IsZero() && now.After(c.until):
+		case !c.answerDeadline.IsZero() && now.After(c.answerDeadline):
 			return sent, c.cutOff(len(p)-sent, "too slow")
 		}
 	}
 }
 
 // writeOnce writes for a short while; running out of it is no error.
-func (c *caller) writeOnce(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(unreadLook)); err != nil {
+func (c *callerConn) writeOnce(p []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(writeCheckInterval)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
@@ -96,20 +96,20 @@
 	if err := c.SetWriteDeadline(time.Time{}); err != nil {
 		return n, err
 	}
-	more, err := c.writeNow(p[n:])
+	more, err := c.writeNonblocking(p[n:])
 	return n + more, err
 }
 
 // cutOff ends the connection of a caller that does not read. The close resets it: what
 // waits in the kernel would stay there otherwise.
-func (c *caller) cutOff(left int, reason string) error {
-	c.cut.Store(true)
+func (c *callerConn) cutOff(left int, reason string) error {
+	c.aborted.Store(true)
 	if l, ok := c.Conn.(interface{ SetLinger(int) error }); ok {
 		_ = l.SetLinger(0)
 	}
 	r := c.relay
 	r.stats.count(callersCutOff)
-	r.cfg.Log.Event("caller", "cut off", Fields{"id": c.request, "reason": reason, "unsent_bytes": left,
+	r.cfg.Log.Event("caller", "cut off", Fields{"id": c.requestID, "reason": reason, "unsent_bytes": left,
 		"memory_used": r.account.Used(), "memory_bound": r.account.Bound()})
-	return errUnread
+	return errNotReading
 }
--- a/relay/waiting.go
+++ b/relay/waiting.go
@@ -15,18 +15,18 @@
 const (
 	// pauseReason is why a request is refused where all upstreams that are left ask for a pause.
 	pauseReason = "upstreams ask for a pause"
-	// longestComeBack bounds when a caller shall come back after a pause.
-	longestComeBack = time.Minute
-	// comeBackSpread is the part by which the times differ that callers are told who are refused for the same cause.
-	comeBackSpread = 0.25
+	// maxPauseRetryAfter bounds when a caller shall come back after a pause.
+	maxPauseRetryAfter = time.Minute
+	// retryAfterJitter is the part by which the times differ that callers are told who are refused for the same cause.
+	retryAfterJitter = 0.25
 )
 
 // requestsWaited counts the requests that waited for the end of a pause.
 const requestsWaited = "requests_waited_for_pauses"
 
-// spread lengthens the time after which a caller shall come back, differently for each.
-func spread(d time.Duration) time.Duration {
-	return d + time.Duration(rand.Float64()*comeBackSpread*float64(d))
+// addJitter lengthens the time after which a caller shall come back, differently for each.
+func addJitter(d time.Duration) time.Duration {
+	return d + time.Duration(rand.Float64()*retryAfterJitter*float64(d))
 }
 
 // waiter is a request that waits.
@@ -36,15 +36,15 @@
 	woken    chan struct{} // closed when it is to be placed, or given up
 }
 
-// waiting is the requests of a service that wait. The relay's mu guards it.
-type waiting struct {
+// pauseQueue is the requests of a service that wait. The relay's mu guards it.
+type pauseQueue struct {
 	list  []*waiter // in the order in which they get places
 	timer *time.Timer
 	due   time.Duration // when the timer wakes the first
 }
 
-// order sorts waiters.
-func order(a, b *waiter) int {
+// compareWaiters sorts waiters.
+func compareWaiters(a, b *waiter) int {
 	return cmp.Or(cmp.Compare(a.placed.Urgency, b.placed.Urgency), a.exchange.arrived.Compare(b.exchange.arrived))
 }
 
@@ -57,51 +57,51 @@
 // canWait reports whether the request can still be served after a pause that lasts so long. On a box that is stopping none waits: its
 // grace may be over first.
 func (x *exchange) canWait(left time.Duration) bool {
-	return left > 0 && left+shortest <= x.left() && !x.relay.stopping.Load()
+	return left > 0 && left+minTimeLeft <= x.timeLeft() && !x.relay.stopping.Load()
 }
 
-// await waits until the request may be placed after a pause. False: it need not, or cannot in its time. One that was sent before is
+// awaitPauseEnd waits until the request may be placed after a pause. False: it need not, or cannot in its time. One that was sent before is
 // not sent again to an upstream that turned it away: its caller is told when to come back.
-func (x *exchange) await() bool {
+func (x *exchange) awaitPauseEnd() bool {
 	r := x.relay
-	if x.sent > 0 || !x.canWait(x.paused) {
+	if x.runsSent > 0 || !x.canWait(x.pausedFor) {
 		return false
 	}
 	began := time.Now()
 	w := &waiter{exchange: x, placed: x.placement(), woken: make(chan struct{})}
 	r.mu.Lock()
-	r.queue(w, r.now()+x.paused)
+	r.enqueue(w, r.now()+x.pausedFor)
 	r.mu.Unlock()
 	r.stats.count(requestsWaited)
 	select {
 	case <-w.woken:
 	case <-x.ctx.Done():
 		r.mu.Lock()
-		r.unqueue(w)
+		r.dequeue(w)
 		r.mu.Unlock()
 	}
-	x.waited += time.Since(began)
+	x.pauseWaited += time.Since(began)
 	return true
 }
 
-// queue adds a waiter, who is woken at a moment at the latest. The caller holds the relay's mu.
-func (r *Relay) queue(w *waiter, due time.Duration) {
+// enqueue adds a waiter, who is woken at a moment at the latest. The caller holds the relay's mu.
+func (r *Relay) enqueue(w *waiter, due time.Duration) {
 	service := w.placed.Service
-	q := r.waiting[service]
+	q := r.pauseQueues[service]
 	if q == nil {
-		q = &waiting{}
-		r.waiting[service] = q
+		q = &pauseQueue{}
+		r.pauseQueues[service] = q
 	}
-	at, _ := slices.BinarySearchFunc(q.list, w, order)
+	at, _ := slices.BinarySearchFunc(q.list, w, compareWaiters)
 	q.list = slices.Insert(q.list, at, w)
 	r.fleet.Wait(w.placed)
-	r.wakeAt(service, q, due)
+	r.scheduleWake(service, q, due)
 }
 
-// unqueue takes a waiter out, if it is still there. The caller holds the relay's mu.
-func (r *Relay) unqueue(w *waiter) {
+// dequeue takes a waiter out, if it is still there. The caller holds the relay's mu.
+func (r *Relay) dequeue(w *waiter) {
 	service := w.placed.Service
-	q := r.waiting[service]
+	q := r.pauseQueues[service]
 	if q == nil {
 		return
 	}
@@ -113,12 +113,12 @@
 	r.fleet.EndWait(w.placed)
 	if len(q.list) == 0 {
 		q.timer.Stop()
-		delete(r.waiting, service)
+		delete(r.pauseQueues, service)
 	}
 }
 
-// wakeAt has waiters of a service woken at a moment, unless they are before. The caller holds the relay's mu.
-func (r *Relay) wakeAt(service string, q *waiting, due time.Duration) {
+// scheduleWake has waiters of a service woken at a moment, unless they are before. The caller holds the relay's mu.
+func (r *Relay) scheduleWake(service string, q *pauseQueue, due time.Duration) {
 	if q.timer != nil && q.due <= due && q.due > r.now() {
 		return
 	}
@@ -129,32 +129,32 @@
 	q.timer = time.AfterFunc(max(0, due-r.now()), func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.wakeWaiting(service)
+		r.wakeReady(service)
 	})
 }
 
-// wakeWaiting wakes as many of the requests that wait as there may be places for, and those that cannot be served in their time any
+// wakeReady wakes as many of the requests that wait as there may be places for, and those that cannot be served in their time any
 // more. The caller holds the relay's mu.
-func (r *Relay) wakeWaiting(service string) {
-	q := r.waiting[service]
+func (r *Relay) wakeReady(service string) {
+	q := r.pauseQueues[service]
 	if q == nil {
 		return
 	}
 	now := r.now()
 	for range min(r.fleet.Room(now, service), len(q.list)) {
-		r.wake(q.list[0])
+		r.wakeWaiter(q.list[0])
 	}
-	if r.waiting[service] == nil {
+	if r.pauseQueues[service] == nil {
 		return
 	}
 	left := q.list[0].exchange.pauseLeft(nil)
 	for _, w := range slices.Clone(q.list) {
 		if !w.exchange.canWait(left) {
-			r.wake(w)
+			r.wakeWaiter(w)
 		}
 	}
-	if r.waiting[service] != nil {
-		r.wakeAt(service, q, now+left)
+	if r.pauseQueues[service] != nil {
+		r.scheduleWake(service, q, now+left)
 	}
 }
 
@@ -162,15 +162,15 @@
 func (r *Relay) wakeAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, q := range r.waiting {
+	for _, q := range r.pauseQueues {
 		for _, w := range slices.Clone(q.list) {
-			r.wake(w)
+			r.wakeWaiter(w)
 		}
 	}
 }
 
-// wake wakes a waiter. The caller holds the relay's mu.
-func (r *Relay) wake(w *waiter) {
-	r.unqueue(w)
+// wakeWaiter wakes a waiter. The caller holds the relay's mu.
+func (r *Relay) wakeWaiter(w *waiter) {
+	r.dequeue(w)
 	close(w.woken)
 }
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -35,10 +35,10 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.endedUnder.Any() || r.cfg.Off[balance.Withholding] {
+	if !r.crashSuspects.Any() || r.cfg.Off[balance.Withholding] {
 		return 0
 	}
-	return r.endedUnder.Left(r.now(), x.contentOf())
+	return r.crashSuspects.Left(r.now(), x.contentOf())
 }
 
 // distrusts reports whether the request goes on new connections only: a run of it was cut off, here or
@@ -48,7 +48,7 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return x.cutOff > 0 || r.endedUnder.Any() && r.endedUnder.Suspected(x.contentOf())
+	return x.runsCut > 0 || r.crashSuspects.Any() && r.crashSuspects.Suspected(x.contentOf())
 }
 
 // noteCutOff notes that the upstream closed or reset the connection under the run, and finds out
@@ -61,8 +61,8 @@
 	}
 	content, u := x.contentOf(), x.upstream
 	r.mu.Lock()
-	withheld := r.endedUnder.CutOff(r.now(), content, u.Incarnation())
-	suspected := r.endedUnder.Suspected(content)
+	withheld := r.crashSuspects.CutOff(r.now(), content, u.Incarnation())
+	suspected := r.crashSuspects.Suspected(content)
 	r.mu.Unlock()
 	if withheld {
 		r.holdBack([]uint64{content}, "seen here")
@@ -79,11 +79,11 @@
 	life := u.Incarnation()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if found := r.finding[life]; found != nil {
+	if found := r.endChecks[life]; found != nil {
 		return found
 	}
 	found := make(chan struct{})
-	r.finding[life] = found
+	r.endChecks[life] = found
 	go func() {
 		c, err := dial(context.Background(), u.Address)
 		if err == nil {
@@ -94,7 +94,7 @@
 			wake(r.members.loaded) // others are to be told at once
 		}
 		r.mu.Lock()
-		delete(r.finding, life)
+		delete(r.endChecks, life)
 		r.mu.Unlock()
 		close(found)
 	}()
@@ -117,7 +117,7 @@
 		return
 	}
 	r.mu.Lock()
-	withheld, isNew := r.endedUnder.Ended(r.now(), life)
+	withheld, isNew := r.crashSuspects.Ended(r.now(), life)
 	r.mu.Unlock()
 	if !isNew {
 		return
@@ -132,11 +132,11 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.endedUnder.Any() {
+	if !r.crashSuspects.Any() {
 		return
 	}
-	r.endedUnder.Answered(r.now(), x.contentOf())
-	r.endedUnder.Alive(x.upstream.Incarnation(), x.ticket.Opened())
+	r.crashSuspects.Answered(r.now(), x.contentOf())
+	r.crashSuspects.Alive(x.upstream.Incarnation(), x.ticket.Opened())
 }
 
 // holdBack writes the lines about contents that are withheld from now on, and ends the runs of them that
@@ -145,10 +145,10 @@
 	for _, content := range contents {
 		r.mu.Lock()
 		now := r.now()
-		count, left := r.endedUnder.Count(content), r.endedUnder.Left(now, content)
-		for x, c := range r.runs {
-			if !x.begun.Load() && x.contentOf() == content {
-				x.held.Store(true)
+		count, left := r.crashSuspects.Count(content), r.crashSuspects.Left(now, content)
+		for x, c := range r.runConns {
+			if !x.eventsBegan.Load() && x.contentOf() == content {
+				x.withheldRun.Store(true)
 				_ = c.Close()
 			}
 		}
@@ -167,10 +167,10 @@
 	}
 	now := r.now()
 	r.mu.Lock()
-	withheld := r.endedUnder.Take(now, heard)
-	if news := r.endedUnder.News(now); len(news) > 0 {
+	withheld := r.crashSuspects.Take(now, heard)
+	if news := r.crashSuspects.News(now); len(news) > 0 {
 		m.node.TellSuspects(news)
-		m.node.SetWithheld(r.endedUnder.Withheld(now))
+		m.node.SetWithheld(r.crashSuspects.Withheld(now))
 	}
 	r.mu.Unlock()
 	m.node.FlushSuspects(now)
