--- a/balance/health.go
+++ b/balance/health.go
@@ -14,10 +14,10 @@
 	Full                      // the upstream said that it has no room
 	Failed                    // an error, a broken connection, or no answer
 	Unreachable               // no connection came up, or it went silent
-	Ended                     // another start of the upstream has its address now
+	Replaced                  // another start of the upstream has its address now
 	Neutral                   // ended for reasons that say nothing about the upstream
 	ConnectionRefused         // nobody listens at its address
-	Broken                    // the connection was reset or closed under a run
+	ConnectionLost            // the connection was reset or closed under a run
 )
 
 const (
@@ -49,7 +49,7 @@
 	case Answered:
 		h.failing *= failShare
 		h.inRow = 0
-	case Failed, Broken:
+	case Failed, ConnectionLost:
 		h.failing = h.failing*failShare + (1 - failShare)
 		h.inRow++
 		if h.inRow > 1 {
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -91,10 +91,10 @@
 	is.Equal(m.coldTill, longAgo)
 	is.Equal(f.Loads(), map[LoadKey]Load{})
 	f.NoteKept(time.Second, news) // a box that does not know the new life yet
-	f.NoteOthers(map[LoadKey]Load{{old.key, 0}: {Open: 3}})
+	f.UpdateRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Open: 3}})
 	is.True(!f.kept.holds(time.Second, PartKey(7), m))
 	is.Equal(m.underWay(), Load{})
-	for i, outcome := range []Outcome{Unreachable, Ended, ConnectionRefused, Broken} {
+	for i, outcome := range []Outcome{Unreachable, Replaced, ConnectionRefused, ConnectionLost} {
 		open[i].Close(time.Second, outcome)
 	}
 	is.True(!m.out && !m.Leaving && !m.doubted)
@@ -132,7 +132,7 @@
 	is := is.New(t)
 	f := knowing(3)
 	f.Put(0, entryOf("u", 100, 1))
-	f.Open(0, "u", prompt(7)).Close(0, Ended)
+	f.Open(0, "u", prompt(7)).Close(0, Replaced)
 	is.True(f.Get("u").Leaving)
 	f.Remove("u") // its entry lapses with the store
 	f.Put(time.Minute, entryOf("u", 100, 5))
@@ -175,9 +175,9 @@
 		gap      time.Duration
 		keeps    bool
 	}{
-		{"all connections at once", []Outcome{Broken, Broken, Broken, Broken}, 20 * time.Millisecond, false},
-		{"all, one after the other", []Outcome{Broken, Broken, Broken, Broken}, time.Second, true},
-		{"some", []Outcome{Broken, Broken, Broken}, 20 * time.Millisecond, true},
+		{"all connections at once", []Outcome{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, 20 * time.Millisecond, false},
+		{"all, one after the other", []Outcome{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, time.Second, true},
+		{"some", []Outcome{ConnectionLost, ConnectionLost, ConnectionLost}, 20 * time.Millisecond, true},
 		{"failures of another kind", []Outcome{Failed, Failed, Failed, Failed}, 0, true},
 		{"nobody listens", []Outcome{ConnectionRefused}, 0, false},
 		{"no connection comes up", []Outcome{Unreachable}, 0, true},
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -123,7 +123,7 @@
 	if t.read {
 		t.fleet.serviceOf(t.request.Service).holding.end(now)
 	}
-	if !t.read && (outcome == Full || outcome == Unreachable || outcome == ConnectionRefused || outcome == Ended) {
+	if !t.read && (outcome == Full || outcome == Unreachable || outcome == ConnectionRefused || outcome == Replaced) {
 		t.fleet.unsent(t.member, t.request) // it keeps nothing of the prompt
 	}
 	if t.free && outcome == Answered && len(t.request.Parts) == 0 {
@@ -135,9 +135,9 @@
 	case ConnectionRefused:
 		t.fleet.unreached(now, t.member)
 		t.fleet.doubt(now, t.member)
-	case Broken:
+	case ConnectionLost:
 		t.fleet.broke(now, t.member)
-	case Ended:
+	case Replaced:
 		t.fleet.ended(t.member)
 	case Answered, Full:
 		t.fleet.reached(now, t.member)
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -100,14 +100,14 @@
 		x.mayHaveRun = true
 	}
 	x.closeTicket(outcome)
-	if isConnectFailure(outcome) && errors.Is(err, syscall.ECONNREFUSED) || outcome == balance.Ended {
+	if isConnectFailure(outcome) && errors.Is(err, syscall.ECONNREFUSED) || outcome == balance.Replaced {
 		x.relay.noteEnd(x.upstream.Incarnation())
 	}
-	if outcome == balance.Ended {
+	if outcome == balance.Replaced {
 		x.relay.takeName(x.upstream.Incarnation(), x.replacement)
 	}
 	x.dropUnreached(outcome)
-	if outcome == balance.Broken {
+	if outcome == balance.ConnectionLost {
 		x.runsCut++
 		x.noteCutOff()
 	}
@@ -121,7 +121,7 @@
 	if x.relay.isOver(x.upstream) {
 		return
 	}
-	if isConnectFailure(outcome) || outcome == balance.Ended {
+	if isConnectFailure(outcome) || outcome == balance.Replaced {
 		x.relay.conns.forget(x.upstream.ID)
 	}
 	if isConnectFailure(outcome) {
@@ -145,11 +145,11 @@
 	case state == runUnsent, errors.Is(err, syscall.ETIMEDOUT):
 		return balance.Unreachable
 	case errors.Is(err, errReplaced):
-		return balance.Ended
+		return balance.Replaced
 	case state == runRefused:
 		return balance.Full
 	case isConnectionLost(err):
-		return balance.Broken
+		return balance.ConnectionLost
 	}
 	return balance.Failed
 }
@@ -171,7 +171,7 @@
 	if err != nil {
 		fields["error"] = err.Error()
 	}
-	if outcome == balance.Broken {
+	if outcome == balance.ConnectionLost {
 		fields["content"] = contentName(x.contentOf())
 	}
 	r.cfg.Log.Event("run", "failed", fields)
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -103,7 +103,7 @@
 		return balance.Neutral
 	}
 	if isConnectionLost(cause) {
-		return balance.Broken
+		return balance.ConnectionLost
 	}
 	return balance.Failed
 }
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -17,13 +17,13 @@
 	m.relay.fleet.Told(m.relay.now(), time.Duration(m.relay.belief.confirmed.Load()))
 	m.relay.fleet.SetBoxes(m.node.BoxCount(), m.node.KnowsOtherLoads(m.relay.now()))
 	m.node.SetLoads(m.relay.fleet.Loads())
-	if m.relay.fleet.WantsOthers() { // else changes have brought the fleet up to date
+	if m.relay.fleet.NeedsRemoteLoads() { // else changes have brought the fleet up to date
 		m.relay.fleet.SetOthers(m.node.OtherLoads())
 	}
 	m.node.SetClasses(m.relay.fleet.Classes())
 	m.relay.fleet.NoteClasses(m.node.Classes(m.relay.now()))
 	m.sizeLanes()
-	m.node.TellKept(m.relay.fleet.KeptNews())
+	m.node.AnnounceSentParts(m.relay.fleet.KeptNews())
 	m.relay.fleet.NoteKept(m.relay.now(), m.node.DrainKept())
 	m.relay.crashSuspects.Forget(m.relay.now())
 	m.relay.budgets.Forget(m.relay.now())
@@ -49,7 +49,7 @@
 	}
 	m.relay.mu.Lock()
 	defer m.relay.mu.Unlock()
-	m.relay.fleet.NoteOthers(news)
+	m.relay.fleet.UpdateRemoteLoads(news)
 }
 
 // sizeLanes divides services by what is under way, or as the group's strongest lead
