--- a/relay/runs.go
+++ b/relay/runs.go
@@ -124,7 +124,7 @@
 // admission is what the fleet looks at to decide whether the request would come late.
 func (x *exchange) admission() balance.Admission {
 	x.cameBack = float64(x.timeLeft()) < cameBackShare*float64(x.route.Timeout)
-	return balance.Admission{Target: x.route.Target, Again: x.cameBack}
+	return balance.Admission{Target: x.route.Target, Retried: x.cameBack}
 }
 
 // runOn runs the request on the upstream that was chosen.
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -169,7 +169,7 @@
 	r.mu.Lock()
 	withheld := r.crashSuspects.Take(now, heard)
 	if news := r.crashSuspects.News(now); len(news) > 0 {
-		m.node.TellSuspects(news)
+		m.node.AnnounceSuspects(news)
 		m.node.SetWithheld(r.crashSuspects.Withheld(now))
 	}
 	r.mu.Unlock()
