--- a/group/fetch.go
+++ b/group/fetch.go
@@ -78,8 +78,8 @@
 
 // link is what the box's link carries, in bytes a second.
 func (n *Node) link() float64 {
-	if n.cfg.Link > 0 {
-		return n.cfg.Link
+	if n.cfg.LinkRate > 0 {
+		return n.cfg.LinkRate
 	}
 	return leastLink
 }
--- a/group/node.go
+++ b/group/node.go
@@ -77,8 +77,8 @@
 	FirstStart bool
 	// Domains is how many failure domains there are, as settings list them; 0: not known.
 	Domains int
-	// Link is what the box's link carries, in bytes a second; 0: not known.
-	Link float64
+	// LinkRate is what the box's link carries, in bytes a second; 0: not known.
+	LinkRate float64
 	// Changed is told what is new in the mirror.
 	Changed func([]mirror.Item)
 }
--- a/relay/members.go
+++ b/relay/members.go
@@ -90,7 +90,7 @@
 		Mirror:     m.mirror,
 		Changed:    m.changed,
 		FirstStart: r.cfg.FirstStart,
-		Link:       r.cfg.Link,
+		LinkRate:   r.cfg.Link,
 		Domains:    len(r.cfg.Regions),
 	}, r.now())
 	return m, m.listen()
