--- a/group/node.go
+++ b/group/node.go
@@ -79,8 +79,8 @@
 	Domains int
 	// LinkRate is what the box's link carries, in bytes a second; 0: not known.
 	LinkRate float64
-	// Changed is told what is new in the mirror.
-	Changed func([]mirror.Item)
+	// OnChange is told what is new in the mirror.
+	OnChange func([]mirror.Item)
 }
 
 // Outgoing is a message and where it goes.
--- a/group/published.go
+++ b/group/published.go
@@ -116,7 +116,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	n.cfg.Changed(changes)
+	n.cfg.OnChange(changes)
 	if !n.IsLeader() {
 		return
 	}
--- a/group/pulled_test.go
+++ b/group/pulled_test.go
@@ -20,7 +20,7 @@
 	}
 	m.Load(list, uint64(items))
 	return NewNode(Config{Self: &wire.GroupBox{Name: fmt.Sprint("box of ", items), Domain: "d"}, Timing: DefaultTiming, Mirror: m,
-		Changed: func([]mirror.Item) {}}, 0)
+		OnChange: func([]mirror.Item) {}}, 0)
 }
 
 // Everything is packed once for all that pull it, and anew when something has changed.
@@ -86,7 +86,7 @@
 func TestWhatWasPulledIsHandedOnAsItCame(t *testing.T) {
 	is := is.New(t)
 	from := nodeWith(1000)
-	n := NewNode(Config{Self: &wire.GroupBox{Name: "new", Domain: "d"}, Timing: DefaultTiming, Mirror: mirror.New(), Changed: func([]mirror.Item) {}}, 0)
+	n := NewNode(Config{Self: &wire.GroupBox{Name: "new", Domain: "d"}, Timing: DefaultTiming, Mirror: mirror.New(), OnChange: func([]mirror.Item) {}}, 0)
 	first := from.Everything(time.Second, true)
 	n.HandlePullResponse(time.Second, time.Second, first)
 	second := n.Everything(2*time.Second, true)
--- a/group/world_test.go
+++ b/group/world_test.go
@@ -110,7 +110,7 @@
 	}
 	w.boxes[name] = b
 	b.node = NewNode(Config{Self: b.self, Seeds: w.seeds, Timing: DefaultTiming, Mirror: b.copy, FirstStart: first, Domains: w.domains,
-		Changed: func(items []mirror.Item) {
+		OnChange: func(items []mirror.Item) {
 			for _, it := range items {
 				if it.Key == documentKey {
 					b.taken = append(b.taken, it.Revision)
--- a/relay/members.go
+++ b/relay/members.go
@@ -88,7 +88,7 @@
 		Seeds:      r.cfg.Seeds,
 		Timing:     r.cfg.Timing,
 		Mirror:     m.mirror,
-		Changed:    m.changed,
+		OnChange:   m.changed,
 		FirstStart: r.cfg.FirstStart,
 		LinkRate:   r.cfg.Link,
 		Domains:    len(r.cfg.Regions),
