--- a/relay/members.go
+++ b/relay/members.go
@@ -88,9 +88,9 @@
 		Seeds:      r.cfg.Seeds,
 		Timing:     r.cfg.Timing,
 		Mirror:     m.mirror,
-		Changed:    m.changed,
+		OnChange:   m.changed,
 		FirstStart: r.cfg.FirstStart,
-		Link:       r.cfg.Link,
+		LinkRate:   r.cfg.Link,
 		Domains:    len(r.cfg.Regions),
 	}, r.now())
 	return m, m.listen()
