--- a/group/count.go
+++ b/group/count.go
@@ -19,7 +19,7 @@
 	if !n.heardOthers && n.namesOthers() {
 		return 0
 	}
-	return max(n.most, n.cfg.Domains*n.mostHere, 1)
+	return max(n.most, n.cfg.DomainCount*n.mostHere, 1)
 }
 
 // namesOthers reports whether the seeds name another box than this one.
--- a/group/node.go
+++ b/group/node.go
@@ -75,8 +75,8 @@
 	// FirstStart says that no box ran before: there is time to find the others
 	// before anything is read. A box that starts later has callers waiting.
 	FirstStart bool
-	// Domains is how many failure domains there are, as settings list them; 0: not known.
-	Domains int
+	// DomainCount is how many failure domains there are, as settings list them; 0: not known.
+	DomainCount int
 	// LinkRate is what the box's link carries, in bytes a second; 0: not known.
 	LinkRate float64
 	// OnChange is told what is new in the mirror.
--- a/group/world_test.go
+++ b/group/world_test.go
@@ -109,7 +109,7 @@
 		w.names = append(w.names, name)
 	}
 	w.boxes[name] = b
-	b.node = NewNode(Config{Self: b.self, Seeds: w.seeds, Timing: DefaultTiming, Mirror: b.copy, FirstStart: first, Domains: w.domains,
+	b.node = NewNode(Config{Self: b.self, Seeds: w.seeds, Timing: DefaultTiming, Mirror: b.copy, FirstStart: first, DomainCount: w.domains,
 		OnChange: func(items []mirror.Item) {
 			for _, it := range items {
 				if it.Key == documentKey {
--- a/relay/members.go
+++ b/relay/members.go
@@ -84,14 +84,14 @@
 	}
 	m.boxes.Store(int64(r.cfg.Boxes))
 	m.node = group.NewNode(group.Config{
-		Self:       r.cfg.Self,
-		Seeds:      r.cfg.Seeds,
-		Timing:     r.cfg.Timing,
-		Mirror:     m.mirror,
-		OnChange:   m.changed,
-		FirstStart: r.cfg.FirstStart,
-		LinkRate:   r.cfg.Link,
-		Domains:    len(r.cfg.Regions),
+		Self:        r.cfg.Self,
+		Seeds:       r.cfg.Seeds,
+		Timing:      r.cfg.Timing,
+		Mirror:      m.mirror,
+		OnChange:    m.changed,
+		FirstStart:  r.cfg.FirstStart,
+		LinkRate:    r.cfg.Link,
+		DomainCount: len(r.cfg.Regions),
 	}, r.now())
 	return m, m.listen()
 }
