--- a/group/hear.go
+++ b/group/hear.go
@@ -147,6 +147,6 @@
 // moment, or is the strongest that the other one knows. Without an answer that one would wait for it in vain, and then
 // take itself for the lead.
 func (n *Node) takesForLead(now time.Duration, p *peer, m *wire.GroupMessage) bool {
-	isBeat := !m.Leads && !m.Leaving && len(m.Boxes) == 0 && KindOf(m) == KindBeat // an answer names boxes
+	isBeat := !m.Leads && !m.Leaving && len(m.Boxes) == 0 && KindOf(m) == KindHeartbeat // an answer names boxes
 	return isBeat && n.sameDomain(p) && !n.IsLeader() && n.lead().Name != p.box.Name && now-n.heardLead() < n.cfg.Timing.Silence
 }
--- a/group/traffic.go
+++ b/group/traffic.go
@@ -11,7 +11,7 @@
 
 // The kinds of messages.
 const (
-	KindBeat      Kind = "beat"           // that the sender lives, and how old its knowledge is
+	KindHeartbeat Kind = "beat"           // that the sender lives, and how old its knowledge is
 	KindBoxes     Kind = "boxes"          // a beat that names other boxes
 	KindHail      Kind = "hail"           // who is there?
 	KindAsk       Kind = "ask"            // what is behind a revision?
@@ -57,7 +57,7 @@
 	case len(m.Boxes) > 0:
 		return KindBoxes
 	}
-	return KindBeat
+	return KindHeartbeat
 }
 
 // ReachOf is how far a message goes from one box to another.
--- a/relay/traffic_test.go
+++ b/relay/traffic_test.go
@@ -15,7 +15,7 @@
 	s := newStats()
 	tr := newTraffic(s)
 	tr.add(group.KindLoads, group.ReachRegion, 100)
-	tr.add(group.KindBeat, group.ReachDomain, 40)
+	tr.add(group.KindHeartbeat, group.ReachDomain, 40)
 	tr.add(group.KindLoads, group.ReachRegion, 300)
 	rows := tr.rows()
 	is.Equal(len(rows), 2)
@@ -33,7 +33,7 @@
 		want group.Kind
 		m    *wire.GroupMessage
 	}{
-		{group.KindBeat, &wire.GroupMessage{}},
+		{group.KindHeartbeat, &wire.GroupMessage{}},
 		{group.KindBoxes, &wire.GroupMessage{Boxes: []*wire.GroupBox{{}}}},
 		{group.KindHail, &wire.GroupMessage{Hello: true}},
 		{group.KindAsk, &wire.GroupMessage{Ask: true}},
