--- a/relay/pull.go
+++ b/relay/pull.go
@@ -84,7 +84,7 @@
 	select {
 	case r := <-answer:
 		caller := &wire.GroupBox{Domain: req.Msg.Domain, Region: req.Msg.Region}
-		s.members.traffic.add(group.KindPulled, group.ReachOf(s.members.relay.cfg.Self, caller), proto.Size(r))
+		s.members.traffic.add(group.KindPullResponse, group.ReachOf(s.members.relay.cfg.Self, caller), proto.Size(r))
 		return connect.NewResponse(r), nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
