--- a/group/traffic.go
+++ b/group/traffic.go
@@ -13,7 +13,7 @@
 const (
 	KindHeartbeat    Kind = "beat"           // that the sender lives, and how old its knowledge is
 	KindBoxes        Kind = "boxes"          // a beat that names other boxes
-	KindHail         Kind = "hail"           // who is there?
+	KindHello        Kind = "hail"           // who is there?
 	KindAsk          Kind = "ask"            // what is behind a revision?
 	KindPublished    Kind = "published"      // what was published
 	KindLoads        Kind = "loads"          // all loads
@@ -53,7 +53,7 @@
 	case m.Ask:
 		return KindAsk
 	case m.Hello:
-		return KindHail
+		return KindHello
 	case len(m.Boxes) > 0:
 		return KindBoxes
 	}
--- a/relay/traffic_test.go
+++ b/relay/traffic_test.go
@@ -35,7 +35,7 @@
 	}{
 		{group.KindHeartbeat, &wire.GroupMessage{}},
 		{group.KindBoxes, &wire.GroupMessage{Boxes: []*wire.GroupBox{{}}}},
-		{group.KindHail, &wire.GroupMessage{Hello: true}},
+		{group.KindHello, &wire.GroupMessage{Hello: true}},
 		{group.KindAsk, &wire.GroupMessage{Ask: true}},
 		{group.KindPublished, &wire.GroupMessage{Pull: true}},
 		{group.KindPublished, &wire.GroupMessage{Items: []*wire.GroupItem{{}}}},
