--- a/group/traffic.go
+++ b/group/traffic.go
@@ -11,17 +11,17 @@
 
 // The kinds of messages.
 const (
-	KindHeartbeat    Kind = "beat"           // that the sender lives, and how old its knowledge is
-	KindBoxes        Kind = "boxes"          // a beat that names other boxes
-	KindHello        Kind = "hail"           // who is there?
-	KindAsk          Kind = "ask"            // what is behind a revision?
-	KindPublished    Kind = "published"      // what was published
-	KindLoads        Kind = "loads"          // all loads
-	KindChanges      Kind = "changed loads"  // some loads
-	KindParts        Kind = "parts"          // who was sent which parts of prompts
-	KindSuspects     Kind = "ended under"    // requests that upstreams end under
-	KindLimits       Kind = "limits"         // limits that upstreams name
-	KindPullResponse Kind = "all, to a pull" // everything published; on the calls' side
+	KindHeartbeat      Kind = "beat"           // that the sender lives, and how old its knowledge is
+	KindBoxes          Kind = "boxes"          // a beat that names other boxes
+	KindHello          Kind = "hail"           // who is there?
+	KindChangesRequest Kind = "ask"            // what is behind a revision?
+	KindPublished      Kind = "published"      // what was published
+	KindLoads          Kind = "loads"          // all loads
+	KindChanges        Kind = "changed loads"  // some loads
+	KindParts          Kind = "parts"          // who was sent which parts of prompts
+	KindSuspects       Kind = "ended under"    // requests that upstreams end under
+	KindLimits         Kind = "limits"         // limits that upstreams name
+	KindPullResponse   Kind = "all, to a pull" // everything published; on the calls' side
 )
 
 // Reach is how far a message goes.
@@ -51,7 +51,7 @@
 	case m.Pull || len(m.Items) > 0:
 		return KindPublished
 	case m.Ask:
-		return KindAsk
+		return KindChangesRequest
 	case m.Hello:
 		return KindHello
 	case len(m.Boxes) > 0:
--- a/relay/traffic_test.go
+++ b/relay/traffic_test.go
@@ -36,7 +36,7 @@
 		{group.KindHeartbeat, &wire.GroupMessage{}},
 		{group.KindBoxes, &wire.GroupMessage{Boxes: []*wire.GroupBox{{}}}},
 		{group.KindHello, &wire.GroupMessage{Hello: true}},
-		{group.KindAsk, &wire.GroupMessage{Ask: true}},
+		{group.KindChangesRequest, &wire.GroupMessage{Ask: true}},
 		{group.KindPublished, &wire.GroupMessage{Pull: true}},
 		{group.KindPublished, &wire.GroupMessage{Items: []*wire.GroupItem{{}}}},
 		{group.KindLoads, &wire.GroupMessage{HasLoads: true}},
