--- a/group/changes.go
+++ b/group/changes.go
@@ -1,9 +1,11 @@
 package group
 
-// This file defines the messages that tell changes in what is published. The load that it answers: planned work on a
-// part of a large fleet, as when one upstream in forty is told to leave at the same moment. If a box had to pull
-// everything for that, all would at once, and those that waited too long would read the publisher. The invariant: who has
-// taken the messages of a set of changes in their order has all of it, and one that misses a message takes none behind it.
+// This file defines the messages that carry changes in published data. They must handle bulk
+// changes in a large fleet, such as planned maintenance that tells one upstream in forty to leave
+// at the same moment. If the boxes had to pull all data for that, they would do so
+// simultaneously, and those that waited too long would read the publisher. The invariant: a box
+// that applies all messages of a set in order has all its changes, and one that misses a message
+// applies none of the later ones.
 
 import (
 	"cmp"
@@ -14,35 +16,36 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// maxBatches bounds the messages that tell a set of changes, some 3,000 entries; beyond it everything is pulled.
+// maxBatches bounds the messages for one set of changes, about 3,000 entries. For a larger set
+// boxes pull all data.
 const maxBatches = 16
 
-// batch is changes that one message tells.
+// batch holds the changes carried by one message.
 type batch struct {
-	to     uint64 // the revision up to which they go
+	to     uint64 // revision reached by applying the batch
 	items  []*wire.GroupItem
-	packed []byte // in place of items
+	packed []byte // compressed form, in place of items
 }
 
-// itemMessages makes the messages that tell the changes behind a revision, or the one which says that everything has to
-// be pulled.
+// itemMessages returns the messages with the changes after revision from, or one message that
+// asks the receiver to pull.
 func (n *Node) itemMessages(now time.Duration, from uint64, changes []mirror.Item) []*wire.GroupMessage {
 	var list []batch
-	if from > 0 { // what a box with an empty copy has learned tells nothing of what went
-		list = batches(changes, n.cfg.Mirror.Revision())
+	if from > 0 { // a read into an empty copy does not show which items were deleted
+		list = makeBatches(changes, n.cfg.Mirror.Revision())
 	}
 	if len(list) == 0 {
-		m := n.message(now)
+		m := n.newMessage(now)
 		m.Pull = true
 		return []*wire.GroupMessage{m}
 	}
 	messages := make([]*wire.GroupMessage, 0, len(list))
 	for i, b := range list {
-		m := n.message(now)
+		m := n.newMessage(now)
 		m.From, m.Revision, m.Items, m.PackedItems = from, b.to, b.items, b.packed
 		m.Pull = len(b.packed) > 0
 		if i < len(list)-1 {
-			m.ConfirmedAge = micros(longestAge) // it does not tell all that is the newest
+			m.ConfirmedAge = micros(maxAge) // the messages before the last do not bring a copy up to date
 		}
 		from = b.to
 		messages = append(messages, m)
@@ -50,44 +53,47 @@
 	return messages
 }
 
-// sendAll sends messages to a box, in their order.
+// sendAll sends messages to a box, in order.
 func (n *Node) sendAll(to string, messages []*wire.GroupMessage) {
 	for _, m := range messages {
 		n.send(to, m)
 	}
 }
 
-// batches divides changes that go up to a revision; nil where they are too many, or one is too large.
-func batches(changes []mirror.Item, to uint64) []batch {
-	if items, size := pack(changes); size <= maxItems {
+// makeBatches divides changes up to revision to into batches. It returns nil if there are too
+// many batches, or if a single change is too large.
+func makeBatches(changes []mirror.Item, to uint64) []batch {
+	if items, size := packItems(changes); size <= maxItemBytes {
 		return []batch{{to: to, items: items}}
 	}
 	sorted := slices.SortedStableFunc(slices.Values(changes), func(a, b mirror.Item) int { return cmp.Compare(a.Revision, b.Revision) })
-	list := split(sorted, to)
+	list := splitChanges(sorted, to)
 	if len(list) > maxBatches {
 		return nil
 	}
 	return list
 }
 
-// split divides changes, in the order of their revisions, into batches that fit a datagram; nil where that cannot be.
-func split(sorted []mirror.Item, to uint64) []batch {
-	if packed := packAll(sorted); len(packed) > 0 && len(packed) <= maxItems {
+// splitChanges divides changes, sorted by revision, into batches that fit a datagram. It returns
+// nil if that is impossible.
+func splitChanges(sorted []mirror.Item, to uint64) []batch {
+	if packed := compressItems(sorted); len(packed) > 0 && len(packed) <= maxItemBytes {
 		return []batch{{to: to, packed: packed}}
 	}
-	middle := boundary(sorted)
+	middle := splitIndex(sorted)
 	if middle == 0 {
 		return nil
 	}
-	first, second := split(sorted[:middle], sorted[middle-1].Revision), split(sorted[middle:], to)
+	first, second := splitChanges(sorted[:middle], sorted[middle-1].Revision), splitChanges(sorted[middle:], to)
 	if first == nil || second == nil {
 		return nil
 	}
 	return append(first, second...)
 }
 
-// boundary is where changes may be divided, about their middle: what has the same revision stays together. 0: nowhere.
-func boundary(sorted []mirror.Item) int {
+// splitIndex returns an index near the middle at which changes may be split, or 0 if there is
+// none. Changes of the same revision stay together.
+func splitIndex(sorted []mirror.Item) int {
 	half := len(sorted) / 2
 	for i := half; i > 0; i-- {
 		if sorted[i].Revision != sorted[i-1].Revision {
@@ -102,34 +108,34 @@
 	return 0
 }
 
-// earlyItems is the changes of a message that has overtaken one before it.
-type earlyItems struct {
+// bufferedChanges holds the changes of a message received before a message that precedes it.
+type bufferedChanges struct {
 	from, to uint64
 	items    []mirror.Item
 }
 
-// early is what came early, as many as a set of changes has messages.
-type early struct {
-	list []earlyItems
-	at   time.Duration // when the last came
+// reorderBuffer holds changes received out of order, at most as many messages as one set has.
+type reorderBuffer struct {
+	list   []bufferedChanges
+	lastAt time.Duration // when the last message was added
 }
 
-// put keeps a message for a box that has everything up to a revision.
-func (e *early) put(now time.Duration, mine uint64, x earlyItems) {
-	e.list = slices.DeleteFunc(e.list, func(o earlyItems) bool { return o.to <= mine || o.from == x.from })
-	if mine == 0 || len(e.list) == maxBatches {
+// add buffers a message, for a copy at the given revision.
+func (b *reorderBuffer) add(now time.Duration, revision uint64, x bufferedChanges) {
+	b.list = slices.DeleteFunc(b.list, func(o bufferedChanges) bool { return o.to <= revision || o.from == x.from })
+	if revision == 0 || len(b.list) == maxBatches {
 		return
 	}
-	e.list, e.at = append(e.list, x), now
+	b.list, b.lastAt = append(b.list, x), now
 }
 
-// take returns, once, the message that goes on from a revision.
-func (e *early) take(mine uint64) (earlyItems, bool) {
-	i := slices.IndexFunc(e.list, func(x earlyItems) bool { return x.from <= mine && x.to > mine })
+// take removes and returns a buffered message that continues from the given revision.
+func (b *reorderBuffer) take(revision uint64) (bufferedChanges, bool) {
+	i := slices.IndexFunc(b.list, func(x bufferedChanges) bool { return x.from <= revision && x.to > revision })
 	if i < 0 {
-		return earlyItems{}, false
+		return bufferedChanges{}, false
 	}
-	x := e.list[i]
-	e.list = slices.Delete(e.list, i, i+1)
+	x := b.list[i]
+	b.list = slices.Delete(b.list, i, i+1)
 	return x, true
 }
--- a/group/changes_test.go
+++ b/group/changes_test.go
@@ -13,8 +13,8 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// entriesOf is entries of upstreams, of 250 bytes each as they are published.
-func entriesOf(count int, revision uint64) []mirror.Item {
+// upstreamEntries returns entries of upstreams in their published form, 250 bytes each.
+func upstreamEntries(count int, revision uint64) []mirror.Item {
 	random := rand.New(rand.NewPCG(1, revision))
 	list := make([]mirror.Item, count)
 	for i := range list {
@@ -25,36 +25,36 @@
 	return list
 }
 
-// One upstream in forty of 5,910 was told to leave at the same moment. The changes were too many for a datagram, so that
-// each of 585 boxes was to pull everything; after a second all but a few had given up and read the store, 567 calls, and
-// knew nothing that was published meanwhile.
-func TestManyChangesAtOnceReachAllBoxes(t *testing.T) {
+// When one upstream in forty of 5,910 was told to leave at the same moment, the changes did not
+// fit a datagram and each of 585 boxes had to pull all data. After a second nearly all of them
+// gave up and read the publisher, with 567 calls, and missed what was published meanwhile.
+func TestBulkChangesReachAllBoxes(t *testing.T) {
 	for _, changes := range []int{30, 300, 1500} {
 		t.Run(fmt.Sprint(changes), func(t *testing.T) {
 			is := is.New(t)
-			w := across(t, 2, layout{3, 1}, 60)
-			w.link = 20e6 / 8
+			w := startRegions(t, 2, layout{3, 1}, 60)
+			w.linkRate = 20e6 / 8
 			r := w.published.Revision()
-			w.published.Apply(r, r+uint64(changes), entriesOf(changes, r+1))
+			w.published.Apply(r, r+uint64(changes), upstreamEntries(changes, r+1))
 			w.run(100 * time.Millisecond)
-			w.calls, w.pulled = 0, 0
+			w.calls, w.snapshotsPulled = 0, 0
 			w.run(400 * time.Millisecond)
-			is.Equal(w.behind(), nil)
-			is.Equal(w.pulled, 0)
+			is.Equal(w.staleBoxes(), nil)
+			is.Equal(w.snapshotsPulled, 0)
 			is.True(w.calls <= 4) // of the box that reads for all
 		})
 	}
 }
 
-// Whatever the changes and the order of their messages, a box holds at each moment what was published at some revision, and
-// has everything once all messages came.
-func TestMessagesOfChangesInAnyOrder(t *testing.T) {
+// Whatever the changes and the order of their messages, a box always holds the published data of
+// some revision, and has all of it once all messages have arrived.
+func TestChangesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from := nodeWith(5)
-		to := nodeWith(5)
+		from := nodeWithItems(5)
+		to := nodeWithItems(5)
 		n := rapid.IntRange(1, 400).Draw(t, "changes")
-		list := entriesOf(n, 6)
-		for i := range list { // several may have one revision
+		list := upstreamEntries(n, 6)
+		for i := range list { // several may have the same revision
 			if i > 0 && rapid.IntRange(0, 3).Draw(t, "same") == 0 {
 				list[i].Revision = list[i-1].Revision
 			}
@@ -63,19 +63,19 @@
 		from.cfg.Mirror.Apply(5, last, list)
 		messages := from.itemMessages(time.Second, 5, list)
 		for _, i := range rapid.Permutation(indices(len(messages))).Draw(t, "order") {
-			to.takeItems(time.Second, messages[i])
-			whole := 0
+			to.receiveItems(time.Second, messages[i])
+			applied := 0
 			for _, it := range list {
 				if it.Revision <= to.cfg.Mirror.Revision() {
-					whole++
+					applied++
 				}
 			}
-			if held := len(to.cfg.Mirror.Items()) - 5; held != whole {
-				t.Fatalf("at revision %d it holds %d of %d changes", to.cfg.Mirror.Revision(), held, whole)
+			if held := len(to.cfg.Mirror.Items()) - 5; held != applied {
+				t.Fatalf("at revision %d the copy holds %d changes, want %d", to.cfg.Mirror.Revision(), held, applied)
 			}
 		}
 		if got := to.cfg.Mirror.Revision(); got != last && !messages[0].Pull {
-			t.Fatalf("it has revision %d, not %d", got, last)
+			t.Fatalf("revision is %d, want %d", got, last)
 		}
 	})
 }
@@ -88,70 +88,72 @@
 	return list
 }
 
-// Only the last message of a set says how old the sender's knowledge is.
-func TestAPartOfTheChangesConfirmsNothing(t *testing.T) {
+// Only the last message of a set states the age of the sender's copy.
+func TestOnlyLastBatchConfirms(t *testing.T) {
 	is := is.New(t)
-	n := nodeWith(5)
-	n.confirmed = time.Second
-	list := entriesOf(1000, 6)
+	n := nodeWithItems(5)
+	n.confirmedAt = time.Second
+	list := upstreamEntries(1000, 6)
 	n.cfg.Mirror.Apply(5, 1005, list)
 	messages := n.itemMessages(time.Second, 5, list)
 	is.True(len(messages) > 1)
 	for i, m := range messages {
 		is.Equal(m.ConfirmedAge == 0, i == len(messages)-1)
 	}
-	box := nodeWith(5)
+	box := nodeWithItems(5)
 	box.cfg.Self.Name = "another"
 	box.Handle(2*time.Second, messages[0])
 	is.True(box.ConfirmedAt() < time.Second)
 	is.Equal(box.cfg.Mirror.Revision(), messages[0].Revision)
 }
 
-// What no datagram can hold is pulled.
-func TestWhatIsTooLargeIsPulled(t *testing.T) {
+// Changes too large for any datagram are pulled.
+func TestOversizedChangesArePulled(t *testing.T) {
 	is := is.New(t)
-	noise := make([]byte, 2*maxItems)
+	noise := make([]byte, 2*maxItemBytes)
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range noise {
 		noise[i] = byte(random.Uint32())
 	}
-	n := nodeWith(5)
+	n := nodeWithItems(5)
 	m := n.itemMessages(0, 5, []mirror.Item{{Key: "a", Revision: 6, Value: noise}, {Key: "b", Revision: 7, Value: noise}})
 	is.Equal(len(m), 1)
 	is.True(m[0].Pull && len(m[0].PackedItems) == 0)
 }
 
-// With 200 customers and 150 routes a document no longer went into a datagram: each of its versions was pulled by all boxes at
-// once, and with it the entries of 6,000 upstreams. A storm of configurations made requests late for as long as it went on.
-func TestALargeDocumentIsPulledAlone(t *testing.T) {
+// With 200 customers and 150 routes a document no longer fits a datagram. Each version of it was
+// pulled by all boxes at once, together with the entries of 6,000 upstreams, and requests were
+// late during frequent configuration changes.
+func TestLargeDocumentIsPulledAsDelta(t *testing.T) {
 	is := is.New(t)
-	w := across(t, 2, layout{3, 1}, 60)
-	w.listEntries(2000)
-	w.killAll()
+	w := startRegions(t, 2, layout{3, 1}, 60)
+	w.publishEntries(2000)
+	w.restartAll()
 	w.run(4 * time.Second)
-	is.Equal(w.behind(), nil)
+	is.Equal(w.staleBoxes(), nil)
 	random := rand.New(rand.NewPCG(1, 2))
-	w.calls, w.pulled, w.store.calls = 0, 0, 0
+	w.calls, w.snapshotsPulled, w.pages.calls = 0, 0, 0
 	for range 3 {
-		document := make([]byte, 4*maxItems)
+		document := make([]byte, 4*maxItemBytes)
 		for i := range document {
 			document[i] = byte('a' + random.IntN(26))
 		}
 		w.publish(documentKey, string(document))
 		w.run(600 * time.Millisecond)
-		is.Equal(w.behind(), nil)
+		is.Equal(w.staleBoxes(), nil)
 	}
-	is.Equal(w.pulled, 0)
-	is.Equal(w.store.calls, 0)
+	is.Equal(w.snapshotsPulled, 0)
+	is.Equal(w.pages.calls, 0)
 }
 
-// What is answered to a box that has nearly everything is what it lacks; to one of which that is not known, everything.
-func TestWhatABoxLacksIsAnswered(t *testing.T) {
+// A box with recent data is answered with the changes it lacks, and a box at an unknown revision
+// with all data.
+func TestPullIsAnsweredWithDelta(t *testing.T) {
 	is := is.New(t)
-	n, box := nodeWith(1000), nodeWith(1000)
-	n.cfg.Mirror.Apply(1000, 1003, entriesOf(3, 1001))
+	n, box := nodeWithItems(1000), nodeWithItems(1000)
+	n.cfg.Mirror.Apply(1000, 1003, upstreamEntries(3, 1001))
 	ask := func(after uint64) *wire.MirrorResponse {
-		n.answers = answers{}
+		n.answeredPulls = answeredPulls{}
 		return n.AnswerPull(time.Second, &wire.MirrorRequest{Packed: true, Pulls: "b", After: after})
 	}
 	r := ask(1000)
@@ -159,12 +161,12 @@
 	box.HandlePullResponse(time.Second, time.Second, r)
 	is.Equal(box.cfg.Mirror.Revision(), uint64(1003))
 	is.Equal(box.cfg.Mirror.Items(), n.cfg.Mirror.Items())
-	is.Equal(ask(1001).From, uint64(1001)) // and not what was packed for the one before
+	is.Equal(ask(1001).From, uint64(1001)) // not the delta encoded for the request before
 	for _, after := range []uint64{0, 7, 2000} {
 		is.Equal(ask(after).From, uint64(0))
 	}
-	ahead := nodeWith(1000)
-	ahead.HandlePullResponse(time.Second, time.Second, ask(1001)) // it begins where the box is not
+	ahead := nodeWithItems(1000)
+	ahead.HandlePullResponse(time.Second, time.Second, ask(1001)) // the changes do not continue from its revision
 	is.Equal(ahead.cfg.Mirror.Revision(), uint64(1000))
 	box.HandlePullResponse(2*time.Second, 2*time.Second, ask(1003)) // nothing new
 	is.Equal(box.cfg.Mirror.Revision(), uint64(1003))
--- a/group/class.go
+++ b/group/class.go
@@ -1,11 +1,11 @@
 package group
 
-// This file defines how boxes tell each other what classes of requests are like, so that a
-// box which has just started, or sees few requests, divides upstreams as the others do. A
-// member tells its lead what it sees, the lead its members the mean over all boxes, and the
-// other leads that over its domain. The invariants: but for its own, which
-// its lead tells a member along with the others', no box counts twice in a mean; and what
-// nobody sees any more is told by nobody after classFor.
+// This file defines how boxes share statistics about classes of requests, so that a box that has
+// just started, or handles few requests, divides upstreams as the others do. A member sends its
+// own statistics to its leader. A leader sends the mean over all boxes to its members, and the
+// mean over its domain to the other leaders. The invariants: no box counts twice in a mean,
+// except that a member's own statistics are part of the mean its leader sends it. A class that no
+// box handles any more is forgotten after classTTL.
 
 import (
 	"cmp"
@@ -18,31 +18,30 @@
 )
 
 const (
-	// classFor is how long what a box told of classes is believed: several beats, some of
-	// which may be lost.
-	classFor = 3 * time.Second
-	// maxClasses bounds the classes that a message tells, at 23 bytes each, and those that
-	// are remembered of a box.
+	// classTTL is how long received statistics are used: several heartbeats, some of which may be
+	// lost.
+	classTTL = 3 * time.Second
+	// maxClasses bounds the classes in a message, at 23 bytes each, and those stored per box.
 	maxClasses = 64
 )
 
-// SetClasses notes the classes that this box sees.
+// SetClasses sets the statistics measured by this box.
 func (n *Node) SetClasses(own []balance.ClassSeen) { n.ownClasses = own }
 
-// classMeans is means over several boxes, by class.
+// classMeans holds means over several boxes, by class.
 type classMeans map[balance.ClassKey]balance.ClassSeen
 
 func (c classMeans) add(list []balance.ClassSeen) {
-	for _, told := range list {
-		c[told.ClassKey] = told.Plus(c[told.ClassKey])
+	for _, stats := range list {
+		c[stats.ClassKey] = stats.Plus(c[stats.ClassKey])
 	}
 }
 
-// Classes lists what the other boxes see, in no order.
+// Classes returns the statistics of the other boxes, in no particular order.
 func (n *Node) Classes(now time.Duration) []balance.ClassSeen {
 	means := make(classMeans)
 	for _, p := range n.peers {
-		if n.tellsClasses(now, p) {
+		if n.countsClasses(now, p) {
 			means.add(p.classes)
 		}
 	}
@@ -50,20 +49,20 @@
 	return list[:min(len(list), maxClasses)]
 }
 
-// tellsClasses reports whether what a peer told of classes counts for this box: its own
-// lead's does, and for a lead that of its members and of the other leads.
-func (n *Node) tellsClasses(now time.Duration, p *peer) bool {
+// countsClasses reports whether a peer's statistics are used by this box. A member uses those of
+// its leader; a leader uses those of its members and of the other leaders.
+func (n *Node) countsClasses(now time.Duration, p *peer) bool {
 	switch {
-	case now-p.classesAt > classFor:
+	case now-p.classesAt > classTTL:
 		return false
 	case n.IsLeader():
-		return n.sameDomain(p) || p.leads
+		return n.sameDomain(p) || p.isLeader
 	}
-	return p.box.Name == n.lead().Name
+	return p.box.Name == n.leader().Name
 }
 
-// takeClasses takes in what a message tells.
-func (n *Node) takeClasses(now time.Duration, p *peer, m *wire.GroupMessage) {
+// receiveClasses records the statistics in a message.
+func (n *Node) receiveClasses(now time.Duration, p *peer, m *wire.GroupMessage) {
 	if len(m.Classes) == 0 {
 		return
 	}
@@ -78,23 +77,23 @@
 	}
 }
 
-// classLists is what a box tells of classes, each list in a fixed order.
+// classLists holds the statistics that a box sends, each list in a fixed order.
 type classLists struct {
-	toDomain []*wire.GroupClass // by a lead, of all boxes
-	toOthers []*wire.GroupClass // by a member its own, by a lead those of its domain
+	toDomain  []*wire.GroupClass // from a leader: the means over all boxes
+	toLeaders []*wire.GroupClass // a member's own statistics, or from a leader the means over its domain
 }
 
-// packClasses makes the lists that the messages of one beat share: to make one for each
-// receiver would cost a lead the square of its domain.
+// packClasses builds the lists shared by all messages of one heartbeat. Building them per
+// receiver would cost a leader time quadratic in the size of its domain.
 func (n *Node) packClasses(now time.Duration) classLists {
 	domain, all := make(classMeans), make(classMeans)
 	domain.add(n.ownClasses)
 	all.add(n.ownClasses)
 	if !n.IsLeader() {
-		return classLists{toOthers: sortedClasses(domain)}
+		return classLists{toLeaders: sortedClasses(domain)}
 	}
 	for _, p := range n.peers {
-		if !n.tellsClasses(now, p) {
+		if !n.countsClasses(now, p) {
 			continue
 		}
 		all.add(p.classes)
@@ -105,15 +104,15 @@
 	return classLists{sortedClasses(all), sortedClasses(domain)}
 }
 
-// classesFor is what a peer is told.
+// classesFor returns the list to send to a peer.
 func (n *Node) classesFor(p *peer, lists classLists) []*wire.GroupClass {
 	if n.IsLeader() && n.sameDomain(p) {
 		return lists.toDomain
 	}
-	return lists.toOthers
+	return lists.toLeaders
 }
 
-// sortedClasses lists at most maxClasses of them.
+// sortedClasses returns at most maxClasses classes, in a fixed order.
 func sortedClasses(means classMeans) []*wire.GroupClass {
 	list := make([]*wire.GroupClass, 0, len(means))
 	for _, c := range means {
--- a/group/cutoff.go
+++ b/group/cutoff.go
@@ -1,30 +1,31 @@
 package group
 
-// This file defines how a domain's boxes learn that another domain is cut off. The load that it answers: many boxes with
-// few requests each, of which each would else find out by its own, a wait for a connection for each, and would not have done
-// so by the end of the cut. The invariant: a lead tells only what it has found out by connections, and its members
-// believe it only while they hear it.
+// This file defines how the boxes of a domain learn that another domain is unreachable. With many
+// boxes that each handle few requests, every box would otherwise detect it by itself at the cost
+// of one connection timeout, and many would not have done so before the partition ends. The
+// invariant: a leader reports only domains to which connections have failed, and members use the
+// report only while they hear the leader.
 
 import (
 	"slices"
 	"time"
 )
 
-// SilentDomains lists, for a lead, the domains whose leads were heard once and are heard no more: they may be cut off, or without a
-// living box.
+// SilentDomains lists, on a leader, the domains whose leaders were heard once and no longer are.
+// They may be cut off or have no running box.
 func (n *Node) SilentDomains(now time.Duration) []string {
 	if !n.IsLeader() {
 		return nil
 	}
 	heard := make(map[string]bool)
 	for _, p := range n.peers {
-		if p.leads && p.heard >= 0 && !n.sameDomain(p) {
-			heard[p.box.Domain] = heard[p.box.Domain] || n.leadIsHeard(now, p)
+		if p.isLeader && p.lastHeard >= 0 && !n.sameDomain(p) {
+			heard[p.box.Domain] = heard[p.box.Domain] || n.isActiveLeader(now, p)
 		}
 	}
 	var list []string
-	for domain, isHeard := range heard {
-		if !isHeard {
+	for domain, active := range heard {
+		if !active {
 			list = append(list, domain)
 		}
 	}
@@ -32,21 +33,23 @@
 	return list
 }
 
-// SetCutOff notes which domains this box finds cut off, in order. As a lead it tells its members at once.
+// SetCutOff sets the domains that this box cannot reach, in sorted order. A leader announces them
+// to its members at once.
 func (n *Node) SetCutOff(domains []string) {
 	if slices.Equal(domains, n.cutOff) {
 		return
 	}
 	n.cutOff = domains
 	if n.IsLeader() {
-		n.lastBeat = never
+		n.lastHeartbeat = never
 	}
 }
 
-// CutOff lists the domains that this box's lead finds cut off, as far as it is heard.
+// CutOff returns the domains that the leader of this box cannot reach, or none if the leader is
+// not heard.
 func (n *Node) CutOff(now time.Duration) []string {
-	p := n.peers[n.lead().Name]
-	if p == nil || !p.leads || now-p.heard > n.cfg.Timing.Silence {
+	p := n.peers[n.leader().Name]
+	if p == nil || !p.isLeader || now-p.lastHeard > n.cfg.Timing.LeaderTimeout {
 		return nil
 	}
 	return p.cutOff
--- a/group/cutoff_test.go
+++ b/group/cutoff_test.go
@@ -9,21 +9,21 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// A lead names the domains that it heard and hears no more; its members are told which of them it finds cut off, within a
-// moment, and believe it for as long as they hear it.
-func TestMembersAreToldWhichDomainsAreCutOff(t *testing.T) {
+// A leader lists the domains it once heard and no longer hears. Its members learn at once which
+// of them it cannot reach, and use that only while they hear the leader.
+func TestMembersLearnUnreachableDomains(t *testing.T) {
 	is := is.New(t)
-	w := across(t, 5, layout{3, 1}, 30)
+	w := startRegions(t, 5, layout{3, 1}, 30)
 	lead, member := w.boxes[boxName(0, 0)].node, w.boxes[boxName(0, 5)].node
 	is.Equal(lead.SilentDomains(w.now), nil)
-	w.severs = func(a, b *wire.GroupBox) bool { return (a.Domain == "domain2") != (b.Domain == "domain2") }
+	w.linkCut = func(a, b *wire.GroupBox) bool { return (a.Domain == "domain2") != (b.Domain == "domain2") }
 	w.run(1100 * time.Millisecond)
 	is.Equal(lead.SilentDomains(w.now), []string{"domain2"})
 	is.Equal(member.SilentDomains(w.now), nil)
 	lead.SetCutOff([]string{"domain2"})
 	w.run(200 * time.Millisecond)
 	is.Equal(member.CutOff(w.now), []string{"domain2"})
-	w.severs = nil
+	w.linkCut = nil
 	w.run(3 * time.Second)
 	is.Equal(lead.SilentDomains(w.now), nil)
 	lead.SetCutOff(nil)
--- a/group/cost_bench_test.go
+++ b/group/domain_bench_test.go
@@ -8,15 +8,15 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// BenchmarkDomain tells what a domain's boxes say to each other in a calm minute and
-// under load: bytes a second of a member and of the lead, datagram heads excluded.
+// BenchmarkDomain measures the messages within a domain, idle and under load: bytes per second of
+// a member and of the leader, without datagram headers.
 func BenchmarkDomain(b *testing.B) {
 	for _, boxes := range []int{10, 30, 93} {
 		for _, busy := range []bool{false, true} {
 			b.Run(fmt.Sprintf("boxes=%d/busy=%v", boxes, busy), func(b *testing.B) {
 				for range b.N {
-					w := newWorld(b, 1)
-					w.fleet(1, boxes)
+					w := newSimulation(b, 1)
+					w.startFleet(1, boxes)
 					w.run(5 * time.Second)
 					w.bytes, w.calls = 0, 0
 					clear(w.sent)
@@ -37,8 +37,8 @@
 	}
 }
 
-// shuffleLoads gives each box work on four upstreams that changes with every step.
-func (w *world) shuffleLoads(step int) {
+// shuffleLoads gives each box loads on four upstreams that change with every step.
+func (w *simulation) shuffleLoads(step int) {
 	for i, name := range w.names {
 		loads := make(Loads)
 		for u := range 4 {
--- a/group/fatal_replay_test.go
+++ b/group/fatal_replay_test.go
@@ -10,33 +10,34 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// fatalRun is a run of the fatal request at an upstream, which ends under it.
+// fatalRun is one execution of the fatal request at an upstream, which crashes under it.
 type fatalRun struct {
-	box    *testBox
-	name   string // of the box
-	life   balance.Incarnation
-	begins time.Duration
-	ends   time.Duration
-	again  bool // the box may send it once more
+	box      *testBox
+	name     string // of the box
+	life     balance.Incarnation
+	startsAt time.Duration
+	endsAt   time.Duration
+	mayRetry bool // the box may send the request once more
 }
 
-// fatalDay replays a request that ends what runs it, at boxes that act by what they were told.
-type fatalDay struct {
-	*holders
-	every time.Duration // between two arrivals
-	due   time.Duration
-	runs  []fatalRun
-	sent  []time.Duration // when it was sent to an upstream
-	ended []time.Duration // when an upstream ended under it
+// fatalReplay replays a request that crashes every upstream it runs on, with boxes that withhold
+// it once they have learned of that.
+type fatalReplay struct {
+	*suspectTables
+	interval    time.Duration // between two arrivals
+	nextArrival time.Duration
+	runs        []fatalRun
+	sentAt      []time.Duration // when it was sent to an upstream
+	crashedAt   []time.Duration // when an upstream crashed under it
 }
 
-// pass lets time pass.
-func (d *fatalDay) pass(span time.Duration) {
-	for end := d.w.now + span; d.w.now < end; {
-		d.run(step)
-		if d.w.now >= d.due {
-			d.due = d.w.now + d.every
-			name := d.w.names[d.w.random.IntN(len(d.w.names))]
+// advance runs the simulation for a while.
+func (d *fatalReplay) advance(span time.Duration) {
+	for end := d.sim.now + span; d.sim.now < end; {
+		d.runTables(step)
+		if d.sim.now >= d.nextArrival {
+			d.nextArrival = d.sim.now + d.interval
+			name := d.sim.names[d.sim.random.IntN(len(d.sim.names))]
 			d.send(name, true)
 		}
 		runs := d.runs
@@ -47,66 +48,67 @@
 	}
 }
 
-// send sends it to an upstream, unless the box withholds it or is not there.
-func (d *fatalDay) send(name string, again bool) {
-	b := d.w.boxes[name]
-	if s := d.tables[name]; b.dead || s == nil || s.Left(d.w.now, fatal) > 0 {
+// send sends the request to an upstream, unless the box withholds it or is down.
+func (d *fatalReplay) send(name string, mayRetry bool) {
+	b := d.sim.boxes[name]
+	if s := d.tables[name]; b.dead || s == nil || s.Left(d.sim.now, fatalContent) > 0 {
 		return
 	}
-	d.sent = append(d.sent, d.w.now)
-	begins := d.w.now + time.Duration(50+d.w.random.IntN(300))*time.Millisecond
-	ends := begins + time.Duration(10+d.w.random.IntN(100))*time.Millisecond
-	d.runs = append(d.runs, fatalRun{b, name, balance.Incarnation{ID: fmt.Sprint("u", len(d.sent))}, begins, ends, again})
+	d.sentAt = append(d.sentAt, d.sim.now)
+	startsAt := d.sim.now + time.Duration(50+d.sim.random.IntN(300))*time.Millisecond
+	endsAt := startsAt + time.Duration(10+d.sim.random.IntN(100))*time.Millisecond
+	d.runs = append(d.runs, fatalRun{b, name, balance.Incarnation{ID: fmt.Sprint("u", len(d.sentAt))}, startsAt, endsAt, mayRetry})
 }
 
-// step looks at one run.
-func (d *fatalDay) step(r fatalRun) {
-	isThere := d.w.boxes[r.name] == r.box && !r.box.dead
-	switch withheld := isThere && d.tables[r.name].Left(d.w.now, fatal) > 0; {
-	case !isThere && d.w.now < r.begins, withheld && d.w.now < r.begins: // its connection is closed before it begins
-	case d.w.now < r.ends:
+// step advances one run of the request.
+func (d *fatalReplay) step(r fatalRun) {
+	running := d.sim.boxes[r.name] == r.box && !r.box.dead
+	switch withheld := running && d.tables[r.name].Left(d.sim.now, fatalContent) > 0; {
+	case !running && d.sim.now < r.startsAt, withheld && d.sim.now < r.startsAt: // its connection is closed before it starts
+	case d.sim.now < r.endsAt:
 		d.runs = append(d.runs, r)
 	default:
-		d.ended = append(d.ended, d.w.now)
-		if isThere {
-			d.tables[r.name].CutOff(d.w.now, fatal, r.life)
-			d.tables[r.name].Ended(d.w.now, r.life)
-			if r.again {
+		d.crashedAt = append(d.crashedAt, d.sim.now)
+		if running {
+			d.tables[r.name].CutOff(d.sim.now, fatalContent, r.life)
+			d.tables[r.name].Ended(d.sim.now, r.life)
+			if r.mayRetry {
 				d.send(r.name, false)
 			}
 		}
 	}
 }
 
-// newFatalDay starts eight boxes in four domains, among which the request comes every so often.
-func newFatalDay(t *testing.T, seed uint64, every time.Duration) *fatalDay {
-	w := newWorld(t, seed)
+// newFatalReplay starts eight boxes in four domains; the request arrives at one of them at each
+// interval.
+func newFatalReplay(t *testing.T, seed uint64, interval time.Duration) *fatalReplay {
+	w := newSimulation(t, seed)
 	w.seeds = []string{"b00", "b10", "b20"}
-	d := &fatalDay{holders: newHolders(w), every: every, due: 3 * time.Second}
+	d := &fatalReplay{suspectTables: newSuspectTables(w), interval: interval, nextArrival: 3 * time.Second}
 	for i := range 8 {
 		w.start(fmt.Sprintf("b%d%d", i%4, i/4), fmt.Sprint("d", i%4), uint32(20-i), true)
 	}
 	return d
 }
 
-// killAll kills all boxes at once; they start again a second later, one after the other.
-func (d *fatalDay) killAll() {
-	for _, name := range d.w.names {
-		d.w.boxes[name].dead = true
+// killAll stops all boxes at once and starts them again, one after the other, a second later.
+func (d *fatalReplay) killAll() {
+	for _, name := range d.sim.names {
+		d.sim.boxes[name].dead = true
 	}
-	d.due = d.w.now + time.Hour
-	d.pass(time.Second)
-	for i, name := range d.w.names {
-		b := d.w.boxes[name]
-		d.w.start(name, b.self.Domain, b.self.Strength, false)
-		d.pass(time.Duration(10+i) * time.Millisecond)
+	d.nextArrival = d.sim.now + time.Hour
+	d.advance(time.Second)
+	for i, name := range d.sim.names {
+		b := d.sim.boxes[name]
+		d.sim.start(name, b.self.Domain, b.self.Strength, false)
+		d.advance(time.Duration(10+i) * time.Millisecond)
 	}
 }
 
-// later counts what was sent after a moment.
-func (d *fatalDay) later(moment time.Duration) int {
+// sentAfter counts the times the request was sent after a moment.
+func (d *fatalReplay) sentAfter(moment time.Duration) int {
 	n := 0
-	for _, at := range d.sent {
+	for _, at := range d.sentAt {
 		if at > moment {
 			n++
 		}
@@ -115,43 +117,45 @@
 }
 
 const (
-	// mostMore is how often such a request may be sent once boxes must know of it.
-	mostMore = 3
-	// inTouch is how long after a disturbance a box has to know.
-	inTouch = 3 * time.Second
-	// quiet is how long it stays away after all boxes were killed: they have forgotten it, and
-	// it is back when they have to know.
-	quiet = 4 * time.Second
+	// maxLaterSends is how often the request may be sent after the time by which boxes must know
+	// of it.
+	maxLaterSends = 3
+	// recoveryBound is how long after a disturbance a box must know of the request.
+	recoveryBound = 3 * time.Second
+	// quietPeriod is the time without the request after all boxes were restarted and have
+	// forgotten it. It arrives again when boxes must be in contact.
+	quietPeriod = 4 * time.Second
 )
 
-// The request comes at one box after another. Once it has ended a third upstream, and boxes have had time to tell
-// each other, it is sent to none. Where all boxes were killed at once, nobody knows of it any more; then it is sent
-// as often as it takes to find out, and what came meanwhile is under way already.
-func TestAFatalRequestEndsFewUpstreams(t *testing.T) {
+// The request arrives at one box after another. Once it has crashed a third upstream and the
+// boxes have had time to tell each other, it is sent to no upstream. After a restart of all boxes
+// at once, they must learn again; the limit allows for runs that are already in progress when
+// they do.
+func TestFatalRequestCrashesFewUpstreams(t *testing.T) {
 	for _, test := range []struct {
-		every time.Duration
-		ended int // upstreams at the most
-		more  int // times that it is sent after all boxes were killed, at the most
+		interval   time.Duration
+		maxCrashes int // upstreams, at most
+		maxSends   int // times the request is sent after all boxes were restarted, at most
 	}{
 		{100 * time.Millisecond, 7, 10},
 		{250 * time.Millisecond, 5, 6},
 		{400 * time.Millisecond, 4, 4},
-		{time.Second, 3, mostMore},
+		{time.Second, 3, maxLaterSends},
 	} {
-		t.Run(test.every.String(), func(t *testing.T) {
+		t.Run(test.interval.String(), func(t *testing.T) {
 			is := is.New(t)
 			for seed := range uint64(15) {
-				d := newFatalDay(t, seed, test.every)
-				d.pass(15 * time.Second)
-				is.True(len(d.ended) >= 2)
-				is.True(len(d.ended) <= test.ended)
-				third := d.ended[min(2, len(d.ended)-1)]
-				is.Equal(d.later(third+inTouch), 0)
+				d := newFatalReplay(t, seed, test.interval)
+				d.advance(15 * time.Second)
+				is.True(len(d.crashedAt) >= 2)
+				is.True(len(d.crashedAt) <= test.maxCrashes)
+				third := d.crashedAt[min(2, len(d.crashedAt)-1)]
+				is.Equal(d.sentAfter(third+recoveryBound), 0)
 				d.killAll()
-				back := d.w.now
-				d.due = back + quiet
-				d.pass(10 * time.Second)
-				is.True(d.later(back) <= test.more)
+				restarted := d.sim.now
+				d.nextArrival = restarted + quietPeriod
+				d.advance(10 * time.Second)
+				is.True(d.sentAfter(restarted) <= test.maxSends)
 			}
 		})
 	}
--- a/group/lane.go
+++ b/group/lane.go
@@ -1,9 +1,9 @@
 package group
 
-// This file defines how boxes agree on the division of services into lanes: the
-// strongest lead decides, the other leads take over what it says, and each box what its
-// own lead says. The invariant: boxes in touch with the same lead go by the same
-// division; one that hears of none goes by its own.
+// This file defines how boxes agree on the division of services into lanes. The strongest leader
+// decides, the other leaders adopt its division, and each member that of its own leader. The
+// invariant: boxes that hear the same leader use the same division; a box that hears none uses
+// its own.
 
 import (
 	"cmp"
@@ -14,39 +14,38 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// SetLanes notes how this box would divide services.
+// SetLanes sets the division that this box would choose.
 func (n *Node) SetLanes(own balance.LanePlan) { n.ownLanes = own }
 
-// Lanes is the division to go by; nil means this box's own.
+// Lanes returns the division to use; nil means that of this box.
 func (n *Node) Lanes(now time.Duration) balance.LanePlan {
-	if now-n.lanesAt > n.cfg.Timing.Silence || n.decidesLanes(now) {
+	if now-n.lanesAt > n.cfg.Timing.LeaderTimeout || n.decidesLanes(now) {
 		return nil
 	}
 	return n.lanes
 }
 
-// decidesLanes reports whether this box is the strongest lead that it hears of.
+// decidesLanes reports whether this box is the strongest leader it hears.
 func (n *Node) decidesLanes(now time.Duration) bool {
-	return n.IsLeader() && n.strongestLead(now) == n.cfg.Self
+	return n.IsLeader() && n.strongestLeader(now) == n.cfg.Self
 }
 
-// strongestLead is the strongest of the leads of all domains that are heard.
-func (n *Node) strongestLead(now time.Duration) *wire.GroupBox {
-	return n.bestLead(now, func(*peer) bool { return true })
+// strongestLeader returns the strongest active leader of all domains.
+func (n *Node) strongestLeader(now time.Duration) *wire.GroupBox {
+	return n.strongestLeaderWhere(now, func(*peer) bool { return true })
 }
 
-// followed is the box whose division this one takes over.
-func (n *Node) followed(now time.Duration) *wire.GroupBox {
+// laneAuthority returns the box whose division this box adopts.
+func (n *Node) laneAuthority(now time.Duration) *wire.GroupBox {
 	if n.IsLeader() {
-		return n.strongestLead(now)
+		return n.strongestLeader(now)
 	}
-	return n.lead()
+	return n.leader()
 }
 
-// takeLanes takes over the division that a message tells, if its sender is the one to
-// be followed.
-func (n *Node) takeLanes(now time.Duration, p *peer, m *wire.GroupMessage) {
-	if !m.Leads || p.box.Name != n.followed(now).Name {
+// receiveLanes adopts the division in a message if the sender is the lane authority.
+func (n *Node) receiveLanes(now time.Duration, p *peer, m *wire.GroupMessage) {
+	if !m.Leads || p.box.Name != n.laneAuthority(now).Name {
 		return
 	}
 	n.lanes, n.lanesAt = make(balance.LanePlan, len(m.Lanes)), now
@@ -55,7 +54,7 @@
 	}
 }
 
-// packLanes is what a lead tells of the division it goes by, in a fixed order.
+// packLanes returns the division announced by a leader, in a fixed order.
 func (n *Node) packLanes(now time.Duration) []*wire.GroupLane {
 	lanes := n.Lanes(now)
 	if lanes == nil {
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -11,115 +11,116 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// What an upstream that names a limit may get in limitSpan: limitTimes what that lets through, and limitSlack.
+// An upstream that announces a limit may receive, within limitSpan, limitOvershoot times the
+// requests that the limit allows, plus limitSlack.
 const (
-	limitSpan  = 4 * time.Second
-	limitTimes = 1.5
-	limitSlack = 5
+	limitSpan      = 4 * time.Second
+	limitOvershoot = 1.5
+	limitSlack     = 5
 )
 
-// needyUpstream is an upstream that may name a limit.
-type needyUpstream struct {
+// limitedUpstream is an upstream that may announce a limit.
+type limitedUpstream struct {
 	balance.Upstream
-	limit float64       // below 0: it names none
-	named time.Duration // when it first named one; 0: it has not
-	got   []gotRequest
+	limit       float64       // negative: it announces none
+	announcedAt time.Duration // when it first announced one; 0: not yet
+	requests    []receivedRequest
 }
 
-// gotRequest is a request that reached an upstream.
-type gotRequest struct {
+// receivedRequest is a request that reached an upstream.
+type receivedRequest struct {
 	at  time.Duration
 	box string
 }
 
-// headUnderWay is an answer's head on its way to a box.
-type headUnderWay struct {
-	box  *testBox
-	name string // of the box
-	life balance.Incarnation
-	told balance.LimitStatement
-	at   time.Duration
-	done func()
+// responseHead is the head of a response in transit to a box.
+type responseHead struct {
+	box       *testBox
+	name      string // of the box
+	life      balance.Incarnation
+	statement balance.LimitStatement
+	at        time.Duration
+	finish    func()
 }
 
-// needyConfig is what a day is like.
-type needyConfig struct {
+// limitReplayConfig configures a limitReplay.
+type limitReplayConfig struct {
 	seed                      uint64
 	domains, boxes, upstreams int
 	perSecond                 float64 // requests, over all boxes
 	prompts                   bool    // requests have prompts
-	off                       bool    // boxes pass limits by
+	limitsDisabled            bool    // boxes ignore limits
 }
 
-// needyDay replays requests at boxes before upstreams that name limits, on a virtual clock.
-type needyDay struct {
-	cfg       needyConfig
-	w         *world
-	upstreams []*needyUpstream
-	fleets    map[string]*balance.Fleet
-	lives     map[string]*testBox
-	disturbed map[string]time.Duration // by box: until when it counts as out of touch
-	heads     []headUnderWay
-	due       time.Duration
-	count     int
-	refused   [balance.Levels]int
-	placed    [balance.Levels]int
+// limitReplay replays requests at boxes whose upstreams announce limits, on a virtual clock.
+type limitReplay struct {
+	cfg            limitReplayConfig
+	w              *simulation
+	upstreams      []*limitedUpstream
+	fleets         map[string]*balance.Fleet
+	fleetBoxes     map[string]*testBox
+	disturbedUntil map[string]time.Duration // by box: until when it counts as out of contact
+	heads          []responseHead
+	nextArrival    time.Duration
+	arrivals       int
+	refused        [balance.Levels]int
+	placed         [balance.Levels]int
 }
 
-// boundsOfDay are those that boxes keep to.
-var boundsOfDay = balance.LimitBounds{Span: limitSpan, Overshoot: limitTimes, Slack: limitSlack}
+// limitBounds are the bounds that boxes observe.
+var limitBounds = balance.LimitBounds{Span: limitSpan, Overshoot: limitOvershoot, Slack: limitSlack}
 
-// newNeedyDay starts boxes and upstreams, each spread over the domains.
-func newNeedyDay(t testing.TB, cfg needyConfig) *needyDay {
-	w := newWorld(t, cfg.seed)
+// newLimitReplay starts boxes and upstreams, distributed over the domains.
+func newLimitReplay(t testing.TB, cfg limitReplayConfig) *limitReplay {
+	w := newSimulation(t, cfg.seed)
 	w.seeds = []string{"b0", "b1", "b2"}
-	d := &needyDay{cfg: cfg, w: w, fleets: make(map[string]*balance.Fleet), lives: make(map[string]*testBox),
-		disturbed: make(map[string]time.Duration)}
+	d := &limitReplay{cfg: cfg, w: w, fleets: make(map[string]*balance.Fleet), fleetBoxes: make(map[string]*testBox),
+		disturbedUntil: make(map[string]time.Duration)}
 	for i := range cfg.upstreams {
-		d.upstreams = append(d.upstreams, &needyUpstream{limit: -1, Upstream: balance.Upstream{ID: fmt.Sprint("u", i), Service: "s",
+		d.upstreams = append(d.upstreams, &limitedUpstream{limit: -1, Upstream: balance.Upstream{ID: fmt.Sprint("u", i), Service: "s",
 			Address: fmt.Sprint("10.0.0.", i, ":1"), Domain: fmt.Sprint("d", i%cfg.domains), Slots: 64}})
 	}
 	for i := range cfg.boxes {
 		w.start(fmt.Sprint("b", i), fmt.Sprint("d", i%cfg.domains), uint32(cfg.boxes-i), true)
 	}
-	d.due = 5 * time.Second
-	d.pass(10 * time.Second)
+	d.nextArrival = 5 * time.Second
+	d.advance(10 * time.Second)
 	return d
 }
 
-// fleetOf is the fleet of a box's present life.
-func (d *needyDay) fleetOf(name string) *balance.Fleet {
+// fleetOf returns the balance.Fleet of a box, which is new after each restart.
+func (d *limitReplay) fleetOf(name string) *balance.Fleet {
 	b := d.w.boxes[name]
-	if d.lives[name] == b {
+	if d.fleetBoxes[name] == b {
 		return d.fleets[name]
 	}
 	regions := make(map[string]string)
 	for _, u := range d.upstreams {
 		regions[u.Domain] = "r"
 	}
-	off := balance.Off{balance.Limits: d.cfg.off}
-	f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Regions: regions, Tuning: balance.DefaultTuning, Named: boundsOfDay, Off: off})
+	off := balance.Off{balance.Limits: d.cfg.limitsDisabled}
+	f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Regions: regions, Tuning: balance.DefaultTuning, Named: limitBounds, Off: off})
 	for _, u := range d.upstreams {
 		f.Put(d.w.now, u.Upstream)
 	}
-	d.fleets[name], d.lives[name] = f, b
+	d.fleets[name], d.fleetBoxes[name] = f, b
 	return f
 }
 
-// pass lets time pass.
-func (d *needyDay) pass(span time.Duration) {
+// advance runs the simulation for a while.
+func (d *limitReplay) advance(span time.Duration) {
 	for end := d.w.now + span; d.w.now < end; {
 		d.w.run(step)
-		d.share()
-		d.readHeads()
-		for ; d.w.now >= d.due; d.due += time.Duration(float64(time.Second) / d.cfg.perSecond) {
+		d.syncFleets()
+		d.deliverHeads()
+		for ; d.w.now >= d.nextArrival; d.nextArrival += time.Duration(float64(time.Second) / d.cfg.perSecond) {
 			d.arrive()
 		}
 	}
 }
 
-// share joins the boxes' fleets to their nodes as a box does it.
-func (d *needyDay) share() {
+// syncFleets exchanges limits between the boxes' fleets and nodes, as a box does.
+func (d *limitReplay) syncFleets() {
 	now := d.w.now
 	for i, name := range d.w.names {
 		b := d.w.boxes[name]
@@ -127,7 +128,7 @@
 			continue
 		}
 		f := d.fleetOf(name)
-		if (int(now/step)+i)%tickStep == 0 {
+		if (int(now/step)+i)%stepsPerTick == 0 {
 			f.SetSharers(b.node.Sharers(now))
 			f.SetBoxes(b.node.BoxCount(), true)
 			f.ForgetNamed(now)
@@ -139,20 +140,20 @@
 			b.node.SetLimits(f.NamedAll(now))
 		}
 		b.node.FlushLimits(now)
-		d.w.collect(b)
+		d.w.sendOutgoing(b)
 	}
 }
 
-// arrive has a request come to a box.
-func (d *needyDay) arrive() {
-	d.count++
+// arrive handles a new request at a random box.
+func (d *limitReplay) arrive() {
+	d.arrivals++
 	name := d.w.names[d.w.random.IntN(len(d.w.names))]
 	b := d.w.boxes[name]
 	if b.dead || b.frozen {
 		return
 	}
 	f, now := d.fleetOf(name), d.w.now
-	r := balance.Request{Service: "s", Urgency: d.count % 2}
+	r := balance.Request{Service: "s", Urgency: d.arrivals % 2}
 	if d.cfg.prompts {
 		r.Parts, r.Tokens = []balance.Part{{ID: d.w.random.Uint64(), Tokens: 500}, {ID: d.w.random.Uint64(), Tokens: 100}}, 600
 	}
@@ -163,66 +164,67 @@
 	}
 	d.placed[r.Urgency]++
 	ticket := f.Open(now, choice.Upstream.ID, r)
-	u := d.upstreams[slices.IndexFunc(d.upstreams, func(u *needyUpstream) bool { return u.ID == choice.Upstream.ID })]
-	reaches := now + time.Duration(1+d.w.random.IntN(20))*time.Millisecond
-	reads := reaches + time.Duration(20+d.w.random.IntN(100))*time.Millisecond
-	u.got = append(u.got, gotRequest{reaches, name})
-	told := balance.LimitStatement{Named: u.limit >= 0, PerSecond: max(u.limit, 0), Sent: now, Read: reads}
-	if told.Named && u.named == 0 {
-		u.named = reads
+	u := d.upstreams[slices.IndexFunc(d.upstreams, func(u *limitedUpstream) bool { return u.ID == choice.Upstream.ID })]
+	receivedAt := now + time.Duration(1+d.w.random.IntN(20))*time.Millisecond
+	readAt := receivedAt + time.Duration(20+d.w.random.IntN(100))*time.Millisecond
+	u.requests = append(u.requests, receivedRequest{receivedAt, name})
+	statement := balance.LimitStatement{Named: u.limit >= 0, PerSecond: max(u.limit, 0), Sent: now, Read: readAt}
+	if statement.Named && u.announcedAt == 0 {
+		u.announcedAt = readAt
 	}
-	d.heads = append(d.heads, headUnderWay{box: b, name: name, life: u.Incarnation(), told: told, at: reads, done: func() { ticket.Close(d.w.now, balance.Answered) }})
+	d.heads = append(d.heads, responseHead{box: b, name: name, life: u.Incarnation(), statement: statement, at: readAt, finish: func() { ticket.Close(d.w.now, balance.Answered) }})
 }
 
-// readHeads hands boxes the heads that have come.
-func (d *needyDay) readHeads() {
-	d.heads = slices.DeleteFunc(d.heads, func(h headUnderWay) bool {
+// deliverHeads delivers the response heads that are due.
+func (d *limitReplay) deliverHeads() {
+	d.heads = slices.DeleteFunc(d.heads, func(h responseHead) bool {
 		b := d.w.boxes[h.name]
 		switch {
 		case h.at > d.w.now, b == h.box && b.frozen:
 			return false
 		case b == h.box && !b.dead:
-			h.told.Read = d.w.now
-			d.fleetOf(h.name).Says(d.w.now, h.life, h.told)
-			h.done()
+			h.statement.Read = d.w.now
+			d.fleetOf(h.name).Says(d.w.now, h.life, h.statement)
+			h.finish()
 		}
 		return true
 	})
 }
 
-// disturb notes that a box is out of touch until a while from now.
-func (d *needyDay) disturb(name string, span time.Duration) {
-	d.disturbed[name] = max(d.disturbed[name], d.w.now+span)
+// markDisturbed marks a box as out of contact for a while.
+func (d *limitReplay) markDisturbed(name string, span time.Duration) {
+	d.disturbedUntil[name] = max(d.disturbedUntil[name], d.w.now+span)
 }
 
-// worst is the most that an upstream got in limitSpan from boxes in touch, from the time on at which they must
-// know its limit. Those that were out of touch in the span, or shortly before, do not count.
-func (u *needyUpstream) worst(d *needyDay) int {
-	most := 0
-	for i, last := range u.got {
-		if last.at < u.named+inTouch {
+// maxInSpan returns the largest number of requests that an upstream received within limitSpan,
+// counted from the time at which boxes in contact must know its limit. Requests from boxes that
+// were out of contact during the span or shortly before do not count.
+func (u *limitedUpstream) maxInSpan(d *limitReplay) int {
+	maximum := 0
+	for i, last := range u.requests {
+		if last.at < u.announcedAt+recoveryBound {
 			continue
 		}
 		n := 0
-		for _, g := range u.got[:i+1] {
-			if last.at-g.at < limitSpan && d.disturbed[g.box] < g.at {
+		for _, g := range u.requests[:i+1] {
+			if last.at-g.at < limitSpan && d.disturbedUntil[g.box] < g.at {
 				n++
 			}
 		}
-		most = max(most, n)
+		maximum = max(maximum, n)
 	}
-	return most
+	return maximum
 }
 
-// allowed is how much that may be under a limit.
-func allowed(perSecond float64) int {
-	return int(limitTimes*perSecond*limitSpan.Seconds() + limitSlack)
+// allowedRequests returns the number of requests allowed within limitSpan under a limit.
+func allowedRequests(perSecond float64) int {
+	return int(limitOvershoot*perSecond*limitSpan.Seconds() + limitSlack)
 }
 
-// since counts what an upstream got since a moment.
-func (u *needyUpstream) since(moment time.Duration) int {
+// receivedSince counts the requests that an upstream received since a moment.
+func (u *limitedUpstream) receivedSince(moment time.Duration) int {
 	n := 0
-	for _, g := range u.got {
+	for _, g := range u.requests {
 		if g.at >= moment {
 			n++
 		}
@@ -230,69 +232,69 @@
 	return n
 }
 
-// restart kills a box and starts it again after a while.
-func (d *needyDay) restart(name string, after time.Duration) {
+// restart stops a box and starts it again after a while.
+func (d *limitReplay) restart(name string, after time.Duration) {
 	b := d.w.boxes[name]
 	b.dead = true
-	d.disturb(name, after+inTouch)
-	d.pass(after)
+	d.markDisturbed(name, after+recoveryBound)
+	d.advance(after)
 	d.w.start(name, b.self.Domain, b.self.Strength, false)
 }
 
-// limitTroubles are what boxes meet while upstreams name limits.
-var limitTroubles = []struct {
+// limitFaults are the faults that occur while upstreams announce limits.
+var limitFaults = []struct {
 	name string
-	do   func(d *needyDay)
+	do   func(d *limitReplay)
 }{
-	{"nothing", func(d *needyDay) { d.pass(15 * time.Second) }},
-	{"boxes are restarted one after the other", func(d *needyDay) {
-		d.pass(5 * time.Second)
+	{"no fault", func(d *limitReplay) { d.advance(15 * time.Second) }},
+	{"boxes restart one after the other", func(d *limitReplay) {
+		d.advance(5 * time.Second)
 		for _, name := range d.w.names[:min(6, len(d.w.names))] {
 			d.restart(name, 700*time.Millisecond)
-			d.pass(500 * time.Millisecond)
+			d.advance(500 * time.Millisecond)
 		}
-		d.pass(8 * time.Second)
+		d.advance(8 * time.Second)
 	}},
-	{"a lead dies just when it was told", func(d *needyDay) {
-		d.pass(50 * time.Millisecond)
+	{"a leader stops right after it learned a limit", func(d *limitReplay) {
+		d.advance(50 * time.Millisecond)
 		d.w.boxes["b0"].dead = true
-		d.disturb("b0", time.Hour)
-		d.pass(12 * time.Second)
+		d.markDisturbed("b0", time.Hour)
+		d.advance(12 * time.Second)
 	}},
-	{"a domain is cut off from the others", func(d *needyDay) {
-		d.pass(100 * time.Millisecond)
-		d.w.cut["d1"] = true
-		d.pass(20 * time.Second)
-		d.w.cut["d1"] = false
-		d.pass(8 * time.Second)
+	{"a domain is cut off from the others", func(d *limitReplay) {
+		d.advance(100 * time.Millisecond)
+		d.w.cutDomains["d1"] = true
+		d.advance(20 * time.Second)
+		d.w.cutDomains["d1"] = false
+		d.advance(8 * time.Second)
 	}},
-	{"a box is frozen", func(d *needyDay) {
+	{"a box is frozen", func(d *limitReplay) {
 		d.w.boxes["b1"].frozen = true
-		d.disturb("b1", 4*time.Second+inTouch)
-		d.pass(4 * time.Second)
+		d.markDisturbed("b1", 4*time.Second+recoveryBound)
+		d.advance(4 * time.Second)
 		d.w.boxes["b1"].frozen = false
-		d.pass(8 * time.Second)
+		d.advance(8 * time.Second)
 	}},
-	{"half of all messages are lost", func(d *needyDay) {
+	{"half of all messages are lost", func(d *limitReplay) {
 		d.w.loss = 0.5
-		d.pass(15 * time.Second)
+		d.advance(15 * time.Second)
 	}},
 }
 
-// Upstreams name limits of several sizes, far below what they get, and boxes are restarted, cut off, frozen and
-// misunderstood meanwhile: none gets more than it may.
-func TestUpstreamsGetNoMoreThanTheyName(t *testing.T) {
-	for _, test := range limitTroubles {
+// Upstreams announce limits of several sizes, far below their current load, while boxes are
+// restarted, cut off or frozen and messages are lost: none receives more than it may.
+func TestLimitsAreNotExceeded(t *testing.T) {
+	for _, test := range limitFaults {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(4) {
-				d := newNeedyDay(t, needyConfig{seed: seed, domains: 4, boxes: 8, upstreams: 9, perSecond: 80, prompts: seed%2 == 0})
+				d := newLimitReplay(t, limitReplayConfig{seed: seed, domains: 4, boxes: 8, upstreams: 9, perSecond: 80, prompts: seed%2 == 0})
 				for i, limit := range []float64{3.3, 1.5, 1, 0.5} {
 					d.upstreams[i].limit = limit
 				}
 				test.do(d)
 				for _, u := range d.upstreams[:4] {
-					if got := u.worst(d); got > allowed(u.limit) {
-						t.Errorf("seed %d: %d in %v at one that names %v, %d are allowed", seed, got, limitSpan, u.limit, allowed(u.limit))
+					if got := u.maxInSpan(d); got > allowedRequests(u.limit) {
+						t.Errorf("seed %d: %d requests in %v under a limit of %v per second, %d are allowed", seed, got, limitSpan, u.limit, allowedRequests(u.limit))
 					}
 				}
 			}
@@ -300,84 +302,84 @@
 	}
 }
 
-// All upstreams of a service name limits at once, and take half of what comes: none gets more than it may, what they
-// take is used, and the few places go to the urgent first.
-func TestWhatUpstreamsTakeIsUsedByTheUrgentFirst(t *testing.T) {
+// All upstreams of a service announce limits at once and accept half of the requests. None
+// receives more than it may, their capacity is used, and urgent requests are placed first.
+func TestLimitedCapacityGoesToUrgentRequests(t *testing.T) {
 	is := is.New(t)
 	var placed, refused [balance.Levels]int
-	got, lets := 0, 0.0
+	received, capacity := 0, 0.0
 	for seed := range uint64(6) {
-		d := newNeedyDay(t, needyConfig{seed: seed, domains: 4, boxes: 8, upstreams: 9, perSecond: 36, prompts: seed%2 == 0})
+		d := newLimitReplay(t, limitReplayConfig{seed: seed, domains: 4, boxes: 8, upstreams: 9, perSecond: 36, prompts: seed%2 == 0})
 		for _, u := range d.upstreams {
 			u.limit = 2
 		}
-		d.pass(limitSpan + time.Second)
+		d.advance(limitSpan + time.Second)
 		from := d.w.now
 		d.placed, d.refused = [balance.Levels]int{}, [balance.Levels]int{}
-		d.pass(20 * time.Second)
+		d.advance(20 * time.Second)
 		for _, u := range d.upstreams {
-			is.True(u.worst(d) <= allowed(u.limit))
-			got += u.since(from)
-			lets += u.limit * (d.w.now - from).Seconds()
+			is.True(u.maxInSpan(d) <= allowedRequests(u.limit))
+			received += u.receivedSince(from)
+			capacity += u.limit * (d.w.now - from).Seconds()
 		}
 		for level := range 2 {
 			placed[level] += d.placed[level]
 			refused[level] += d.refused[level]
 		}
 	}
-	t.Logf("%d of %.0f that they take were sent; %v placed, %v refused by urgency", got, lets, placed[:2], refused[:2])
-	is.True(float64(got) > lets/2)
+	t.Logf("sent %d of %.0f allowed requests; by urgency: %v placed, %v refused", received, capacity, placed[:2], refused[:2])
+	is.True(float64(received) > capacity/2)
 	is.True(refused[0] < refused[1]/2)
 }
 
-// An upstream that takes nothing, or next to nothing, is seen to take all again.
-func TestTheEndOfALimitIsSeen(t *testing.T) {
+// After an upstream lifts a limit of zero or nearly zero, boxes learn of that.
+func TestLiftedLimitIsNoticed(t *testing.T) {
 	for _, limit := range []float64{0, 0.01, 0.3, 2} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
 			is := is.New(t)
 			for seed := range uint64(4) {
-				d := newNeedyDay(t, needyConfig{seed: seed, domains: 4, boxes: 8, upstreams: 3, perSecond: 24})
+				d := newLimitReplay(t, limitReplayConfig{seed: seed, domains: 4, boxes: 8, upstreams: 3, perSecond: 24})
 				u := d.upstreams[0]
 				u.limit = limit
-				d.pass(15 * time.Second)
-				is.True(u.worst(d) <= allowed(limit))
+				d.advance(15 * time.Second)
+				is.True(u.maxInSpan(d) <= allowedRequests(limit))
 				u.limit = -1
-				ended := d.w.now
-				d.pass(12 * time.Second)
+				liftedAt := d.w.now
+				d.advance(12 * time.Second)
 				for _, name := range d.w.names {
 					_, isNamed := d.fleetOf(name).Limit(d.w.now, u.ID)
 					is.True(!isNamed)
 				}
-				is.True(u.since(ended) > 4)
+				is.True(u.receivedSince(liftedAt) > 4)
 			}
 		})
 	}
 }
 
-// At three hundred boxes before a hundred upstreams, all of which name limits at once: far less than a request a
-// second for each box and upstream.
-func TestThreeHundredBoxesSendUpstreamsNoMoreThanTheyName(t *testing.T) {
+// Three hundred boxes use a hundred upstreams that all announce limits at once, far below one
+// request per second for each pair of box and upstream.
+func TestThreeHundredBoxesObserveLimits(t *testing.T) {
 	if testing.Short() {
-		t.Skip("three hundred boxes take a while")
+		t.Skip("slow: simulates 300 boxes")
 	}
 	is := is.New(t)
-	d := newNeedyDay(t, needyConfig{seed: 1, domains: 3, boxes: 300, upstreams: 100, perSecond: 600, prompts: true})
+	d := newLimitReplay(t, limitReplayConfig{seed: 1, domains: 3, boxes: 300, upstreams: 100, perSecond: 600, prompts: true})
 	for i, u := range d.upstreams {
 		u.limit = []float64{10, 3, 1, 0.3}[i%4]
 	}
-	began := d.w.now
-	d.pass(3 * time.Second)
+	start := d.w.now
+	d.advance(3 * time.Second)
 	d.restart("b7", 500*time.Millisecond)
-	d.pass(9 * time.Second)
-	lets, got := 0.0, 0
+	d.advance(9 * time.Second)
+	capacity, received := 0.0, 0
 	for _, u := range d.upstreams {
-		worst := u.worst(d)
-		if worst > allowed(u.limit) {
-			t.Errorf("%s: %d in %v at one that names %v, %d are allowed", u.ID, worst, limitSpan, u.limit, allowed(u.limit))
+		worst := u.maxInSpan(d)
+		if worst > allowedRequests(u.limit) {
+			t.Errorf("%s: %d requests in %v under a limit of %v per second, %d are allowed", u.ID, worst, limitSpan, u.limit, allowedRequests(u.limit))
 		}
-		lets += u.limit * (d.w.now - began - limitSpan - time.Second).Seconds()
-		got += u.since(began + limitSpan + time.Second)
+		capacity += u.limit * (d.w.now - start - limitSpan - time.Second).Seconds()
+		received += u.receivedSince(start + limitSpan + time.Second)
 	}
-	t.Logf("%d of %.0f that they take were sent; %v placed, %v refused by urgency", got, lets, d.placed[:2], d.refused[:2])
-	is.True(float64(got) > lets/4)
+	t.Logf("sent %d of %.0f allowed requests; by urgency: %v placed, %v refused", received, capacity, d.placed[:2], d.refused[:2])
+	is.True(float64(received) > capacity/4)
 }
--- a/group/limits.go
+++ b/group/limits.go
@@ -1,7 +1,8 @@
 package group
 
-// This file defines how boxes tell each other which limits upstreams name; how that reaches all of
-// them stands in spread.go. An upstream tells only the boxes that it answers, and counts the requests of all.
+// This file defines how boxes tell each other which rate limits upstreams announce; replicator.go
+// defines how that reaches all boxes. An upstream announces its limit only to the boxes it
+// answers, but counts the requests of all.
 
 import (
 	"time"
@@ -10,12 +11,12 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// spreadOfLimits says how limits are told.
-var spreadOfLimits = spreadOf[balance.LimitReport]{
-	key:   func(x balance.LimitReport) uint64 { return uint64(x.Life) },
-	same:  func(a, b balance.LimitReport) bool { return a.PerSecond == b.PerSecond && a.HasEnded == b.HasEnded },
-	tells: func(balance.LimitReport) int { return spreadTells },
-	pack:  packLimits,
+// limitReplication defines how limits are replicated.
+var limitReplication = replicationRules[balance.LimitReport]{
+	key:       func(x balance.LimitReport) uint64 { return uint64(x.Life) },
+	same:      func(a, b balance.LimitReport) bool { return a.PerSecond == b.PerSecond && a.HasEnded == b.HasEnded },
+	sendCount: func(balance.LimitReport) int { return entrySendCount },
+	pack:      packLimits,
 }
 
 func packLimits(m *wire.GroupMessage, list []balance.LimitReport, digest uint64, all bool) {
@@ -26,35 +27,36 @@
 	}
 }
 
-// SetLimits says what this box knows of limits, and which of them hold.
+// SetLimits sets all limits this box knows, and those of them in force.
 func (n *Node) SetLimits(known, inForce []balance.LimitReport) {
 	n.limits.all, n.limits.digest = known, balance.DigestOfNamed(inForce)
 }
 
-// AnnounceLimits notes what is new, to be told. A member tells what it has read itself: all else comes from
-// its lead, which told the others as well.
+// AnnounceLimits queues new limits to be announced. A member announces only limits it read from
+// an answer itself: it learned all others from its leader, which announced them to the other
+// boxes too.
 func (n *Node) AnnounceLimits(list []balance.LimitReport) {
 	if n.IsLeader() {
-		n.limits.tell(list)
+		n.limits.announce(list)
 		return
 	}
 	for _, x := range list {
 		if x.Own {
-			n.limits.tell([]balance.LimitReport{x})
+			n.limits.announce([]balance.LimitReport{x})
 		}
 	}
 }
 
-// DrainLimits returns, once, what other boxes told.
+// DrainLimits returns the limits announced by other boxes since the last call.
 func (n *Node) DrainLimits() []balance.LimitReport { return n.limits.drain() }
 
-// FlushLimits tells what is new, unless that was done a moment ago.
+// FlushLimits sends queued limits, at most once per minFlushInterval.
 func (n *Node) FlushLimits(now time.Duration) { n.limits.flush(n, now) }
 
-// tellsLimits reports whether a message tells of limits, and nothing else.
-func tellsLimits(m *wire.GroupMessage) bool { return m.AllLimits || len(m.Limits) > 0 }
+// carriesLimits reports whether a message carries limits and nothing else.
+func carriesLimits(m *wire.GroupMessage) bool { return m.AllLimits || len(m.Limits) > 0 }
 
-// handleLimits takes in a message that tells of them.
+// handleLimits processes a message with limits.
 func (n *Node) handleLimits(now time.Duration, m *wire.GroupMessage) {
 	list := make([]balance.LimitReport, len(m.Limits))
 	for i, x := range m.Limits {
--- a/group/load.go
+++ b/group/load.go
@@ -1,15 +1,15 @@
 package group
 
-// This file defines how boxes tell each other what they have under way. The invariants: what a
-// box knows of the others' does not contain its own, but for what has changed while messages
-// were on their way; and no sum counts a box twice.
+// This file defines how boxes exchange their loads, that is the work they have in progress on
+// upstreams. The invariants: the loads a box holds for the others do not include its own, except
+// for changes while messages were in transit, and no sum counts a box twice.
 //
-// A member tells its lead. A lead tells the other leads of its region the sum of its domain;
-// the region's lead, the strongest of them, tells the lead of each other region the sum of its
-// region, and the leads of its own region the sum of all others. A lead tells its members the
-// sum of all, of which each takes off its own. So each sum crosses the edge of a domain once for
-// each domain of the region, and the edge of a region once for each region. What is told when
-// stands in audience.go.
+// A member sends its loads to its leader. A leader sends the sum of its domain to the other
+// leaders of its region. The region leader, the strongest of them, sends the sum of its region to
+// the leader of each other region, and the sum of all other regions to the leaders of its own. A
+// leader sends its members the total, from which each subtracts its own loads. So each sum
+// crosses a domain boundary once per domain of the region, and a region boundary once per region.
+// recipients.go defines when sums are sent.
 
 import (
 	"time"
@@ -18,96 +18,98 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// The values of GroupMessage.scope: whose sum loads are.
+// The values of GroupMessage.scope: whose loads a message holds.
 const (
-	scopeDomain = iota // of the sender's domain, or all where it tells its members; of a member its own
-	scopeRegion        // of the sender's region
-	scopeBeyond        // of all other regions
-	scopeOwn           // of the sender alone, in changes that a member tells
+	scopeDomain       = iota // the sender's domain; all boxes, from a leader to its members; a member's own loads
+	scopeRegion              // the sender's region
+	scopeOtherRegions        // all other regions
+	scopeOwn                 // only the sender, in changes sent by a member
 )
 
-// SetLoads notes what this box itself has under way.
+// SetLoads sets the loads of this box.
 func (n *Node) SetLoads(l Loads) {
-	n.noteChanges(n.loads, l)
+	n.recordChangedLoads(n.loads, l)
 	n.loads = l
 }
 
-// OtherLoads is what the other boxes have under way.
-func (n *Node) OtherLoads() Loads { return n.others }
+// OtherLoads returns the loads of all other boxes. The caller must not modify them.
+func (n *Node) OtherLoads() Loads { return n.otherLoads }
 
-// tellLoads tells all there is, where that is due.
-func (n *Node) tellLoads(now time.Duration) {
+// sendLoads sends complete lists of loads where they are due.
+func (n *Node) sendLoads(now time.Duration) {
 	if n.IsLeader() {
-		n.tellLoadsAsLead(now)
+		n.sendLoadsAsLeader(now)
 		return
 	}
 	n.stepDown()
-	if p := n.peers[n.lead().Name]; p != nil && p.leads && n.worthTelling(now, p) {
-		n.tellAll(now, p)
+	if p := n.peers[n.leader().Name]; p != nil && p.isLeader && n.needsAllLoads(now, p) {
+		n.sendAllLoads(now, p)
 	}
 }
 
-// tellLoadsAsLead adds up anew what boxes have told, and tells it.
-func (n *Node) tellLoadsAsLead(now time.Duration) {
-	n.takeOver(now)
-	n.noteSpeaker(now)
-	n.settleInheritance(now)
+// sendLoadsAsLeader recomputes the sums of reported loads and sends them.
+func (n *Node) sendLoadsAsLeader(now time.Duration) {
+	n.becomeLeader(now)
+	n.updateRegionLeader(now)
+	n.updateInherited(now)
 	n.sums = n.sumLoads(now)
-	n.setOthers(without(n.sums.all(), n.loads))
-	for _, a := range n.listen(now) {
-		a.tellWhole(n, now)
+	n.setOtherLoads(subtractLoads(n.sums.total(), n.loads))
+	for _, g := range n.updateRecipients(now) {
+		g.sendFullList(n, now)
 	}
 }
 
-// gone reports whether a peer was not heard for so long that it is told nothing and its
-// loads count no more.
-func (n *Node) gone(now time.Duration, p *peer) bool { return now-p.heard > n.cfg.Timing.Member }
+// isGone reports whether a peer has timed out: it is sent nothing and its loads no longer count.
+func (n *Node) isGone(now time.Duration, p *peer) bool {
+	return now-p.lastHeard > n.cfg.Timing.MemberTimeout
+}
 
-// loadSums are loads by where the boxes are that have them.
+// loadSums holds sums of loads, by the location of the boxes.
 type loadSums struct {
-	domain, region, beyond Loads // region: its other domains; beyond: other regions
-	rest                   Loads // inherited, of boxes whose loads the others do not hold yet
+	domain, region, otherRegions Loads // region: its other domains; otherRegions: all boxes outside it
+	inherited                    Loads // from the time as a member, for boxes that are not in the other sums yet
 }
 
-// all adds up the four.
-func (s loadSums) all() Loads {
+// total adds up the four sums.
+func (s loadSums) total() Loads {
 	all := make(Loads, len(s.domain))
 	addLoads(all, s.domain)
 	addLoads(all, s.region)
-	addLoads(all, s.beyond)
-	addLoads(all, s.rest)
+	addLoads(all, s.otherRegions)
+	addLoads(all, s.inherited)
 	return all
 }
 
-// sources are those whose loads a lead adds up.
-type sources struct{ domain, region, beyond []Loads }
+// loadSources are the lists of loads that a leader adds up.
+type loadSources struct{ domain, region, otherRegions []Loads }
 
-// loadSources lists what is to be added up: of other domains what their leads told, of other
-// regions what one lead of each told, or the lead of this region.
-func (n *Node) loadSources(now time.Duration) sources {
-	s := sources{domain: []Loads{n.loads}}
+// loadSources returns the lists to add up. For other domains these are the sums reported by their
+// leaders; for other regions, the sums reported by one leader of each, or by this region's
+// leader.
+func (n *Node) loadSources(now time.Duration) loadSources {
+	s := loadSources{domain: []Loads{n.loads}}
 	for _, p := range n.peers {
 		switch {
-		case n.gone(now, p):
-			p.loads, p.region, p.beyond = nil, nil, nil
-			p.loadsAt, p.regionAt, p.beyondAt = never, never, never
+		case n.isGone(now, p):
+			p.loads, p.regionLoads, p.otherRegionLoads = nil, nil, nil
+			p.loadsAt, p.regionLoadsAt, p.otherRegionLoadsAt = never, never, never
 		case n.sameDomain(p):
 			s.domain = append(s.domain, p.loads)
 		}
 	}
-	for _, p := range n.domainLeads(now) {
+	for _, p := range n.otherDomainLeaders(now) {
 		s.region = append(s.region, p.loads)
 	}
-	s.beyond = n.beyondSources(now)
+	s.otherRegions = n.otherRegionLoadLists(now)
 	return s
 }
 
 // sumLoads adds up all loads.
 func (n *Node) sumLoads(now time.Duration) loadSums {
 	from := n.loadSources(now)
-	s := loadSums{domain: sumOf(from.domain), region: sumOf(from.region), beyond: sumOf(from.beyond), rest: make(Loads)}
-	if n.inherits != nil {
-		s.rest = without(n.inherits.others, without(s.all(), n.loads))
+	s := loadSums{domain: sumOf(from.domain), region: sumOf(from.region), otherRegions: sumOf(from.otherRegions), inherited: make(Loads)}
+	if n.inherited != nil {
+		s.inherited = subtractLoads(n.inherited.loads, subtractLoads(s.total(), n.loads))
 	}
 	return s
 }
@@ -120,21 +122,21 @@
 	return sum
 }
 
-// at is one of all loads.
-func (s loadSums) at(key balance.LoadKey) balance.Load {
-	return s.domain[key].Plus(s.region[key]).Plus(s.beyond[key]).Plus(s.rest[key])
+// loadAt returns the total load of one key.
+func (s loadSums) loadAt(key balance.LoadKey) balance.Load {
+	return s.domain[key].Plus(s.region[key]).Plus(s.otherRegions[key]).Plus(s.inherited[key])
 }
 
-// renewSums adds up anew the loads that have changed.
-func (n *Node) renewSums(now time.Duration) {
+// updateSums recomputes the sums of the loads that have changed.
+func (n *Node) updateSums(now time.Duration) {
 	s, from := &n.sums, n.loadSources(now)
-	for key := range n.changed {
+	for key := range n.changedLoads {
 		setLoad(s.domain, key, sumAt(from.domain, key))
 		setLoad(s.region, key, sumAt(from.region, key))
-		setLoad(s.beyond, key, sumAt(from.beyond, key))
-		delete(s.rest, key)
-		if n.inherits != nil {
-			setLoad(s.rest, key, n.inherits.others[key].Minus(s.at(key).Minus(n.loads[key])))
+		setLoad(s.otherRegions, key, sumAt(from.otherRegions, key))
+		delete(s.inherited, key)
+		if n.inherited != nil {
+			setLoad(s.inherited, key, n.inherited.loads[key].Minus(s.loadAt(key).Minus(n.loads[key])))
 		}
 	}
 }
@@ -147,74 +149,73 @@
 	return sum
 }
 
-// worthTelling reports whether a member's lead is to be told all: a beat has passed since
-// it was.
-func (n *Node) worthTelling(now time.Duration, p *peer) bool {
+// needsAllLoads reports whether the leader is due to be sent all loads of this member, which
+// happens once per heartbeat interval.
+func (n *Node) needsAllLoads(now time.Duration, p *peer) bool {
 	switch {
-	case !p.told:
+	case !p.loadsSent:
 		return true
-	case now-p.toldAt < n.cfg.Timing.Beat:
+	case now-p.allLoadsSentAt < n.cfg.Timing.HeartbeatInterval:
 		return false
 	}
-	return len(n.loads) > 0 || len(p.toldLoads) > 0 // idle: nothing to repeat
+	return len(n.loads) > 0 || len(p.sentLoads) > 0 // an idle box has nothing to repeat
 }
 
-// tellAll tells a member's lead all that the member has under way.
-func (n *Node) tellAll(now time.Duration, p *peer) {
-	p.told, p.toldLoads, p.toldAt, p.changesAt = true, rounded(n.loads), now, now
+// sendAllLoads sends all loads of this member to its leader.
+func (n *Node) sendAllLoads(now time.Duration, p *peer) {
+	p.loadsSent, p.sentLoads, p.allLoadsSentAt, p.loadsSentAt = true, roundLoads(n.loads), now, now
 	n.send(p.box.Address, n.loadsMessage(now, n.loads))
 }
 
-// loadsMessage makes a message that tells all loads of a list.
+// loadsMessage returns a message with a complete list of loads.
 func (n *Node) loadsMessage(now time.Duration, l Loads) *wire.GroupMessage {
-	m := n.message(now)
+	m := n.newMessage(now)
 	m.HasLoads, m.Columns = true, packColumns(l)
 	return m
 }
 
-// takeLoads takes in what a peer tells.
-func (n *Node) takeLoads(now time.Duration, p *peer, m *wire.GroupMessage) {
+// receiveLoads processes a complete list of loads.
+func (n *Node) receiveLoads(now time.Duration, p *peer, m *wire.GroupMessage) {
 	if !m.HasLoads {
 		return
 	}
-	l := loadsOf(m)
+	l := messageLoads(m)
 	switch {
 	case m.Scope == scopeRegion:
-		n.replaceLoads(&p.region, l)
-		p.regionAt = now
-	case m.Scope == scopeBeyond:
-		n.replaceLoads(&p.beyond, l)
-		p.beyondAt = now
+		n.replaceLoads(&p.regionLoads, l)
+		p.regionLoadsAt = now
+	case m.Scope == scopeOtherRegions:
+		n.replaceLoads(&p.otherRegionLoads, l)
+		p.otherRegionLoadsAt = now
 	case !m.Leads || !n.sameDomain(p):
 		n.replaceLoads(&p.loads, l)
 		p.loadsAt = now
-	case p.box.Name != n.lead().Name: // only the lead's count
-	case m.Whole && !p.told: // it holds this box's own, told to a life that this box did not know yet
+	case p.box.Name != n.leader().Name: // only the leader's message counts
+	case m.Whole && !p.loadsSent: // it includes this box's own loads, which were sent before this box knew of the leader's restart
 	case m.Whole:
-		n.setOthers(without(l, p.toldLoads))
+		n.setOtherLoads(subtractLoads(l, p.sentLoads))
 	default:
-		n.setOthers(l)
+		n.setOtherLoads(l)
 	}
 }
 
-// setOthers notes what all other boxes have under way, and as news where it differs from what
-// was known.
-func (n *Node) setOthers(l Loads) {
+// setOtherLoads sets the loads of all other boxes and records the differences.
+func (n *Node) setOtherLoads(l Loads) {
 	for key, load := range l {
-		if n.others[key] != load {
-			n.news[key] = load
+		if n.otherLoads[key] != load {
+			n.loadChanges[key] = load
 		}
 	}
-	for key := range n.others {
+	for key := range n.otherLoads {
 		if _, still := l[key]; !still {
-			n.news[key] = balance.Load{}
+			n.loadChanges[key] = balance.Load{}
 		}
 	}
-	n.others = l
+	n.otherLoads = l
 }
 
-// replaceLoads takes over a list in place of the one before.
+// replaceLoads replaces a list of loads and records the differences.
 func (n *Node) replaceLoads(old *Loads, l Loads) {
-	n.noteChanges(*old, l)
+	n.recordChangedLoads(*old, l)
 	*old = l
 }
--- a/group/load_test.go
+++ b/group/load_test.go
@@ -11,12 +11,12 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// Each box is told what all others have under way, in all domains, and never its own;
-// what a box had is forgotten once it is gone.
-func TestEachBoxKnowsTheLoadsOfTheOthers(t *testing.T) {
+// Each box receives the loads of all others in all domains but not its own. The loads of a box
+// that has stopped are forgotten.
+func TestBoxesKnowOtherLoads(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 20)
-	w.fleet(3, 4)
+	w := newSimulation(t, 20)
+	w.startFleet(3, 4)
 	w.run(5 * time.Second)
 	key := balance.LoadKey{Upstream: 7, Urgency: 2}
 	sum := 0
@@ -31,9 +31,9 @@
 		is.Equal(others.Unread, sum-tokenUnit*(i+1))
 		is.Equal(others.Open, len(w.names)-1)
 	}
-	gone := w.boxes[boxName(1, 2)]
-	gone.dead = true
-	w.run(2 * DefaultTiming.Member)
+	stopped := w.boxes[boxName(1, 2)]
+	stopped.dead = true
+	w.run(2 * DefaultTiming.MemberTimeout)
 	for i, name := range w.names {
 		if w.boxes[name].dead {
 			continue
@@ -53,44 +53,44 @@
 	}
 }
 
-// A lead makes one message of loads for all its members; each takes off its own.
-func TestALeadTellsAllItsMembersTheSame(t *testing.T) {
+// A leader builds one message of loads for all its members, from which each subtracts its own.
+func TestLeaderBuildsOneLoadsMessage(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 21)
-	w.fleet(2, 6)
+	w := newSimulation(t, 21)
+	w.startFleet(2, 6)
 	w.run(5 * time.Second)
-	lead := w.boxes[boxName(0, 0)].node
-	lead.SetLoads(Loads{{Upstream: 7, Urgency: 2}: {Unread: tokenUnit, Open: 1}})
-	lead.Tick(w.now)
-	out, _ := lead.Drain()
-	made := make(map[*wire.GroupMessage]int)
+	leader := w.boxes[boxName(0, 0)].node
+	leader.SetLoads(Loads{{Upstream: 7, Urgency: 2}: {Unread: tokenUnit, Open: 1}})
+	leader.Tick(w.now)
+	out, _ := leader.Drain()
+	receivers := make(map[*wire.GroupMessage]int)
 	for _, o := range out {
 		if o.Message.HasLoads && o.Message.Whole {
-			made[o.Message]++
+			receivers[o.Message]++
 		}
 	}
-	is.Equal(len(made), 1)
-	for _, times := range made {
-		is.Equal(times, 5)
+	is.Equal(len(receivers), 1)
+	for _, count := range receivers {
+		is.Equal(count, 5)
 	}
 }
 
-func TestLoadsWithoutABoxsOwn(t *testing.T) {
+func TestSubtractLoads(t *testing.T) {
 	is := is.New(t)
 	a, b := balance.LoadKey{Upstream: 1}, balance.LoadKey{Upstream: 2, Urgency: 3}
 	all := Loads{a: {Unread: 640, Open: 5, Tight: 2}, b: {Unread: 64, Open: 1}}
-	is.Equal(without(all, nil), all)
-	is.Equal(without(all, Loads{a: {Unread: 640, Open: 2, Tight: 2}, b: {Unread: 64, Open: 1}}), Loads{a: {Open: 3}})
-	// What the others know may be older than what the box has now: nothing falls below 0.
-	is.Equal(without(all, Loads{a: {Unread: 9999, Open: 9, Tight: 9}}), Loads{b: {Unread: 64, Open: 1}})
+	is.Equal(subtractLoads(all, nil), all)
+	is.Equal(subtractLoads(all, Loads{a: {Unread: 640, Open: 2, Tight: 2}, b: {Unread: 64, Open: 1}}), Loads{a: {Open: 3}})
+	// The received total may be older than the box's own loads: no result is negative.
+	is.Equal(subtractLoads(all, Loads{a: {Unread: 9999, Open: 9, Tight: 9}}), Loads{b: {Unread: 64, Open: 1}})
 }
 
-// A box that tells a lead which has started again does not take off what that one does
-// not know of.
-func TestALeadThatStartsAgainIsToldAnew(t *testing.T) {
+// After its leader has restarted, a member must not subtract loads that the leader does not know
+// of yet.
+func TestRestartedLeaderIsSentLoadsAgain(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 22)
-	w.fleet(1, 3)
+	w := newSimulation(t, 22)
+	w.startFleet(1, 3)
 	w.run(5 * time.Second)
 	key := balance.LoadKey{Upstream: 7, Urgency: 2}
 	for _, name := range w.names {
@@ -98,20 +98,20 @@
 	}
 	w.run(time.Second)
 	b := w.boxes[boxName(0, 1)].node
-	is.True(b.peers[boxName(0, 0)].told)
+	is.True(b.peers[boxName(0, 0)].loadsSent)
 	w.start(boxName(0, 0), domainName(0), 100, false)
 	b.Handle(w.now, &wire.GroupMessage{Sender: w.boxes[boxName(0, 0)].self, Leads: true})
-	is.True(!b.peers[boxName(0, 0)].told)
+	is.True(!b.peers[boxName(0, 0)].loadsSent)
 	w.run(3 * time.Second)
-	is.Equal(b.OtherLoads()[key].Open, 1) // of the third box; the lead has none any more
+	is.Equal(b.OtherLoads()[key].Open, 1) // of the third box; the leader has none any more
 }
 
-// What a box has begun or ended all others know within a few flushes, in its domain and in
-// others; no message is longer for all that has not changed.
-func TestAChangeOfLoadsIsKnownAtOnce(t *testing.T) {
+// A load that starts or ends is known to all other boxes within a few flush intervals, in its
+// domain and in others, while other loads stay unchanged.
+func TestLoadChangesArePropagated(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 23)
-	w.fleet(3, 20)
+	w := newSimulation(t, 23)
+	w.startFleet(3, 20)
 	w.run(5 * time.Second)
 	for i, name := range w.names {
 		loads := make(Loads)
@@ -122,13 +122,13 @@
 	}
 	w.run(5 * time.Second)
 	key := balance.LoadKey{Upstream: 7, Urgency: 2}
-	teller := w.boxes[boxName(1, 13)].node
+	sender := w.boxes[boxName(1, 13)].node
 	for _, load := range []balance.Load{{Unread: 4 * tokenUnit, Open: 2}, {Open: 1}, {}} {
 		loads := make(Loads)
-		addLoads(loads, teller.loads)
+		addLoads(loads, sender.loads)
 		setLoad(loads, key, load)
-		teller.SetLoads(loads)
-		w.run(4*flushPause + 8*step)
+		sender.SetLoads(loads)
+		w.run(4*minFlushInterval + 8*step)
 		for _, name := range w.names {
 			if name != boxName(1, 13) {
 				is.Equal(w.boxes[name].node.OtherLoads()[key], load)
@@ -137,12 +137,12 @@
 	}
 }
 
-// Whatever is lost, of changes or of whole lists, is made good: what a box has told that
-// others took for a lead meanwhile counts until they have not heard it for Timing.Member.
-func TestLoadsAreRightAgainAfterLosses(t *testing.T) {
+// Lost messages, with changes or complete lists, are compensated. Loads reported by a box that
+// was taken for a leader meanwhile count until it has not been heard for the member timeout.
+func TestLoadsRecoverFromLostMessages(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 24)
-	w.fleet(3, 6)
+	w := newSimulation(t, 24)
+	w.startFleet(3, 6)
 	w.run(5 * time.Second)
 	w.loss = 0.3
 	for s := range 20 {
@@ -150,7 +150,7 @@
 		w.run(100 * time.Millisecond)
 	}
 	w.loss = 0
-	w.run(DefaultTiming.Member + time.Second)
+	w.run(DefaultTiming.MemberTimeout + time.Second)
 	for _, name := range w.names {
 		want := make(Loads)
 		for _, other := range w.names {
@@ -162,58 +162,59 @@
 	}
 }
 
-// What a box is told of changes it hands on once, and in the end all that it knows.
-func TestLoadNewsAddUpToTheLoadsOfTheOthers(t *testing.T) {
+// The drained changes add up to the loads of all other boxes.
+func TestLoadChangesAddUpToOtherLoads(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 25)
-	w.fleet(2, 5)
+	w := newSimulation(t, 25)
+	w.startFleet(2, 5)
 	w.run(5 * time.Second)
 	n := w.boxes[boxName(1, 3)].node
 	n.DrainLoadChanges()
-	heard := make(Loads)
-	addLoads(heard, n.OtherLoads())
+	received := make(Loads)
+	addLoads(received, n.OtherLoads())
 	for s := range 10 {
 		w.shuffleLoads(s)
-		w.run(2 * flushPause)
+		w.run(2 * minFlushInterval)
 		for key, load := range n.DrainLoadChanges() {
-			setLoad(heard, key, load)
+			setLoad(received, key, load)
 		}
 	}
 	w.run(300 * time.Millisecond)
 	for key, load := range n.DrainLoadChanges() {
-		setLoad(heard, key, load)
+		setLoad(received, key, load)
 	}
-	is.Equal(heard, n.OtherLoads())
+	is.Equal(received, n.OtherLoads())
 	is.Equal(n.DrainLoadChanges(), nil)
 }
 
-// A lead started again, and its first messages were lost. A member went on telling it, so that its next list held the
-// member's own work; by that list the member learned of the new life, forgot what it had told, and took its own
-// work for that of others, for half a second. A search of small schedules stopped there: "believes of 3 requests, the others have 0".
-func TestAMemberDoesNotTakeItsOwnWorkForThatOfOthers(t *testing.T) {
+// A leader restarted and its first messages were lost. A member kept sending its loads, so the
+// leader's next complete list included them. From that list the member learned of the restart,
+// discarded the record of what it had sent, and counted its own loads as those of others for half
+// a second.
+func TestMemberIgnoresItsOwnLoadsFromRestartedLeader(t *testing.T) {
 	is := is.New(t)
 	member := NewNode(Config{Self: &wire.GroupBox{Name: "b", Domain: "d", Address: "b", Boot: 1, Strength: 1}, Timing: DefaultTiming, Mirror: mirror.New()}, 0)
-	lead := func(boot uint64) *wire.GroupBox {
+	leader := func(boot uint64) *wire.GroupBox {
 		return &wire.GroupBox{Name: "a", Domain: "d", Address: "a", Boot: boot, Strength: 2}
 	}
 	key := balance.LoadKey{Upstream: 7, Urgency: 2}
 	own := Loads{key: {Open: 3}}
-	all := &wire.GroupMessage{Sender: lead(2), Leads: true, HasLoads: true, Whole: true, Columns: packColumns(own)}
-	some := &wire.GroupMessage{Sender: lead(2), Partial: true, HasLoads: true, Columns: packColumns(own)}
+	fullList := &wire.GroupMessage{Sender: leader(2), Leads: true, HasLoads: true, Whole: true, Columns: packColumns(own)}
+	changes := &wire.GroupMessage{Sender: leader(2), Partial: true, HasLoads: true, Columns: packColumns(own)}
 	now := 100 * time.Millisecond
-	member.Handle(now, &wire.GroupMessage{Sender: lead(1), Leads: true})
+	member.Handle(now, &wire.GroupMessage{Sender: leader(1), Leads: true})
 	member.SetLoads(own)
 	member.Tick(now)
-	is.True(member.peers["a"].told)
+	is.True(member.peers["a"].loadsSent)
 	now += 50 * time.Millisecond
-	member.Handle(now, all) // the first that it hears of the new life
+	member.Handle(now, fullList) // the first message after the restart that it receives
 	is.Equal(len(member.OtherLoads()), 0)
-	member.Handle(now, some)
+	member.Handle(now, changes)
 	is.Equal(len(member.OtherLoads()), 0)
-	now += DefaultTiming.Beat + 50*time.Millisecond
-	member.Tick(now) // it tells the new life
-	is.True(member.peers["a"].told)
+	now += DefaultTiming.HeartbeatInterval + 50*time.Millisecond
+	member.Tick(now) // it sends its loads to the restarted leader
+	is.True(member.peers["a"].loadsSent)
 	others := Loads{key: {Open: 5}}
-	member.Handle(now, &wire.GroupMessage{Sender: lead(2), Leads: true, HasLoads: true, Whole: true, Columns: packColumns(others)})
+	member.Handle(now, &wire.GroupMessage{Sender: leader(2), Leads: true, HasLoads: true, Whole: true, Columns: packColumns(others)})
 	is.Equal(member.OtherLoads()[key].Open, 2)
 }
--- a/group/loadpack.go
+++ b/group/loadencoding.go
@@ -1,7 +1,7 @@
 package group
 
-// This file defines loads as boxes add them up and as messages hold them. The invariant:
-// equal loads make equal lists, whatever order they are kept in.
+// This file defines the arithmetic and the wire encoding of loads. The invariant: equal loads are
+// encoded as equal lists, whatever order they are stored in.
 
 import (
 	"cmp"
@@ -12,11 +12,10 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// Loads are those of several upstreams, by their keys and urgency.
+// Loads holds the loads of upstreams by upstream key and urgency.
 type Loads = map[balance.LoadKey]balance.Load
 
-// tokenUnit is how many tokens one unit on the wire stands for: less than what an
-// upstream reads in 2 ms.
+// tokenUnit is the number of tokens per unit on the wire: less than an upstream reads in 2 ms.
 const tokenUnit = 64
 
 // addLoads adds o to l.
@@ -26,8 +25,8 @@
 	}
 }
 
-// without is the loads less those of one box; none falls below 0.
-func without(all, own Loads) Loads {
+// subtractLoads returns all loads minus those of one box. No result is negative.
+func subtractLoads(all, own Loads) Loads {
 	l := make(Loads, len(all))
 	for key, load := range all {
 		if rest := load.Minus(own[key]); rest != (balance.Load{}) {
@@ -37,19 +36,19 @@
 	return l
 }
 
-// rounded is a list as those know it who were told it.
-func rounded(l Loads) Loads {
+// roundLoads returns a list as receivers decode it.
+func roundLoads(l Loads) Loads {
 	out := make(Loads, len(l))
 	for key, load := range l {
-		if load = roundedLoad(load); load != (balance.Load{}) {
+		if load = roundLoad(load); load != (balance.Load{}) {
 			out[key] = load
 		}
 	}
 	return out
 }
 
-func roundedLoad(l balance.Load) balance.Load {
-	l = l.Minus(balance.Load{}) // no field is below 0
+func roundLoad(l balance.Load) balance.Load {
+	l = l.Minus(balance.Load{}) // no field is negative
 	l.Unread -= l.Unread % tokenUnit
 	l.Held -= l.Held % tokenUnit
 	if l.Unread == 0 && l.Open == 0 {
@@ -58,7 +57,7 @@
 	return l
 }
 
-// packColumns makes the wire's form, in a fixed order. A load that is empty is told as such.
+// packColumns encodes loads in a fixed order. A zero load is encoded explicitly.
 func packColumns(l Loads) *wire.GroupColumns {
 	keys := slices.SortedFunc(maps.Keys(l), func(a, b balance.LoadKey) int {
 		return cmp.Or(cmp.Compare(a.Upstream, b.Upstream), cmp.Compare(a.Urgency, b.Urgency))
@@ -72,7 +71,7 @@
 			c.Upstream, c.Levels = append(c.Upstream, key.Upstream), append(c.Levels, 0)
 		}
 		c.Levels[len(c.Levels)-1] |= 1 << key.Urgency
-		load := roundedLoad(l[key])
+		load := roundLoad(l[key])
 		c.Unread = append(c.Unread, uint32(load.Unread/tokenUnit))
 		c.Open = append(c.Open, uint32(load.Open))
 		c.Tight = append(c.Tight, uint32(load.Tight))
@@ -86,7 +85,7 @@
 	return c
 }
 
-// unpackColumns reads the wire's form; what a list is too short for counts as 0.
+// unpackColumns decodes loads. Values missing at the end of a column count as 0.
 func unpackColumns(c *wire.GroupColumns) Loads {
 	l := make(Loads, len(c.Upstream))
 	row := 0
@@ -109,15 +108,16 @@
 	return l
 }
 
-// loadsOf is what a message tells of loads, in the present form or that of boxes before it.
-func loadsOf(m *wire.GroupMessage) Loads {
+// messageLoads returns the loads in a message, in the columnar encoding or the older row
+// encoding.
+func messageLoads(m *wire.GroupMessage) Loads {
 	if m.Columns != nil {
 		return unpackColumns(m.Columns)
 	}
 	return unpackLoads(m.Loads)
 }
 
-// unpackLoads reads the wire's form.
+// unpackLoads decodes the row encoding.
 func unpackLoads(list []*wire.GroupLoad) Loads {
 	l := make(Loads, len(list))
 	for _, w := range list {
--- a/group/member_bench_test.go
+++ b/group/member_bench_test.go
@@ -7,15 +7,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// BenchmarkMember tells what a member and a lead of a domain of 117 boxes do ten times a second, part by part.
+// BenchmarkMember measures the periodic work of a member and of a leader in a domain of 117
+// boxes, step by step.
 func BenchmarkMember(b *testing.B) {
 	l := layout{5, 1}
-	t := newTraffic(across(b, 1, l, 585), l)
-	t.perSecond, t.upstreams, t.home, t.partsShare = 1, 5850, 0.2, 1
-	t.pass(2 * time.Second)
+	t := newWorkload(startRegions(b, 1, l, 585), l)
+	t.perSecond, t.upstreams, t.localShare, t.newPartShare = 1, 5850, 0.2, 1
+	t.advance(2 * time.Second)
 	for _, name := range []string{boxName(0, 50), boxName(0, 0)} {
 		n := t.boxes[name].node
-		b.Logf("%s leads %v peers %d others %d", name, n.IsLeader(), len(n.peers), len(n.others))
+		b.Logf("%s leader=%v peers=%d otherLoads=%d", name, n.IsLeader(), len(n.peers), len(n.otherLoads))
 		run := func(what string, f func()) {
 			b.Run(name+"/"+what, func(b *testing.B) {
 				for b.Loop() {
@@ -30,15 +31,15 @@
 		run("lanes", func() { n.Lanes(t.now) })
 		run("informed", func() { n.KnowsOtherLoads(t.now) })
 		run("confirmed", func() { n.ConfirmedAt() })
-		run("tick", func() { t.now += 100 * time.Millisecond; n.confirmed = t.now; n.Tick(t.now); n.Drain() })
+		run("tick", func() { t.now += 100 * time.Millisecond; n.confirmedAt = t.now; n.Tick(t.now); n.Drain() })
 		run("flush", func() { n.FlushLoads(t.now) })
 	}
 }
 
-// BenchmarkHails tells what a seed takes to answer a box that asks who is there, and how long its answer is.
-func BenchmarkHails(b *testing.B) {
+// BenchmarkHello measures the time a seed takes to answer a hello, and the size of its answer.
+func BenchmarkHello(b *testing.B) {
 	l := layout{5, 1}
-	w := across(b, 1, l, 585)
+	w := startRegions(b, 1, l, 585)
 	n := w.boxes[w.seeds[0]].node
 	i := 0
 	bytes, msgs := 0, 0
@@ -48,7 +49,7 @@
 		if o.node == n {
 			continue
 		}
-		m := o.node.message(w.now)
+		m := o.node.newMessage(w.now)
 		m.Hello = true
 		n.Handle(w.now, m)
 		out, _ := n.Drain()
--- /dev/null
+++ b/group/messagekind.go
@@ -0,0 +1,79 @@
+package group
+
+// This file defines the kinds of messages and how far they travel, for traffic statistics. The
+// invariant: each message has one kind, and an address has the reach of the box last known there.
+
+import "github.com/doormast/doormast/wire"
+
+// Kind is the main content of a message.
+type Kind string
+
+// The kinds of messages.
+const (
+	KindHeartbeat      Kind = "beat"           // the sender is alive, and how old its copy is
+	KindBoxes          Kind = "boxes"          // a heartbeat that lists other boxes
+	KindHello          Kind = "hail"           // a request for the running boxes
+	KindChangesRequest Kind = "ask"            // a request for the changes after a revision
+	KindPublished      Kind = "published"      // published data
+	KindLoads          Kind = "loads"          // a complete list of loads
+	KindChanges        Kind = "changed loads"  // changed loads only
+	KindParts          Kind = "parts"          // prompt parts sent to upstreams
+	KindSuspects       Kind = "ended under"    // requests that upstreams crash under
+	KindLimits         Kind = "limits"         // rate limits that upstreams announce
+	KindPullResponse   Kind = "all, to a pull" // all published data, in the response to a pull
+)
+
+// Reach is how far a message travels.
+type Reach string
+
+// The values of Reach.
+const (
+	ReachDomain  Reach = "domain"       // within the sender's failure domain
+	ReachRegion  Reach = "region"       // to another domain of its region
+	ReachFar     Reach = "other region" // to another region
+	ReachUnknown Reach = "unknown"      // to an address of no known box
+)
+
+// KindOf returns the kind of a message.
+func KindOf(m *wire.GroupMessage) Kind {
+	switch {
+	case len(m.Kept) > 0:
+		return KindParts
+	case carriesSuspects(m):
+		return KindSuspects
+	case carriesLimits(m):
+		return KindLimits
+	case m.Partial:
+		return KindChanges
+	case m.HasLoads:
+		return KindLoads
+	case m.Pull || len(m.Items) > 0:
+		return KindPublished
+	case m.Ask:
+		return KindChangesRequest
+	case m.Hello:
+		return KindHello
+	case len(m.Boxes) > 0:
+		return KindBoxes
+	}
+	return KindHeartbeat
+}
+
+// ReachOf returns how far a message travels between two boxes.
+func ReachOf(from, to *wire.GroupBox) Reach {
+	switch {
+	case from.Domain == to.Domain:
+		return ReachDomain
+	case from.Region == to.Region:
+		return ReachRegion
+	}
+	return ReachFar
+}
+
+// reachOf returns how far a message to an address travels.
+func (n *Node) reachOf(address string) Reach {
+	if reach, ok := n.reachByAddress[address]; ok {
+		return reach
+	}
+	return ReachUnknown
+}
--- a/group/node.go
+++ b/group/node.go
@@ -1,13 +1,14 @@
 package group
 
-// This file defines a box's view of the group: its configuration, the other boxes it
-// knows, and what it has to send. Who leads stands in lead.go and who reads in reads.go,
-// how many boxes there are in count.go, what is said in talk.go and taken in in hear.go,
-// what is published in published.go, changes.go, fetch.go and restart.go, the work under way
-// in load.go and audience.go, which domains are cut off in cutoff.go, who speaks for a region
-// in region.go, how services are divided in lane.go, who was sent which parts in kept.go,
-// which requests upstreams end under in suspects.go, and which limits they name in limits.go.
-// The invariant: messages leave a Node by Drain alone.
+// This file defines Node, a box's view of the group: its configuration, the peers it knows, and
+// the messages it has to send. leader.go selects the leader and reader.go the box that reads the
+// publisher. count.go counts boxes. send.go and receive.go handle membership messages.
+// published.go, changes.go, pull.go, snapshot.go and restart.go distribute published data.
+// load.go and recipients.go exchange loads. cutoff.go tracks unreachable domains, and region.go
+// selects the region leader. lane.go exchanges the division of services into lanes, sentparts.go
+// the prompt parts sent to upstreams, suspects.go the requests that upstreams crash under, and
+// limits.go the rate limits that upstreams announce. The invariant: messages leave a Node only
+// through Drain.
 
 import (
 	"time"
@@ -17,50 +18,52 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// Timing holds a group's times. The figures of DefaultTiming keep a change known on
-// every box within the 2 s that deployments allow, whichever box dies or is cut off just before it.
+// Timing holds the intervals and timeouts of a group. With DefaultTiming every box learns of a
+// change within the 2 s that deployments allow, even if any one box fails or is cut off just
+// before the change.
 type Timing struct {
-	Beat     time.Duration // between two signs of life
-	Silence  time.Duration // after which a lead counts as dead
-	Member   time.Duration // after which the lead counts a box as gone
-	Settle   time.Duration // after a start, in which a lead may make itself known
-	Stale    time.Duration // age of knowledge from which a box reads for itself
-	Stagger  time.Duration // added to Stale for each place behind the lead, five at most
-	Watch    time.Duration // how long a call waits for a change
-	Readback time.Duration // how long a box that reads for a lead that cannot goes on
-	Gather   time.Duration // after a reading that brought changes, in which more may come
-	Others   time.Duration // after a restart, in which other boxes may answer before the publisher is read
-	Pull     time.Duration // the same for the first pull, from when it was asked for
+	HeartbeatInterval   time.Duration // between heartbeats
+	LeaderTimeout       time.Duration // without a message, after which a leader counts as failed
+	MemberTimeout       time.Duration // without a message, after which a box counts as gone
+	StartupSettle       time.Duration // after a start, during which a leader may announce itself
+	StaleAfter          time.Duration // age of the local copy from which a box reads the publisher itself
+	Stagger             time.Duration // added to StaleAfter for each stronger box of the domain, five at most
+	WatchTimeout        time.Duration // longest wait of a call to the publisher for a change
+	DelegatedReadPeriod time.Duration // how long a box keeps reading on behalf of a leader that cannot read
+	Gather              time.Duration // delay after a read that returned changes, to collect further ones
+	RestartWait         time.Duration // after a restart, wait for answers of other boxes before reading the publisher
+	PullWait            time.Duration // the same for the first pull, counted from its request
 }
 
-// DefaultTiming is used where a configuration names none.
+// DefaultTiming is used if a configuration sets no timing.
 var DefaultTiming = Timing{
-	Beat:     400 * time.Millisecond,
-	Silence:  900 * time.Millisecond,
-	Member:   3 * time.Second,
-	Settle:   500 * time.Millisecond,
-	Stale:    1700 * time.Millisecond,
-	Stagger:  60 * time.Millisecond,
-	Watch:    time.Second,
-	Readback: 3 * time.Second,
-	Gather:   100 * time.Millisecond,
-	Others:   150 * time.Millisecond,
-	Pull:     400 * time.Millisecond,
+	HeartbeatInterval:   400 * time.Millisecond,
+	LeaderTimeout:       900 * time.Millisecond,
+	MemberTimeout:       3 * time.Second,
+	StartupSettle:       500 * time.Millisecond,
+	StaleAfter:          1700 * time.Millisecond,
+	Stagger:             60 * time.Millisecond,
+	WatchTimeout:        time.Second,
+	DelegatedReadPeriod: 3 * time.Second,
+	Gather:              100 * time.Millisecond,
+	RestartWait:         150 * time.Millisecond,
+	PullWait:            400 * time.Millisecond,
 }
 
-// defaultBound is the time within which DefaultTiming brings a change everywhere.
-const defaultBound = 2 * time.Second
+// defaultPropagationBound is the time within which DefaultTiming propagates a change to all
+// boxes.
+const defaultPropagationBound = 2 * time.Second
 
-// least is the part of DefaultTiming's times below which none is scaled: beats closer
-// than 100 ms would cost more than they bring.
-const least = 0.25
+// minTimingScale is the smallest factor applied to DefaultTiming. Heartbeats less than 100 ms
+// apart would cost more than they gain.
+const minTimingScale = 0.25
 
-// TimingFor returns the times that bring a change everywhere within the bound. Where
-// there is more time than DefaultTiming needs, it stays.
+// TimingFor returns timing that propagates a change to all boxes within bound. A bound above that
+// of DefaultTiming leaves DefaultTiming unchanged.
 func TimingFor(bound time.Duration) Timing {
-	part := max(min(float64(bound)/float64(defaultBound), 1), least)
+	part := max(min(float64(bound)/float64(defaultPropagationBound), 1), minTimingScale)
 	t := DefaultTiming
-	for _, d := range []*time.Duration{&t.Beat, &t.Silence, &t.Stale, &t.Stagger, &t.Watch, &t.Gather} {
+	for _, d := range []*time.Duration{&t.HeartbeatInterval, &t.LeaderTimeout, &t.StaleAfter, &t.Stagger, &t.WatchTimeout, &t.Gather} {
 		*d = time.Duration(part * float64(*d))
 	}
 	return t
@@ -69,198 +72,199 @@
 // Config configures a Node.
 type Config struct {
 	Self   *wire.GroupBox
-	Seeds  []string // IP:port of boxes that may be there
+	Seeds  []string // IP:port of boxes that may be running
 	Timing Timing
 	Mirror *mirror.Mirror
-	// FirstStart says that no box ran before: there is time to find the others
-	// before anything is read. A box that starts later has callers waiting.
+	// FirstStart says that no box of the fleet ran before this start. No callers are waiting yet,
+	// so the box has time to find the others before it reads anything. A box that starts later
+	// already has callers waiting.
 	FirstStart bool
-	// DomainCount is how many failure domains there are, as settings list them; 0: not known.
+	// DomainCount is the number of failure domains listed in the settings; 0 means unknown.
 	DomainCount int
-	// LinkRate is what the box's link carries, in bytes a second; 0: not known.
+	// LinkRate is the capacity of the box's network link in bytes per second; 0 means unknown.
 	LinkRate float64
-	// OnChange is told what is new in the mirror.
+	// OnChange is called with the items that changed in Mirror.
 	OnChange func([]mirror.Item)
 }
 
-// Outgoing is a message and where it goes.
+// Outgoing is a message and its destination.
 type Outgoing struct {
 	To      string // IP:port
 	Reach   Reach
 	Message *wire.GroupMessage
 }
 
-// peer is another box.
+// peer is the state kept about another box.
 type peer struct {
-	box     *wire.GroupBox
-	heard   time.Duration // last sign of life; below 0: never
-	named   time.Duration // when another box named it last; below 0: never
-	leads   bool
-	reads   bool
-	knows   bool // it knows what is published
-	leaving bool
-	silent  bool     // it was expected to lead and was not heard
-	boxes   int      // alive in its domain, as it said when it led
-	cutOff  []string // domains that it finds cut off, as it said when it led this box's
-
-	beats    int    // that it was sent
-	toldList uint64 // digest of the boxes it was last told
-
-	loads     Loads         // its own, or its domain's where it leads another one
-	region    Loads         // the sum of its region, where it leads another one
-	beyond    Loads         // the sum of all other regions, where it leads this box's
-	loadsAt   time.Duration // when these were told whole
-	regionAt  time.Duration
-	beyondAt  time.Duration
-	told      bool                 // as this box's lead, it was told all loads of this box
-	toldLoads Loads                // and knows these
-	toldAt    time.Duration        // when it was told all
-	changesAt time.Duration        // when it was told any
-	classes   []balance.ClassSeen  // what it told last of classes
-	classesAt time.Duration        // when that came
-	lastKept  map[uint32]heardKept // the last message of each scope that told parts
+	box          *wire.GroupBox
+	lastHeard    time.Duration // last message received from it; negative: none
+	lastNamed    time.Duration // when another box last listed it; negative: never
+	isLeader     bool
+	canRead      bool
+	hasPublished bool // it holds a copy of the published data
+	leaving      bool
+	timedOut     bool     // it was expected to lead and sent nothing within the timeout
+	domainBoxes  int      // live boxes of its domain, as it reported when it led
+	cutOff       []string // unreachable domains, as reported by it as leader of this domain
+
+	heartbeats     int    // sent to it
+	sentListDigest uint64 // digest of the box list last sent to it
+
+	loads              Loads         // its own, or the sum of its domain if it leads another one
+	regionLoads        Loads         // the sum of its region, if it leads another one
+	otherRegionLoads   Loads         // the sum of all other regions, if it leads the region of this box
+	loadsAt            time.Duration // when its complete list was received
+	regionLoadsAt      time.Duration
+	otherRegionLoadsAt time.Duration
+	loadsSent          bool                     // as this box's leader, it was sent all loads of this box
+	sentLoads          Loads                    // the loads it holds for this box
+	allLoadsSentAt     time.Duration            // when it was last sent the complete list
+	loadsSentAt        time.Duration            // when it was last sent any loads
+	classes            []balance.ClassSeen      // what it last reported about classes
+	classesAt          time.Duration            // when that was received
+	lastParts          map[uint32]receivedParts // the last message about prompt parts, by scope
 }
 
-// sameDomain reports whether a peer is of this box's failure domain.
+// sameDomain reports whether a peer belongs to this box's failure domain.
 func (n *Node) sameDomain(p *peer) bool { return p.box.Domain == n.cfg.Self.Domain }
 
-// Node is one box's part of the group. It is not safe for several goroutines.
+// Node is one box's part of the group protocol. It is not safe for concurrent use.
 type Node struct {
-	cfg     Config
-	started time.Duration
-	peers   map[string]*peer // by name; of this domain, and leads of others
-	most    int              // the greatest count of boxes seen
-	leaving bool
-
-	mostHere    int  // the greatest count of boxes of this domain
-	heardOthers bool // another box has been heard in this life
-
-	chosen    *wire.GroupBox // the lead; nil where it has to be looked for anew
-	leadName  string         // the lead that is waited for
-	waitsFrom time.Duration  // since when it is
-
-	confirmed time.Duration // when the mirror was the newest
-	doubt     time.Duration // until when entries that went may come back
-	readOK    time.Duration // last success of this box's own reading
-	readFails bool          // this box's last reading failed
-	pull      string        // address to pull everything from
-	pullFails bool          // its last pull failed
-	pullsFrom time.Duration // when its first pull was asked for; below 0: it was not
-
-	pulledFrom   string        // the address that was pulled from last
-	wanted       wanted        // the pull that waits
-	answers      answers       // to other boxes' pulls
-	readsAll     bool          // after a restart it has begun to read everything
-	hearsReading time.Duration // when a box was heard that reads everything, or that has heard such a one
-	directly     time.Duration // when the box itself was
-	lastHail     time.Duration // while nobody has answered
-
-	everything packedItems   // what was packed last
-	lately     packedChanges // and of changes
-	early      early         // changes that have overtaken those before them
-	cutOff     []string      // domains that this box finds cut off
-
-	lastTick time.Duration
-	wokeAt   time.Duration // when the box last noticed that it had stood still
-	lastBeat time.Duration
-	beats    int // that it has sent as a lead
-	lastAsk  time.Duration
-	lists    map[string]boxList // of the beat under way, by domain
-	reaches  map[string]Reach   // by address
-	out      []Outgoing
-
-	loads       Loads                        // this box's own
-	others      Loads                        // all other boxes'
-	sums        loadSums                     // of a lead: what boxes have told it
-	changed     map[balance.LoadKey]struct{} // of a lead: what has changed since they were told
-	audiences   audiences                    // of a lead
-	leading     bool                         // it has begun to lead
-	hasFollowed bool                         // it has followed another lead
-	greets      bool                         // of a lead: its first beat is due, to all leads that it knows
-	speaker     string                       // of a lead: who speaks for its region
-	speaksFrom  time.Duration                // since when
-	inherits    *inheritance                 // of a lead: what it goes by until all have told; nil: they have
-	flushed     time.Duration                // when changes were last told
-	looked      time.Duration                // when what waits to be told was last looked at
-	news        Loads                        // what has changed in others and was not drained yet
-
-	ownLanes balance.LanePlan // as this box would divide services
-	lanes    balance.LanePlan // as the lead it follows does
-	lanesAt  time.Duration    // when that was heard last
-
-	ownClasses []balance.ClassSeen // that this box sees
-
-	sharers map[uint32]time.Duration // by hash of a box's name: when the lead told of it
-
-	suspects spread[balance.Suspect]     // requests that upstreams end under
-	limits   spread[balance.LimitReport] // limits that upstreams name
-
-	keptNews  []keptNews           // to be told
-	keptHeard []balance.PartReport // told by others, and not yet taken over
+	cfg      Config
+	started  time.Duration
+	peers    map[string]*peer // by name; boxes of this domain, and leaders of others
+	maxBoxes int              // the largest number of boxes seen
+	leaving  bool
+
+	maxDomainBoxes int  // the largest number of boxes of this domain seen
+	heardPeer      bool // a message of another box was received since the start
+
+	chosenLeader   *wire.GroupBox // the leader; nil if it has to be chosen again
+	expectedLeader string         // the leader whose heartbeats are expected
+	expectedSince  time.Duration  // since when they are
+
+	confirmedAt             time.Duration // when the mirror was last known to be current
+	deletionsUncertainUntil time.Duration // until then, deleted entries may reappear
+	lastReadAt              time.Duration // last successful read of the publisher by this box
+	readFailed              bool          // this box's last read failed
+	pullAddress             string        // address to pull from; empty: none
+	pullFailed              bool          // the last pull failed
+	firstPullAt             time.Duration // when the first pull was requested; negative: not yet
+
+	lastPullAddress       string        // address of the last pull
+	pendingPull           pendingPull   // the pull that waits to be started
+	answeredPulls         answeredPulls // answers to pulls of other boxes
+	readStarted           bool          // after a restart, this box has begun to read the publisher
+	readerHeardAt         time.Duration // when a box that reads everything, or that has heard of one, was last heard
+	readerHeardDirectlyAt time.Duration // when a box that reads everything was last heard itself
+	lastHelloAt           time.Duration // last hello while no box has answered
+
+	snapshot  packedSnapshot // the last snapshot encoded for pulls
+	delta     packedDelta    // the last delta encoded for pulls
+	reordered reorderBuffer  // changes received before the changes that precede them
+	cutOff    []string       // domains that this box cannot reach
+
+	lastTick           time.Duration
+	resumedAt          time.Duration // when the box last noticed that it had been suspended
+	lastHeartbeat      time.Duration
+	heartbeats         int // rounds of heartbeats sent as leader
+	lastChangesRequest time.Duration
+	boxLists           map[string]boxList // box lists of the current heartbeat round, by domain
+	reachByAddress     map[string]Reach   // by address
+	out                []Outgoing
+
+	loads               Loads                        // of this box
+	otherLoads          Loads                        // of all other boxes
+	sums                loadSums                     // on a leader: sums of the loads that boxes reported
+	changedLoads        map[balance.LoadKey]struct{} // on a leader: loads changed since they were last sent
+	recipients          recipientGroups              // on a leader
+	actsAsLeader        bool                         // this box has started to act as leader
+	hasFollowed         bool                         // it was a member under another leader before
+	announcesLeadership bool                         // on a leader: its first heartbeat is due, to all leaders it knows
+	regionLeaderName    string                       // on a leader: the leader of its region
+	regionLeaderSince   time.Duration                // since when it is that
+	inherited           *inheritedLoads              // on a leader: loads known from its time as a member, used until all boxes have reported; nil: all have
+	loadsFlushedAt      time.Duration                // when load changes were last sent
+	pendingCheckedAt    time.Duration                // when unsent load changes were last checked
+	loadChanges         Loads                        // changes in otherLoads that were not drained yet
+
+	ownLanes balance.LanePlan // the division that this box would choose
+	lanes    balance.LanePlan // the division announced by the leader it follows
+	lanesAt  time.Duration    // when that was last received
+
+	ownClasses []balance.ClassSeen // as measured by this box
+
+	sharers map[uint32]time.Duration // by hash of the box name: when the leader last listed it
+
+	suspects replicator[balance.Suspect]     // requests that upstreams crash under
+	limits   replicator[balance.LimitReport] // rate limits that upstreams announce
+
+	pendingParts  []pendingPart        // to be sent
+	receivedParts []balance.PartReport // received from other boxes and not drained yet
 }
 
-// never lies before every moment.
+// never is earlier than any time of a Node.
 const never = -time.Hour
 
-// NewNode returns the part of a box that starts now.
+// NewNode returns the Node of a box that starts now.
 func NewNode(cfg Config, now time.Duration) *Node {
 	n := &Node{
-		cfg:       cfg,
-		started:   now,
-		peers:     make(map[string]*peer),
-		reaches:   make(map[string]Reach),
-		waitsFrom: now,
-		confirmed: never,
-		doubt:     never,
-		readOK:    never,
-		lastTick:  now,
-		wokeAt:    never,
-		lastBeat:  never,
-		lastAsk:   never,
-		lanesAt:   never,
-		pullsFrom: never,
-
-		hearsReading: never,
-		directly:     never,
-		lastHail:     now,
-		flushed:      never,
-		early:        early{at: never},
-		suspects:     newSpread(spreadOfSuspects),
-		limits:       newSpread(spreadOfLimits),
-		looked:       never,
-		changed:      make(map[balance.LoadKey]struct{}),
-		others:       make(Loads),
-		news:         make(Loads),
-		sharers:      make(map[uint32]time.Duration),
+		cfg:                     cfg,
+		started:                 now,
+		peers:                   make(map[string]*peer),
+		reachByAddress:          make(map[string]Reach),
+		expectedSince:           now,
+		confirmedAt:             never,
+		deletionsUncertainUntil: never,
+		lastReadAt:              never,
+		lastTick:                now,
+		resumedAt:               never,
+		lastHeartbeat:           never,
+		lastChangesRequest:      never,
+		lanesAt:                 never,
+		firstPullAt:             never,
+
+		readerHeardAt:         never,
+		readerHeardDirectlyAt: never,
+		lastHelloAt:           now,
+		loadsFlushedAt:        never,
+		reordered:             reorderBuffer{lastAt: never},
+		suspects:              newReplicator(suspectReplication),
+		limits:                newReplicator(limitReplication),
+		pendingCheckedAt:      never,
+		changedLoads:          make(map[balance.LoadKey]struct{}),
+		otherLoads:            make(Loads),
+		loadChanges:           make(Loads),
+		sharers:               make(map[uint32]time.Duration),
 	}
 	if !cfg.FirstStart {
-		n.hail(now) // callers wait: those who are there are to answer at once
+		n.sendHello(now) // callers are waiting, so running boxes should answer at once
 	}
 	return n
 }
 
-// Drain returns the messages to send, and an address to pull everything from or an
-// empty text.
+// Drain returns the messages to send, and the address to pull published data from, or an empty
+// string.
 func (n *Node) Drain() ([]Outgoing, string) {
-	out, pull := n.out, n.pull
-	n.out, n.pull = nil, ""
+	out, pull := n.out, n.pullAddress
+	n.out, n.pullAddress = nil, ""
 	return out, pull
 }
 
-// ConfirmedAt is when the mirror was last known to be the newest.
-func (n *Node) ConfirmedAt() time.Duration { return n.confirmed }
+// ConfirmedAt returns the time at which the mirror was last known to be current.
+func (n *Node) ConfirmedAt() time.Duration { return n.confirmedAt }
 
-// DeletionsUncertainUntil is until when entries that went may come back.
-func (n *Node) DeletionsUncertainUntil() time.Duration { return n.doubt }
+// DeletionsUncertainUntil returns the time until which deleted entries may reappear.
+func (n *Node) DeletionsUncertainUntil() time.Duration { return n.deletionsUncertainUntil }
 
-// Leave tells the boxes of the domain that this box is about to end, so that another leads,
-// and those that lead others, if it led.
+// Leave announces to the boxes of the domain that this box is about to stop, so that another box
+// takes over. A leader also announces it to the leaders of other domains.
 func (n *Node) Leave(now time.Duration) {
 	led := n.IsLeader()
-	n.leaving, n.chosen = true, nil
-	m := n.message(now)
+	n.leaving, n.chosenLeader = true, nil
+	m := n.newMessage(now)
 	for _, p := range n.peers {
-		if n.sameDomain(p) || led && n.leadsNow(now, p) {
+		if n.sameDomain(p) || led && n.isLiveForeignLeader(now, p) {
 			n.send(p.box.Address, m)
 		}
 	}
--- a/group/published.go
+++ b/group/published.go
@@ -1,8 +1,8 @@
 package group
 
-// This file defines how what is published reaches the boxes: from the publisher to
-// the box that reads it, and from box to box. The invariant: confirmed is never later
-// than a moment at which the mirror was the newest.
+// This file defines how published data reaches the boxes: from the publisher to the box that
+// reads it, and from box to box. The invariant: confirmedAt is never later than a time at which
+// the mirror was current.
 
 import (
 	"time"
@@ -12,107 +12,109 @@
 )
 
 const (
-	// askPause is the least time between two questions for changes.
-	askPause = 100 * time.Millisecond
-	// lapse is how long after the publisher's return an entry that went may come
-	// back: 2 s, and some room.
-	lapse = 2200 * time.Millisecond
+	// changesRequestInterval is the minimum time between two requests for changes.
+	changesRequestInterval = 100 * time.Millisecond
+	// reappearPeriod is how long after the publisher returns a deleted entry may reappear: 2 s
+	// plus a margin.
+	reappearPeriod = 2200 * time.Millisecond
 )
 
-// learn takes in what the sender knows of what is published.
-func (n *Node) learn(now time.Duration, m *wire.GroupMessage) {
-	n.doubtFor(now, m.DoubtLeft)
-	n.takeItems(now, m)
-	switch mine := n.cfg.Mirror.Revision(); {
-	case m.Revision > mine && (m.Pull && len(m.PackedItems) == 0 || mine == 0):
-		if n.wanted.from == "" {
-			n.pull = n.pullFrom(now, m.Sender)
-			n.pulledFrom = n.pull
+// updatePublished processes what a message says about published data.
+func (n *Node) updatePublished(now time.Duration, m *wire.GroupMessage) {
+	n.extendUncertainty(now, m.DoubtLeft)
+	n.receiveItems(now, m)
+	switch revision := n.cfg.Mirror.Revision(); {
+	case m.Revision > revision && (m.Pull && len(m.PackedItems) == 0 || revision == 0):
+		if n.pendingPull.address == "" {
+			n.pullAddress = n.pullSource(now, m.Sender)
+			n.lastPullAddress = n.pullAddress
 		}
-	case m.Revision > mine && now-n.lastAsk >= askPause && now-n.early.at >= askPause:
-		n.lastAsk = now
-		ask := n.message(now)
-		ask.Ask = true
-		n.send(m.Sender.Address, ask)
-	case m.Revision <= mine && m.Revision > 0 && n.agesHold(now):
-		n.confirmed = max(n.confirmed, now-fromMicros(m.ConfirmedAge))
+	case m.Revision > revision && now-n.lastChangesRequest >= changesRequestInterval && now-n.reordered.lastAt >= changesRequestInterval:
+		n.lastChangesRequest = now
+		request := n.newMessage(now)
+		request.Ask = true
+		n.send(m.Sender.Address, request)
+	case m.Revision <= revision && m.Revision > 0 && n.agesAreValid(now):
+		n.confirmedAt = max(n.confirmedAt, now-fromMicros(m.ConfirmedAge))
 	}
 }
 
-// crossWait is how long a box that does not lead its domain waits for one of its own domain to
-// know what is published before it pulls from another one, whose links are dear and few: at a
-// start, everything would else cross them once for each box.
-const crossWait = 800 * time.Millisecond
+// crossDomainPullWait is how long a member waits until a box of its own domain holds the
+// published data, before it pulls from another domain. Links between domains are expensive and
+// few; at a fleet start, the complete data would otherwise cross them once per box.
+const crossDomainPullWait = 800 * time.Millisecond
 
-// pullFrom is where to pull everything from: the box's lead, where it knows what is published,
-// since its link bears that many boxes do so at once, or where the one that told of it is of another
-// domain; else the one that told of it.
-func (n *Node) pullFrom(now time.Duration, sender *wire.GroupBox) string {
+// pullSource returns the address to pull from. That is the leader of the domain if it holds the
+// published data, since its link is sized for pulls of many boxes, or if the sender belongs to
+// another domain and the wait has not passed. Otherwise it is the sender.
+func (n *Node) pullSource(now time.Duration, sender *wire.GroupBox) string {
 	if n.cfg.Mirror.Revision() > 0 {
 		return sender.Pulls
 	}
-	if n.pullsFrom < 0 {
-		n.pullsFrom = now
+	if n.firstPullAt < 0 {
+		n.firstPullAt = now
 	}
-	lead := n.lead()
-	if lead == n.cfg.Self || n.pullFails {
+	leader := n.leader()
+	if leader == n.cfg.Self || n.pullFailed {
 		return sender.Pulls
 	}
-	waits := sender.Domain != n.cfg.Self.Domain && now-n.pullsFrom < crossWait+n.share(crossWait)
-	if p := n.peers[lead.Name]; p.knows || waits {
-		return lead.Pulls
+	mustWait := sender.Domain != n.cfg.Self.Domain && now-n.firstPullAt < crossDomainPullWait+n.jitter(crossDomainPullWait)
+	if p := n.peers[leader.Name]; p.hasPublished || mustWait {
+		return leader.Pulls
 	}
 	return sender.Pulls
 }
 
-// PullFailed notes that a pull brought nothing. Where another box had named the one that was
-// asked, the next message of a box that knows tells whom to ask.
+// PullFailed records that a pull failed. If the address came from a box that refused a pull, the
+// next message from a box that holds the data names a new address.
 func (n *Node) PullFailed() {
-	if n.wanted.away > 0 && n.wanted.away <= maxTurnedAway {
-		n.wanted.away++
+	if n.pendingPull.refusals > 0 && n.pendingPull.refusals <= maxPullRefusals {
+		n.pendingPull.refusals++
 		return
 	}
-	n.pullFails = true
+	n.pullFailed = true
 }
 
-// takeItems takes in the changes that a message holds, unless some before them are
-// missing here.
-func (n *Node) takeItems(now time.Duration, m *wire.GroupMessage) {
-	items, ok := unpack(m.Items)
+// receiveItems applies the changes in a message. Changes that follow ones not received yet are
+// buffered.
+func (n *Node) receiveItems(now time.Duration, m *wire.GroupMessage) {
+	items, ok := unpackItems(m.Items)
 	if len(m.PackedItems) > 0 {
-		items, ok = unpackAll(m.PackedItems)
+		items, ok = decompressItems(m.PackedItems)
 	}
 	if !ok || len(items) == 0 {
 		return
 	}
 	if !n.applyItems(now, m.From, m.Revision, items) {
-		n.early.put(now, n.cfg.Mirror.Revision(), earlyItems{m.From, m.Revision, items})
+		n.reordered.add(now, n.cfg.Mirror.Revision(), bufferedChanges{m.From, m.Revision, items})
 		return
 	}
-	for e, ok := n.early.take(n.cfg.Mirror.Revision()); ok; e, ok = n.early.take(n.cfg.Mirror.Revision()) {
+	for e, ok := n.reordered.take(n.cfg.Mirror.Revision()); ok; e, ok = n.reordered.take(n.cfg.Mirror.Revision()) {
 		n.applyItems(now, e.from, e.to, e.items)
 	}
 }
 
-// applyItems takes changes behind a revision; false means that some before them are missing here.
+// applyItems applies changes that follow a revision. It returns false if earlier changes are
+// missing.
 func (n *Node) applyItems(now time.Duration, from, to uint64, items []mirror.Item) bool {
 	before := n.cfg.Mirror.Revision()
 	changes, ok := n.cfg.Mirror.Apply(from, to, items)
 	if ok {
-		n.tell(now, changes, before)
+		n.announceChanges(now, changes, before)
 	}
 	return ok
 }
 
-// doubtFor takes over another box's time of doubt, in microseconds.
-func (n *Node) doubtFor(now time.Duration, left uint64) {
+// extendUncertainty adopts the remaining time, in microseconds, for which another box expects
+// deleted entries to reappear.
+func (n *Node) extendUncertainty(now time.Duration, left uint64) {
 	if left > 0 {
-		n.doubt = max(n.doubt, now+fromMicros(left))
+		n.deletionsUncertainUntil = max(n.deletionsUncertainUntil, now+fromMicros(left))
 	}
 }
 
-// tell passes changes on: to this box, and from a lead to the others.
-func (n *Node) tell(now time.Duration, changes []mirror.Item, from uint64) {
+// announceChanges passes changes to this box's owner and, on a leader, to the other boxes.
+func (n *Node) announceChanges(now time.Duration, changes []mirror.Item, from uint64) {
 	if len(changes) == 0 {
 		return
 	}
@@ -122,24 +124,26 @@
 	}
 	messages := n.itemMessages(now, from, changes)
 	for _, p := range n.peers {
-		if n.sameDomain(p) || n.leadsNow(now, p) {
+		if n.sameDomain(p) || n.isLiveForeignLeader(now, p) {
 			n.sendAll(p.box.Address, messages)
 		}
 	}
 }
 
-// leadsNow reports whether a box leads another domain and was heard lately. Those that led one
-// for a moment at their start, as all do that start at once, hear of changes from their leads:
-// with 85 boxes in three domains, changes sent to them were half of all bytes between domains.
-func (n *Node) leadsNow(now time.Duration, p *peer) bool {
-	return p.leads && !n.sameDomain(p) && !n.gone(now, p)
+// isLiveForeignLeader reports whether a box leads another domain and was heard within the member
+// timeout. Boxes that led only briefly after a simultaneous start receive changes from their
+// leaders: with 85 boxes in three domains, sending changes to them directly made up half of all
+// bytes between domains.
+func (n *Node) isLiveForeignLeader(now time.Duration, p *peer) bool {
+	return p.isLeader && !n.sameDomain(p) && !n.isGone(now, p)
 }
 
-// sendChanges sends what is behind a revision, or says that it has to be pulled.
+// sendChanges sends the changes after a revision, or asks the box to pull if they are no longer
+// known.
 func (n *Node) sendChanges(now time.Duration, to string, after uint64) {
 	changes, ok := n.cfg.Mirror.Since(after)
 	if !ok {
-		m := n.message(now)
+		m := n.newMessage(now)
 		m.Pull = true
 		n.send(to, m)
 		return
@@ -147,14 +151,14 @@
 	n.sendAll(to, n.itemMessages(now, after, changes))
 }
 
-// HandleRead notes that this box read the publisher itself: what is new behind the mirror's
-// revision, or everything where whole is set, which was the newest at the moment
-// known. A box that reads for a lead tells it.
+// HandleRead records a successful read of the publisher by this box: the items changed after the
+// mirror's revision, or all items if whole is set. The result was current at the time known. A
+// member that reads on behalf of its leader forwards the result to it.
 func (n *Node) HandleRead(now, known time.Duration, items []mirror.Item, revision uint64, whole bool) {
-	if n.readFails && now-n.confirmed > n.cfg.Timing.Stale {
-		n.doubt = max(n.doubt, now+lapse) // nobody else could read either
+	if n.readFailed && now-n.confirmedAt > n.cfg.Timing.StaleAfter {
+		n.deletionsUncertainUntil = max(n.deletionsUncertainUntil, now+reappearPeriod) // no other box could read either
 	}
-	n.readOK, n.readFails = now, false
+	n.lastReadAt, n.readFailed = now, false
 	from := n.cfg.Mirror.Revision()
 	var changes []mirror.Item
 	if whole {
@@ -162,13 +166,13 @@
 	} else {
 		changes, _ = n.cfg.Mirror.Apply(from, revision, items)
 	}
-	n.confirmed = max(n.confirmed, known)
-	n.tell(now, changes, from)
+	n.confirmedAt = max(n.confirmedAt, known)
+	n.announceChanges(now, changes, from)
 	if !n.IsLeader() {
-		n.sendAll(n.lead().Address, n.itemMessages(now, from, changes))
+		n.sendAll(n.leader().Address, n.itemMessages(now, from, changes))
 	}
 }
 
-// ReadFailed notes that this box could not read the publisher. One that knows nothing yet leaves
-// the next turn to a box that it hears reading.
-func (n *Node) ReadFailed() { n.readFails, n.readsAll = true, false }
+// ReadFailed records that this box could not read the publisher. A box without any published data
+// lets another box that is reading go first.
+func (n *Node) ReadFailed() { n.readFailed, n.readStarted = true, false }
--- /dev/null
+++ b/group/reader_test.go
@@ -0,0 +1,158 @@
+package group
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/doormast/doormast/wire"
+)
+
+func TestReadBackoff(t *testing.T) {
+	w := newSimulation(t, 51)
+	w.startFleet(1, 3)
+	w.run(4 * time.Second)
+	tests := []struct {
+		box      int
+		failures int
+		want     time.Duration
+	}{
+		{0, 1, 250 * time.Millisecond}, // the leader
+		{0, 2, 500 * time.Millisecond},
+		{0, 1000, 500 * time.Millisecond}, // its domain waits for the publisher to return
+		{2, 1, 250 * time.Millisecond},
+		{2, 2, 500 * time.Millisecond},
+		{2, 4, 2 * time.Second},
+		{2, 1000, 2 * time.Second},
+	}
+	for _, tt := range tests {
+		is := is.New(t)
+		is.Equal(w.boxes[boxName(0, tt.box)].node.ReadBackoff(tt.failures), tt.want)
+	}
+}
+
+// One box reads for all domains, so the number of calls does not grow with them.
+func TestOneBoxReadsForAllDomains(t *testing.T) {
+	for _, domains := range []int{1, 2, 5} {
+		is := is.New(t)
+		w := newSimulation(t, 52)
+		w.startFleet(domains, 4)
+		w.run(4 * time.Second)
+		before := w.calls
+		w.run(10 * time.Second)
+		is.True(w.calls-before <= 18) // a call waits for 0.6 s, or for a second if the box reads for its domain only
+	}
+}
+
+// Changes in quick succession are read together.
+func TestChangesAreReadInBatches(t *testing.T) {
+	is := is.New(t)
+	w := newSimulation(t, 53)
+	w.startFleet(3, 4)
+	w.run(4 * time.Second)
+	before := w.calls
+	for range 100 {
+		w.publish(documentKey, "new")
+		w.run(2 * step)
+	}
+	is.True(w.calls-before <= 12) // ten in a second, and some that were in progress
+	w.run(time.Second)
+	is.Equal(w.staleBoxes(), nil)
+}
+
+// Whatever happens to the box that reads, a change is known to all boxes within 2 s.
+func TestChangeIsKnownAfterLossOfReader(t *testing.T) {
+	tests := []struct {
+		name string
+		lose func(w *simulation, reader string)
+	}{
+		{"it stops", func(w *simulation, reader string) { w.boxes[reader].dead = true }},
+		{"it freezes", func(w *simulation, reader string) { w.boxes[reader].frozen = true }},
+		{"the publisher refuses it", func(w *simulation, reader string) { w.refused[reader] = true }},
+		{"its domain is cut off", func(w *simulation, reader string) { w.cutDomains[w.boxes[reader].self.Domain] = true }},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			w := newSimulation(t, 54)
+			w.startFleet(3, 4)
+			w.run(4 * time.Second)
+			for _, name := range w.names {
+				if w.boxes[name].node.isFleetReader(w.now) {
+					tt.lose(w, name)
+					break
+				}
+			}
+			w.publish(documentKey, "new")
+			w.run(2 * time.Second)
+			is.Equal(w.staleBoxes(), nil)
+		})
+	}
+}
+
+// Boxes that restart pull all data from the running ones, and call the publisher only if no box
+// answers.
+func TestRestartedBoxesPullFromOthers(t *testing.T) {
+	tests := []struct {
+		name    string
+		restart func(box int) bool
+		calls   int // calls to the publisher in the second after, at most
+	}{
+		{"all but the leaders", func(box int) bool { return box > 0 }, 3},
+		{"all but a seed", func(box int) bool { return box != 4 }, 6},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			w := newSimulation(t, 55)
+			w.startFleet(3, 8)
+			w.run(4 * time.Second)
+			before := w.calls
+			for _, name := range w.names {
+				b := w.boxes[name]
+				if box := int(100 - b.self.Strength); tt.restart(box) {
+					w.start(name, b.self.Domain, b.self.Strength, false)
+				}
+			}
+			w.run(DefaultTiming.RestartWait)
+			is.Equal(w.staleBoxes(), nil)
+			w.run(time.Second)
+			is.True(w.calls-before <= tt.calls)
+		})
+	}
+}
+
+// If all boxes restart at once, none has any data: the seeds read, and the others get it from
+// them.
+func TestSeedsReadAfterFullRestart(t *testing.T) {
+	is := is.New(t)
+	w := newSimulation(t, 56)
+	w.startFleet(2, 4)
+	w.run(4 * time.Second)
+	for _, name := range w.names {
+		b := w.boxes[name]
+		w.start(name, b.self.Domain, b.self.Strength, false)
+	}
+	w.run(DefaultTiming.RestartWait + 200*time.Millisecond)
+	is.Equal(w.staleBoxes(), nil)
+}
+
+// A box that pulls from another one does not read the publisher as well, unless the pull fails or
+// takes long.
+func TestPullingBoxDoesNotRead(t *testing.T) {
+	is := is.New(t)
+	w := newSimulation(t, 57)
+	b := w.start("a", "domain0", 1, false)
+	b.node.cfg.Seeds = []string{"b"}
+	is.True(!b.node.ShouldRead(w.now))
+	other := &wire.GroupBox{Name: "b", Domain: "domain0", Address: "b", Pulls: "pull address of b", Boot: 1, Strength: 9}
+	w.now += 100 * time.Millisecond
+	b.node.Handle(w.now, &wire.GroupMessage{Sender: other, Leads: true, Revision: 5})
+	_, pull := b.node.Drain()
+	is.Equal(pull, "pull address of b")
+	is.True(!b.node.ShouldRead(w.now + DefaultTiming.RestartWait))
+	is.True(b.node.ShouldRead(w.now + DefaultTiming.PullWait))
+	b.node.PullFailed()
+	is.True(b.node.ShouldRead(w.now))
+}
--- a/group/region.go
+++ b/group/region.go
@@ -1,8 +1,8 @@
 package group
 
-// This file defines which box speaks for a region. The invariant: a lead speaks for its region
-// only while it hears of no stronger one there, so that at the edge of a region each thing
-// passes once. Where two take themselves for it, the others go by the stronger.
+// This file defines which leader is the region leader. The invariant: a leader acts as region
+// leader only while it hears no stronger leader of its region, so that information crosses a
+// region boundary once. If two leaders act as region leader, the others use the stronger one.
 
 import (
 	"maps"
@@ -12,56 +12,60 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// sameRegion reports whether a box is of this box's region.
+// sameRegion reports whether a box belongs to this box's region.
 func (n *Node) sameRegion(b *wire.GroupBox) bool { return b.Region == n.cfg.Self.Region }
 
-// regionLead is the strongest lead of this box's region that is heard; n leads its domain.
-func (n *Node) regionLead(now time.Duration) *wire.GroupBox {
-	return n.bestLead(now, func(p *peer) bool { return n.sameRegion(p.box) })
+// regionLeader returns the strongest active leader of this box's region. It is called on domain
+// leaders.
+func (n *Node) regionLeader(now time.Duration) *wire.GroupBox {
+	return n.strongestLeaderWhere(now, func(p *peer) bool { return n.sameRegion(p.box) })
 }
 
-// regionLeads are the strongest leads that are heard, one of each other region.
-func (n *Node) regionLeads(now time.Duration) []*peer {
-	return n.onePer(now, regionOf, alike, func(p *peer) bool { return !n.sameRegion(p.box) && n.leadIsHeard(now, p) })
+// otherRegionLeaders returns the strongest active leader of each other region.
+func (n *Node) otherRegionLeaders(now time.Duration) []*peer {
+	return n.strongestPerGroup(now, regionOf, always, func(p *peer) bool { return !n.sameRegion(p.box) && n.isActiveLeader(now, p) })
 }
 
-// regionTellers are those leads of other regions that go for what these have under way, one of each.
-func (n *Node) regionTellers(now time.Duration) []*peer {
-	return n.onePer(now, regionOf, func(p *peer) bool { return p.regionAt != never },
-		func(p *peer) bool { return !n.sameRegion(p.box) && p.leads && !n.gone(now, p) && p.region != nil })
+// otherRegionSources returns, for each other region, the leader whose report of that region's
+// loads is used.
+func (n *Node) otherRegionSources(now time.Duration) []*peer {
+	return n.strongestPerGroup(now, regionOf, func(p *peer) bool { return p.regionLoadsAt != never },
+		func(p *peer) bool {
+			return !n.sameRegion(p.box) && p.isLeader && !n.isGone(now, p) && p.regionLoads != nil
+		})
 }
 
 func regionOf(p *peer) string { return p.box.Region }
 
 func domainOf(p *peer) string { return p.box.Domain }
 
-func alike(*peer) bool { return true }
+func always(*peer) bool { return true }
 
-// domainLeads are the leads of the other domains of this box's region, one of each: where one
-// has taken over from another that was heard a moment ago, both still tell the domain's sum.
-func (n *Node) domainLeads(now time.Duration) []*peer {
-	return n.onePer(now, domainOf, func(p *peer) bool { return p.loadsAt != never },
-		func(p *peer) bool { return !n.sameDomain(p) && n.sameRegion(p.box) && p.leads && !n.gone(now, p) })
+// otherDomainLeaders returns one leader for each other domain of this box's region. Shortly after
+// a change of leader, both the old and the new one still report the domain's sum.
+func (n *Node) otherDomainLeaders(now time.Duration) []*peer {
+	return n.strongestPerGroup(now, domainOf, func(p *peer) bool { return p.loadsAt != never },
+		func(p *peer) bool { return !n.sameDomain(p) && n.sameRegion(p.box) && p.isLeader && !n.isGone(now, p) })
 }
 
-// onePer picks of each group the strongest that is heard, or where none is, was heard lately; but
-// first one that has told a list whole, since changes alone are next to nothing of a sum.
-func (n *Node) onePer(now time.Duration, group func(*peer) string, whole, fits func(*peer) bool) []*peer {
+// strongestPerGroup selects one peer of each group. It prefers peers that have sent a complete
+// list, since changes alone are a small part of a sum, then active leaders, then the strongest.
+func (n *Node) strongestPerGroup(now time.Duration, group func(*peer) string, sentFullList, fits func(*peer) bool) []*peer {
 	best := make(map[string]*peer)
-	goesFirst := func(a, b *peer) bool {
-		if told := whole(a); told != whole(b) {
-			return told
+	preferred := func(a, b *peer) bool {
+		if complete := sentFullList(a); complete != sentFullList(b) {
+			return complete
 		}
-		if heard := n.leadIsHeard(now, a); heard != n.leadIsHeard(now, b) {
-			return heard
+		if active := n.isActiveLeader(now, a); active != n.isActiveLeader(now, b) {
+			return active
 		}
-		return better(a.box, b.box)
+		return stronger(a.box, b.box)
 	}
 	for _, p := range n.peers {
 		if !fits(p) {
 			continue
 		}
-		if b := best[group(p)]; b == nil || goesFirst(p, b) {
+		if b := best[group(p)]; b == nil || preferred(p, b) {
 			best[group(p)] = p
 		}
 	}
@@ -70,76 +74,78 @@
 	return list
 }
 
-// nearLeads are the other leads of this box's region that are heard.
-func (n *Node) nearLeads(now time.Duration) []*peer {
+// nearLeaders returns the other leaders of this box's region that have not timed out.
+func (n *Node) nearLeaders(now time.Duration) []*peer {
 	var list []*peer
 	for _, p := range n.peers {
-		if !n.sameDomain(p) && n.sameRegion(p.box) && p.leads && !n.gone(now, p) {
+		if !n.sameDomain(p) && n.sameRegion(p.box) && p.isLeader && !n.isGone(now, p) {
 			list = append(list, p)
 		}
 	}
 	return list
 }
 
-// members are the other boxes of this box's domain that are heard.
+// members returns the other boxes of this box's domain that have not timed out.
 func (n *Node) members(now time.Duration) []*peer {
 	var list []*peer
 	for _, p := range n.peers {
-		if n.sameDomain(p) && !n.gone(now, p) {
+		if n.sameDomain(p) && !n.isGone(now, p) {
 			list = append(list, p)
 		}
 	}
 	return list
 }
 
-// noteSpeaker notes who speaks for the region, and since when.
-func (n *Node) noteSpeaker(now time.Duration) {
-	lead := n.regionLead(now)
-	if lead.Name == n.speaker {
+// updateRegionLeader records the region leader, and since when it is that.
+func (n *Node) updateRegionLeader(now time.Duration) {
+	leader := n.regionLeader(now)
+	if leader.Name == n.regionLeaderName {
 		return
 	}
-	n.speaker, n.speaksFrom = lead.Name, now
-	if p := n.peers[lead.Name]; p != nil && now-p.beyondAt > n.cfg.Timing.Member {
-		p.beyondAt = never // told when it spoke before
+	n.regionLeaderName, n.regionLeaderSince = leader.Name, now
+	if p := n.peers[leader.Name]; p != nil && now-p.otherRegionLoadsAt > n.cfg.Timing.MemberTimeout {
+		p.otherRegionLoadsAt = never // sent in an earlier term
 	}
 }
 
-// awaitsRegions reports whether this box has begun to speak for its region, and not all other
-// regions have told it theirs yet.
-func (n *Node) awaitsRegions(now time.Duration) bool {
-	return n.speaker == n.cfg.Self.Name && now-n.speaksFrom < n.cfg.Timing.Member &&
-		!n.eachTold(now, regionOf, func(p *peer) bool { return !n.sameRegion(p.box) }, func(p *peer) bool { return p.regionAt >= n.speaksFrom })
+// awaitsOtherRegions reports whether this box has recently become region leader and some other
+// region has not reported its loads yet.
+func (n *Node) awaitsOtherRegions(now time.Duration) bool {
+	return n.regionLeaderName == n.cfg.Self.Name && now-n.regionLeaderSince < n.cfg.Timing.MemberTimeout &&
+		!n.eachReported(now, regionOf, func(p *peer) bool { return !n.sameRegion(p.box) }, func(p *peer) bool { return p.regionLoadsAt >= n.regionLeaderSince })
 }
 
-// formerBeyond is what the one that spoke for the region before told of other regions.
-func (n *Node) formerBeyond(now time.Duration) Loads {
+// formerOtherRegionLoads returns the loads of other regions as the previous region leader
+// reported them.
+func (n *Node) formerOtherRegionLoads(now time.Duration) Loads {
 	var last *peer
-	for _, p := range n.nearLeads(now) {
-		if now-p.beyondAt < wholeMost+n.cfg.Timing.Member && (last == nil || p.beyondAt > last.beyondAt) {
+	for _, p := range n.nearLeaders(now) {
+		if now-p.otherRegionLoadsAt < maxFullListInterval+n.cfg.Timing.MemberTimeout && (last == nil || p.otherRegionLoadsAt > last.otherRegionLoadsAt) {
 			last = p
 		}
 	}
 	if last == nil {
 		return nil
 	}
-	return last.beyond
+	return last.otherRegionLoads
 }
 
-// beyondSources are the loads of other regions: what the lead of each told, or this region's.
-// Where that one has told nothing whole yet, the one before it goes.
-func (n *Node) beyondSources(now time.Duration) []Loads {
-	lead := n.peers[n.speaker]
-	if lead != nil && lead.beyondAt != never {
-		return []Loads{lead.beyond}
+// otherRegionLoadLists returns the loads of other regions: those that this region's leader
+// reported, or on the region leader those that the leader of each region reported. Until a
+// complete list was received, the previous region leader's report is used.
+func (n *Node) otherRegionLoadLists(now time.Duration) []Loads {
+	leader := n.peers[n.regionLeaderName]
+	if leader != nil && leader.otherRegionLoadsAt != never {
+		return []Loads{leader.otherRegionLoads}
 	}
-	if lead != nil || n.awaitsRegions(now) {
-		if l := n.formerBeyond(now); l != nil {
+	if leader != nil || n.awaitsOtherRegions(now) {
+		if l := n.formerOtherRegionLoads(now); l != nil {
 			return []Loads{l}
 		}
 	}
 	var list []Loads
-	for _, p := range n.regionTellers(now) {
-		list = append(list, p.region)
+	for _, p := range n.otherRegionSources(now) {
+		list = append(list, p.regionLoads)
 	}
 	return list
 }
--- a/group/restart.go
+++ b/group/restart.go
@@ -1,12 +1,12 @@
 package group
 
-// This file defines who reads the publisher after a restart, when a box knows nothing yet and
-// has callers waiting. The invariants: a box that hears of nobody who reads or knows begins
-// itself within a bounded time; and one that hears of somebody leaves the publisher to them.
+// This file defines which boxes read the publisher after a restart, when a box holds no data yet
+// and has callers waiting. The invariants: a box that hears of no reader and of no box with data
+// starts to read within a bounded time. A box that hears of one leaves the publisher to it.
 //
-// After all boxes were killed at once nobody knows anything. If each read for itself, calls would wait longer
-// than one may take, and none would come to the end of its reading. So the seeds read,
-// whom all ask; and each that knows hands on what it knows.
+// After a restart of all boxes at once none of them holds any data. If each read the publisher,
+// calls would exceed their time limit and no read would finish. So the seeds, which all boxes
+// contact, read first, and each box that has the data passes it on.
 
 import (
 	"slices"
@@ -17,84 +17,84 @@
 
 const (
 	// The values of GroupMessage.reading.
-	readsItself, hearsReader = 1, 2
-	// turnSpread is within how long boxes that hear of nobody who reads begin to: it takes
-	// the first ones that long to make themselves known to the others through their leads.
-	turnSpread = time.Second
-	// pullSpread is by how much the turn of a box whose pull takes long is put off for each
-	// box that it knows of, on the mean of two; pullSpreadMost is the most of it.
-	pullSpread, pullSpreadMost = 20 * time.Millisecond, time.Second
-	// hailPause is between two hails of a box that has heard nobody yet: the seeds may start
-	// somewhat later than others.
-	hailPause = 200 * time.Millisecond
+	senderReads, senderHearsReader = 1, 2
+	// readTurnSpread is the period over which boxes that hear of no reader start to read. The
+	// first readers need about that long to become known through their leaders.
+	readTurnSpread = time.Second
+	// pullTurnDelay delays the read of a box whose pull takes long, by this much per known peer,
+	// averaged over two boxes; maxPullTurnDelay bounds the delay.
+	pullTurnDelay, maxPullTurnDelay = 20 * time.Millisecond, time.Second
+	// helloRetryInterval is the time between hellos of a box that has heard no other box yet,
+	// since seeds may start somewhat later.
+	helloRetryInterval = 200 * time.Millisecond
 )
 
-// readsAfterRestart reports whether a box that knows nothing yet reads: not before the others
-// had time to answer, and not while it hears of one that does so.
+// readsAfterRestart reports whether a box without data should read the publisher. It first gives
+// the others time to answer, and waits while it hears of a reader.
 func (n *Node) readsAfterRestart(now time.Duration) bool {
-	if n.alone() || n.readsAll || n.pullFails {
-		n.readsAll = true
+	if n.hasNoSeeds() || n.readStarted || n.pullFailed {
+		n.readStarted = true
 		return true
 	}
-	n.readsAll = now >= n.turn()
-	return n.readsAll
+	n.readStarted = now >= n.readTurn()
+	return n.readStarted
 }
 
-// turn is from when on a box that knows nothing reads.
-func (n *Node) turn() time.Duration {
+// readTurn returns the time from which a box without data reads the publisher.
+func (n *Node) readTurn() time.Duration {
 	t := n.cfg.Timing
-	turn := n.started + t.Others
-	if n.pullsFrom >= 0 { // somebody knows
-		most := min(time.Duration(len(n.peers)-1)*pullSpread, pullSpreadMost)
-		return max(turn, n.pullsFrom+t.Pull+n.share(max(most, 0)))
+	turn := n.started + t.RestartWait
+	if n.firstPullAt >= 0 { // some box has the data
+		delay := min(time.Duration(len(n.peers)-1)*pullTurnDelay, maxPullTurnDelay)
+		return max(turn, n.firstPullAt+t.PullWait+n.jitter(max(delay, 0)))
 	}
 	if n.isSeed() {
 		return turn
 	}
-	turn += n.share(turnSpread)
-	if n.hearsReading >= 0 {
-		turn = max(turn, n.hearsReading+t.Silence+n.share(turnSpread))
+	turn += n.jitter(readTurnSpread)
+	if n.readerHeardAt >= 0 {
+		turn = max(turn, n.readerHeardAt+t.LeaderTimeout+n.jitter(readTurnSpread))
 	}
 	return turn
 }
 
-// isSeed reports whether other boxes ask this one first.
+// isSeed reports whether this box is one of the seeds.
 func (n *Node) isSeed() bool { return slices.Contains(n.cfg.Seeds, n.cfg.Self.Address) }
 
-// unknowing reports whether this box has restarted and knows nothing yet.
-func (n *Node) unknowing() bool { return !n.cfg.FirstStart && n.cfg.Mirror.Revision() == 0 }
+// restartedEmpty reports whether this box has restarted and holds no published data yet.
+func (n *Node) restartedEmpty() bool { return !n.cfg.FirstStart && n.cfg.Mirror.Revision() == 0 }
 
-// tellsReading is what a message says of who reads. A seed says so from its start on, before
-// its turn comes.
-func (n *Node) tellsReading(now time.Duration) uint32 {
+// readingStatus returns the value of GroupMessage.reading. A seed announces that it reads from
+// its start, before its turn.
+func (n *Node) readingStatus(now time.Duration) uint32 {
 	switch {
-	case !n.unknowing():
+	case !n.restartedEmpty():
 		return 0
-	case !n.readFails && (n.readsAll || n.isSeed()):
-		return readsItself
-	case now-n.directly < n.cfg.Timing.Silence:
-		return hearsReader
+	case !n.readFailed && (n.readStarted || n.isSeed()):
+		return senderReads
+	case now-n.readerHeardDirectlyAt < n.cfg.Timing.LeaderTimeout:
+		return senderHearsReader
 	}
 	return 0
 }
 
-// hearReading takes in what a message says of who reads. What was heard at second hand is not
-// passed on, so that no two boxes go on telling each other of a third that has ended.
-func (n *Node) hearReading(now time.Duration, m *wire.GroupMessage) {
+// recordReadingStatus records what a message says about readers. Second-hand information is not
+// passed on, so that two boxes do not keep telling each other about a third that has stopped.
+func (n *Node) recordReadingStatus(now time.Duration, m *wire.GroupMessage) {
 	if m.Reading == 0 {
 		return
 	}
-	n.hearsReading = now
-	if m.Reading == readsItself {
-		n.directly = now
+	n.readerHeardAt = now
+	if m.Reading == senderReads {
+		n.readerHeardDirectlyAt = now
 	}
 }
 
-// hailAgain asks the seeds once more, while nobody has answered.
-func (n *Node) hailAgain(now time.Duration) {
-	if !n.unknowing() || len(n.peers) > 0 || now-n.lastHail < hailPause {
+// retryHello sends another hello to the seeds while no box has answered.
+func (n *Node) retryHello(now time.Duration) {
+	if !n.restartedEmpty() || len(n.peers) > 0 || now-n.lastHelloAt < helloRetryInterval {
 		return
 	}
-	n.lastHail = now
-	n.hail(now)
+	n.lastHelloAt = now
+	n.sendHello(now)
 }
--- a/group/restart_test.go
+++ b/group/restart_test.go
@@ -14,9 +14,9 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// listUpstreams publishes a list of upstreams of 250 bytes each, which the store hands out in
-// pages of 50, 310 a second; boxes' links carry 10 Mbit/s.
-func (w *world) listUpstreams(count int) {
+// publishUpstreams publishes a list of upstreams of 250 bytes each. The publisher serves it in
+// pages of 50, 310 per second; boxes have links of 10 Mbit/s.
+func (w *simulation) publishUpstreams(count int) {
 	items := w.published.Items()
 	for i := range count {
 		hash := sha256.Sum256([]byte{byte(i), byte(i >> 8)})
@@ -25,12 +25,12 @@
 	}
 	w.published.Load(items, 1)
 	const page = 50
-	w.store = pagedStore{perSecond: 310, pages: len(items)/page + 1, wait: 900 * time.Millisecond}
-	w.link = 10e6 / 8
+	w.pages = pagedPublisher{perSecond: 310, pages: len(items)/page + 1, timeout: 900 * time.Millisecond}
+	w.linkRate = 10e6 / 8
 }
 
-// killAll ends all boxes, and starts them again within 100 ms.
-func (w *world) killAll() {
+// restartAll stops all boxes and starts them again within 100 ms.
+func (w *simulation) restartAll() {
 	for _, name := range w.names {
 		w.boxes[name].dead = true
 	}
@@ -46,149 +46,153 @@
 	}
 }
 
-// knownAfter is how long after from each box knew what is published, in order; boxes that are
-// dead are left out.
-func (w *world) knownAfter(from time.Duration) []time.Duration {
+// dataDelays returns, in ascending order, how long after a moment each running box received the
+// published data.
+func (w *simulation) dataDelays(from time.Duration) []time.Duration {
 	var list []time.Duration
 	for _, b := range w.boxes {
 		switch {
 		case b.dead:
-		case b.known == 0:
+		case b.dataKnownAt == 0:
 			list = append(list, time.Hour)
 		default:
-			list = append(list, b.known-from)
+			list = append(list, b.dataKnownAt-from)
 		}
 	}
 	slices.Sort(list)
 	return list
 }
 
-// BenchmarkAllKilled tells when boxes know what is published after all were killed at once:
-// half of them, and all, in ms, and how many pages they asked the store for.
-func BenchmarkAllKilled(b *testing.B) {
+// BenchmarkRestartAll measures, after a restart of all boxes at once, when half of them and all
+// of them hold the published data, in ms, and how many pages they requested from the publisher.
+func BenchmarkRestartAll(b *testing.B) {
 	for _, upstreams := range []int{345, 3000} {
 		for _, boxes := range []int{30, 100, 300} {
 			b.Run(fmt.Sprintf("upstreams=%d/boxes=%d", upstreams, boxes), func(b *testing.B) {
 				for range b.N {
-					w := across(b, 1, layout{6, 3}, boxes)
-					w.listUpstreams(upstreams)
+					w := startRegions(b, 1, layout{6, 3}, boxes)
+					w.publishUpstreams(upstreams)
 					start := w.now + 500*time.Millisecond
-					w.killAll()
+					w.restartAll()
 					w.run(30 * time.Second)
-					known := w.knownAfter(start)
+					known := w.dataDelays(start)
 					b.ReportMetric(float64(known[len(known)/2].Milliseconds()), "half-ms")
 					b.ReportMetric(float64(known[len(known)-1].Milliseconds()), "all-ms")
-					b.ReportMetric(float64(w.store.calls), "pages")
+					b.ReportMetric(float64(w.pages.calls), "pages")
 				}
 			})
 		}
 	}
 }
 
-// After all boxes were killed, all know what is published within 5 s, however many they are and
-// whatever happened to the seeds; the store is asked for the list a few times and not by each.
-func TestAllBoxesKnowSoonAfterAllWereKilled(t *testing.T) {
+// After a restart of all boxes, all hold the published data within 5 s, however many there are
+// and whatever happens to the seeds. The publisher is asked for the list a few times and not by
+// each box.
+func TestDataIsKnownSoonAfterFullRestart(t *testing.T) {
 	tests := []struct {
 		name   string
 		boxes  int
-		harm   func(w *world)
+		fault  func(w *simulation)
 		within time.Duration
-		pages  int // the most that the store is asked for
+		pages  int // pages requested from the publisher, at most
 	}{
-		{"300 boxes", 300, func(*world) {}, 3 * time.Second, 400},
-		{"a third of the messages are lost", 60, func(w *world) { w.loss = 0.3 }, 5 * time.Second, 400},
-		{"the seeds do not come back", 60, func(w *world) { w.killSeeds() }, 5 * time.Second, 600},
-		{"the store turns the seeds away", 60, func(w *world) { w.refuseSeeds() }, 5 * time.Second, 400},
-		{"a region is cut off", 60, func(w *world) {
-			w.severs = func(a, b *wire.GroupBox) bool { return (a.Region == "region1") != (b.Region == "region1") }
+		{"300 boxes", 300, func(*simulation) {}, 3 * time.Second, 400},
+		{"a third of the messages are lost", 60, func(w *simulation) { w.loss = 0.3 }, 5 * time.Second, 400},
+		{"the seeds do not return", 60, func(w *simulation) { w.stopSeeds() }, 5 * time.Second, 600},
+		{"the publisher refuses the seeds", 60, func(w *simulation) { w.refuseSeeds() }, 5 * time.Second, 400},
+		{"a region is cut off", 60, func(w *simulation) {
+			w.linkCut = func(a, b *wire.GroupBox) bool { return (a.Region == "region1") != (b.Region == "region1") }
 		}, 5 * time.Second, 600},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			w := across(t, 3, layout{6, 3}, tt.boxes)
-			w.listUpstreams(345)
+			w := startRegions(t, 3, layout{6, 3}, tt.boxes)
+			w.publishUpstreams(345)
 			start := w.now + 500*time.Millisecond
-			w.killAll()
-			tt.harm(w)
+			w.restartAll()
+			tt.fault(w)
 			w.run(tt.within)
-			known := w.knownAfter(start)
-			t.Logf("half after %v, all after %v, %d pages", known[len(known)/2], known[len(known)-1], w.store.calls)
-			is.Equal(w.behind(), nil)
-			is.True(w.store.calls <= tt.pages)
+			known := w.dataDelays(start)
+			t.Logf("half of the boxes after %v, all after %v, %d pages", known[len(known)/2], known[len(known)-1], w.pages.calls)
+			is.Equal(w.staleBoxes(), nil)
+			is.True(w.pages.calls <= tt.pages)
 		})
 	}
 }
 
-// After all boxes were killed at once, some heard a lead of another domain before anybody of their own, took
-// themselves for the lead of theirs, and asked nobody any more: for up to 3.25 s a domain had two leads, the one of which
-// knew of no other box, and shared with nobody what upstreams bear.
-func TestEachDomainHasOneLeadSoonAfterAllWereKilled(t *testing.T) {
+// After a restart of all boxes at once, some heard a leader of another domain before any box of
+// their own, took over the lead of their domain, and contacted no further box. For up to 3.25 s a
+// domain had two leaders, one of which knew no other box and shared upstream capacity with none.
+func TestOneLeaderPerDomainAfterFullRestart(t *testing.T) {
 	const within = 2 * time.Second
 	for seed := range uint64(12) {
-		w := across(t, seed, layout{3, 1}, 60)
-		w.listUpstreams(345)
-		w.killAll()
+		w := startRegions(t, seed, layout{3, 1}, 60)
+		w.publishUpstreams(345)
+		w.restartAll()
 		w.run(within)
-		leads := 0
+		leaders := 0
 		for _, name := range w.names {
 			if w.boxes[name].node.IsLeader() {
-				leads++
+				leaders++
 			}
 		}
-		if leads != 3 {
-			t.Errorf("seed %d: %d boxes lead three domains", seed, leads)
+		if leaders != 3 {
+			t.Errorf("seed %d: %d boxes lead, want 3", seed, leaders)
 		}
 	}
 }
 
-// After all boxes were killed, a box followed one that led for a second, then the next strongest that it knew, which did not lead
-// either and said nothing: it waited in vain and led alone (seed 9 of the test above, 9 of 250 runs: the order of a map decides).
-func TestABoxThatIsTakenForTheLeadNamesTheLead(t *testing.T) {
+// After a restart of all boxes, a box followed one that led only for a second, and then the next
+// strongest it knew, which did not lead either and did not answer. The box waited until the
+// timeout and then led alone. The order of a map decided whether this happened: 9 of 250 runs
+// with seed 9 of the test above.
+func TestMemberRedirectsToLeader(t *testing.T) {
 	is := is.New(t)
-	w := across(t, 1, layout{1, 1}, 4)
-	lead, member, lost := w.boxes[boxName(0, 0)], w.boxes[boxName(0, 1)].node, w.boxes[boxName(0, 3)]
+	w := startRegions(t, 1, layout{1, 1}, 4)
+	leader, member, lost := w.boxes[boxName(0, 0)], w.boxes[boxName(0, 1)].node, w.boxes[boxName(0, 3)]
 	member.Drain()
-	beat := lost.node.message(w.now)
-	member.Handle(w.now, beat)
+	heartbeat := lost.node.newMessage(w.now)
+	member.Handle(w.now, heartbeat)
 	out, _ := member.Drain()
 	is.Equal(len(out), 1)
 	is.Equal(out[0].To, lost.self.Address)
-	is.Equal(out[0].Message.Boxes[0].Name, lead.self.Name)
+	is.Equal(out[0].Message.Boxes[0].Name, leader.self.Name)
 	lost.node.Handle(w.now, out[0].Message)
 	back, _ := lost.node.Drain()
 	is.Equal(len(back), 0) // an answer is not answered
-	lead.dead = true
+	leader.dead = true
 	w.run(850 * time.Millisecond)
 	member.Drain()
 	w.now += 100 * time.Millisecond
-	member.Handle(w.now, beat)
+	member.Handle(w.now, heartbeat)
 	out, _ = member.Drain()
-	is.Equal(len(out), 0) // it does not know better
+	is.Equal(len(out), 0) // it does not hear the leader any more
 }
 
-func (w *world) killSeeds() {
+func (w *simulation) stopSeeds() {
 	for _, name := range w.seeds {
 		w.boxes[name].dead = true
 	}
 }
 
-func (w *world) refuseSeeds() {
+func (w *simulation) refuseSeeds() {
 	for _, name := range w.seeds {
 		w.refused[name] = true
 	}
 }
 
-// A box answers as many pulls as its link carries; others it sends to those that it answered.
-func TestABoxThatIsPulledFromMuchSendsOthersElsewhere(t *testing.T) {
+// A box answers as many pulls as its link can send, and refers further ones to boxes that it
+// answered.
+func TestBusyBoxRefersPullsToOthers(t *testing.T) {
 	is := is.New(t)
-	w := across(t, 4, layout{2, 1}, 4)
-	w.listUpstreams(3000)
-	w.killAll()
+	w := startRegions(t, 4, layout{2, 1}, 4)
+	w.publishUpstreams(3000)
+	w.restartAll()
 	w.run(4 * time.Second)
 	w.now += time.Second
 	n := w.boxes[boxName(0, 0)].node
-	n.answers = answers{}
+	n.answeredPulls = answeredPulls{}
 	ask := func(pulls, domain string) *wire.MirrorResponse {
 		return n.AnswerPull(w.now, &wire.MirrorRequest{Packed: true, Pulls: pulls, Domain: domain})
 	}
@@ -202,8 +206,8 @@
 			busy++
 		}
 	}
-	is.True(busy >= 7) // 150 KB and more over 1.25 MB/s
-	w.now = n.answers.until
+	is.True(busy >= 7) // more than 150 KB over 1.25 MB/s
+	w.now = n.answeredPulls.linkBusyUntil
 	ask("c", "domain1")
 	for range 2 {
 		ask("d", "domain1")
@@ -214,17 +218,17 @@
 	is.True(!slices.Contains(r.Elsewhere, "c")) // of another domain
 }
 
-// At a start, and after all boxes were killed, everything crosses the edge of a domain a few
-// times and not once for each box.
+// At a start, and after a restart of all boxes, the complete data crosses a domain boundary a few
+// times and not once per box.
 func TestPullsStayWithinADomain(t *testing.T) {
 	is := is.New(t)
-	w := across(t, 8, layout{3, 1}, 60)
-	w.listUpstreams(1000)
+	w := startRegions(t, 8, layout{3, 1}, 60)
+	w.publishUpstreams(1000)
 	w.seeds = w.seeds[:1]
-	w.killAll()
-	w.crossed = 0
+	w.restartAll()
+	w.crossDomainPulls = 0
 	w.run(4 * time.Second)
-	is.Equal(w.behind(), nil)
-	t.Logf("%d pulls crossed, %d pages, all after %v", w.crossed, w.store.calls, w.knownAfter(0)[59])
-	is.True(w.crossed <= 8)
+	is.Equal(w.staleBoxes(), nil)
+	t.Logf("%d pulls crossed a domain boundary, %d pages, all boxes after %v", w.crossDomainPulls, w.pages.calls, w.dataDelays(0)[59])
+	is.True(w.crossDomainPulls <= 8)
 }
--- a/group/seed_test.go
+++ b/group/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// The seed of the property tests is fixed, so that CI gives one verdict. Failures
-// found with other seeds become cases of their own.
+// The seed of the property tests is fixed, so that CI results are reproducible. Failures found
+// with other seeds are added as separate test cases.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
--- a/group/sharers.go
+++ b/group/sharers.go
@@ -1,8 +1,8 @@
 package group
 
-// This file defines which boxes share what the upstreams of a failure domain bear that are cold or name a
-// limit. The invariant: a box that has just started, or that hears of nobody, shares in nothing, so that
-// boxes which share know of all that have shared for longer.
+// This file defines which boxes of a failure domain share the capacity of an upstream that is
+// cold or announces a limit. The invariant: a box that has just started, or that hears no other
+// box, has no share, so every box with a share knows all boxes that have had one for longer.
 
 import (
 	"maps"
@@ -15,24 +15,24 @@
 )
 
 const (
-	// sharesFor is how long after a box was last heard, or named by another one, it counts among
-	// those that share: a lead names those that it hears every 4 s.
-	sharesFor = time.Minute
-	// maxSharers bounds the boxes that share; a message that names them all has 1.6 KB.
+	// shareWindow is how long a box keeps its share after it was last heard or listed by another
+	// box. A leader lists the boxes it hears every 4 s.
+	shareWindow = time.Minute
+	// maxSharers bounds the sharing boxes. A message that names that many has 1.6 KB.
 	maxSharers = 400
 )
 
-// Sharers are the boxes of the domain that share, this one among them, each by a hash of its name; they are
-// none while too little is known.
+// Sharers returns the boxes of the domain that share capacity, including this one, each
+// identified by a hash of its name. The list is empty while too little is known.
 func (n *Node) Sharers(now time.Duration) balance.QuotaPeers {
 	self := balance.Key(n.cfg.Self.Name)
 	s := balance.QuotaPeers{Box: sharerName(self)}
-	if now-n.started < n.cfg.Timing.Member || len(n.peers) == 0 && !n.alone() {
+	if now-n.started < n.cfg.Timing.MemberTimeout || len(n.peers) == 0 && !n.hasNoSeeds() {
 		return s
 	}
-	keys := n.heardSharers(now, sharesFor)
-	for key, told := range n.sharers {
-		if now-told < sharesFor {
+	keys := n.recentSharers(now, shareWindow)
+	for key, listedAt := range n.sharers {
+		if now-listedAt < shareWindow {
 			keys[key] = true
 		}
 	}
@@ -47,25 +47,26 @@
 	return s
 }
 
-// sharerName is how a box is called among those that share.
+// sharerName returns the identifier of a sharing box.
 func sharerName(key uint32) string { return strconv.FormatUint(uint64(key), 16) }
 
-// heardSharers are the boxes of the domain that this one has heard, or heard named, within a while, itself among
-// them.
-func (n *Node) heardSharers(now, within time.Duration) map[uint32]bool {
+// recentSharers returns the boxes of the domain, including this one, that were heard or listed
+// within the given time.
+func (n *Node) recentSharers(now, within time.Duration) map[uint32]bool {
 	keys := map[uint32]bool{balance.Key(n.cfg.Self.Name): true}
 	for _, p := range n.peers {
-		if n.sameDomain(p) && now-max(p.heard, p.named) < within {
+		if n.sameDomain(p) && now-max(p.lastHeard, p.lastNamed) < within {
 			keys[balance.Key(p.box.Name)] = true
 		}
 	}
 	return keys
 }
 
-// packSharers is what a lead tells its domain beside the boxes that it names: nothing where it names all. It tells
-// nothing on that it was told, so that a box that is gone is forgotten.
+// packSharers returns the boxes that a leader names to its domain in addition to its box list, or
+// nil if that is complete. Hashes received from other leaders are not repeated, so that a box
+// that is gone is forgotten.
 func (n *Node) packSharers(now time.Duration) []uint32 {
-	keys := n.heardSharers(now, listedFor*n.cfg.Timing.Member)
+	keys := n.recentSharers(now, listedTimeouts*n.cfg.Timing.MemberTimeout)
 	if len(keys) <= maxListed {
 		return nil
 	}
@@ -73,23 +74,23 @@
 	return list[:min(len(list), maxSharers)]
 }
 
-// takeSharers takes in what a lead of the domain tells.
-func (n *Node) takeSharers(now time.Duration, p *peer, m *wire.GroupMessage) {
+// receiveSharers records the boxes named by a leader of the domain.
+func (n *Node) receiveSharers(now time.Duration, p *peer, m *wire.GroupMessage) {
 	if !n.sameDomain(p) || len(m.Sharers) == 0 {
 		return
 	}
-	maps.DeleteFunc(n.sharers, func(_ uint32, told time.Duration) bool { return now-told >= sharesFor })
+	maps.DeleteFunc(n.sharers, func(_ uint32, listedAt time.Duration) bool { return now-listedAt >= shareWindow })
 	for _, key := range m.Sharers[:min(len(m.Sharers), maxSharers)] {
 		n.sharers[key] = now
 	}
 }
 
-// strongestFirst orders boxes for sorting.
+// strongestFirst compares boxes for sorting.
 func strongestFirst(a, b *wire.GroupBox) int {
 	switch {
-	case better(a, b):
+	case stronger(a, b):
 		return -1
-	case better(b, a):
+	case stronger(b, a):
 		return 1
 	}
 	return 0
--- a/group/sharers_test.go
+++ b/group/sharers_test.go
@@ -12,15 +12,15 @@
 	"github.com/doormast/doormast/mirror"
 )
 
-// itemOf is something published, or the news that it is gone.
-func itemOf(key string, revision uint64, gone bool) []mirror.Item {
+// publishedItem returns a published item, or its deletion.
+func publishedItem(key string, revision uint64, gone bool) []mirror.Item {
 	return []mirror.Item{{Key: key, Revision: revision, Gone: gone}}
 }
 
-func TestTheBoxesOfADomainShareOnceTheyKnowEachOther(t *testing.T) {
+func TestBoxesShareOnceTheyKnowEachOther(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
-	w.fleet(2, 4)
+	w := newSimulation(t, 1)
+	w.startFleet(2, 4)
 	w.run(time.Second)
 	is.Equal(w.boxes[boxName(0, 2)].node.Sharers(w.now).Boxes, nil) // it has just started
 	w.run(4 * time.Second)
@@ -32,20 +32,21 @@
 	is.Equal(len(w.boxes[boxName(0, 0)].node.Sharers(w.now).Boxes), 3) // it is forgotten after a while
 }
 
-func TestABoxThatHearsOfNobodySharesInNothing(t *testing.T) {
+func TestBoxThatHearsNoOtherHasNoShare(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2)
+	w := newSimulation(t, 2)
 	w.seeds = []string{"nobody"}
-	b := w.start("lonely", "domain0", 1, false)
+	b := w.start("alone", "domain0", 1, false)
 	w.run(10 * time.Second)
 	is.Equal(b.node.Sharers(w.now).Boxes, nil)
 }
 
-// A domain has more boxes than a message names: all share all the same, and all know of the same.
-func TestAllOfManyBoxesShare(t *testing.T) {
+// In a domain with more boxes than a message lists, all boxes have a share and all know the same
+// boxes.
+func TestManyBoxesShare(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3)
-	w.fleet(1, 60)
+	w := newSimulation(t, 3)
+	w.startFleet(1, 60)
 	w.run(8 * time.Second)
 	all := w.boxes[boxName(0, 5)].node.Sharers(w.now).Boxes
 	is.Equal(len(all), 60)
@@ -55,28 +56,28 @@
 		is.True(slices.Contains(all, s.Box))
 	}
 	w.boxes[boxName(0, 59)].dead = true
-	w.run(sharesFor + 2*listedFor*DefaultTiming.Member + 5*time.Second) // the lead goes on naming it, and tells so later
+	w.run(shareWindow + 2*listedTimeouts*DefaultTiming.MemberTimeout + 5*time.Second) // the leader keeps listing it for a while, and the share lasts from then
 	for i := range 59 {
 		is.Equal(len(w.boxes[boxName(0, i)].node.Sharers(w.now).Boxes), 59) // it is forgotten after a while
 	}
 }
 
-// Boxes are killed, started, frozen and cut off with their domain, messages are lost, and
-// still all boxes together may never send a cold upstream more than it bears, nor one that names a limit more
-// than its bound.
-func TestNoScheduleExceedsWhatUpstreamsBear(t *testing.T) {
+// While boxes are stopped, started, frozen and cut off with their domain and messages are lost,
+// all boxes together may never send a cold upstream more than it can handle, nor one that
+// announces a limit more than its bound.
+func TestNoScheduleExceedsUpstreamCapacity(t *testing.T) {
 	const (
 		domains, boxes = 2, 9
 		most           = 12
 	)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(nil, uint64(rapid.IntRange(1, 1<<20).Draw(t, "seed")))
-		w.fleet(domains, boxes)
+		w := newSimulation(nil, uint64(rapid.IntRange(1, 1<<20).Draw(t, "seed")))
+		w.startFleet(domains, boxes)
 		w.run(4 * time.Second)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			name := w.names[rapid.IntRange(0, len(w.names)-1).Draw(t, "box")]
 			b := w.boxes[name]
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0:
 				b.dead = true
 			case 1:
@@ -84,7 +85,7 @@
 			case 2:
 				b.frozen = !b.frozen
 			case 3:
-				w.cut[b.self.Domain] = !w.cut[b.self.Domain]
+				w.cutDomains[b.self.Domain] = !w.cutDomains[b.self.Domain]
 			case 4:
 				w.loss = 0.3 - w.loss
 			case 5:
@@ -96,12 +97,12 @@
 			}
 			w.run(time.Duration(rapid.IntRange(50, 4000).Draw(t, "pause")) * time.Millisecond)
 			for _, upstream := range []string{"u1", "u2", "u3"} {
-				if sum := w.rations(upstream, most); sum > most {
-					t.Fatalf("%d of %d may be sent to %s", sum, most, upstream)
+				if sum := w.totalColdRation(upstream, most); sum > most {
+					t.Fatalf("boxes may send %d of %d allowed requests to %s", sum, most, upstream)
 				}
 				for _, limit := range []float64{0, 0.5, 1, 3.3, 20} {
-					if sum := w.limitRations(upstream, limit); sum > allowed(limit) {
-						t.Fatalf("%d of %d may be sent to %s, which names %v a second", sum, allowed(limit), upstream, limit)
+					if sum := w.totalLimitRation(upstream, limit); sum > allowedRequests(limit) {
+						t.Fatalf("boxes may send %d of %d allowed requests to %s under a limit of %v per second", sum, allowedRequests(limit), upstream, limit)
 					}
 				}
 			}
@@ -109,9 +110,9 @@
 	})
 }
 
-// rations adds up what the living boxes may send to a cold upstream of the first domain, where
-// both domains have upstreams.
-func (w *world) rations(upstream string, most int) int {
+// totalColdRation adds up what the running boxes may send to a cold upstream of the first domain,
+// while both domains have upstreams.
+func (w *simulation) totalColdRation(upstream string, most int) int {
 	sum := 0
 	for _, name := range w.names {
 		b := w.boxes[name]
@@ -133,15 +134,16 @@
 	return sum
 }
 
-// limitRations adds up what the living boxes may send to an upstream of the first domain that names a limit.
-func (w *world) limitRations(upstream string, perSecond float64) int {
+// totalLimitRation adds up what the running boxes may send to an upstream of the first domain
+// that announces a limit.
+func (w *simulation) totalLimitRation(upstream string, perSecond float64) int {
 	sum := 0
 	for _, name := range w.names {
 		b := w.boxes[name]
 		if b.dead {
 			continue
 		}
-		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning, Named: boundsOfDay,
+		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning, Named: limitBounds,
 			Regions: map[string]string{domainName(0): "r", domainName(1): "r"}})
 		f.SetSharers(b.node.Sharers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8})
@@ -152,13 +154,13 @@
 	return sum
 }
 
-// What is published once and taken away again, such as that a domain is evacuated, is in force
-// everywhere within the bound both times, though the publisher forgets its history in between
-// or turns the reader away.
-func TestWhatIsTakenAwayIsKnownWithinTheBound(t *testing.T) {
+// An entry that is published and later deleted, for example the evacuation of a domain, takes
+// effect on all boxes within the bound both times, even if the publisher loses its history in
+// between or refuses the reader.
+func TestDeletionIsKnownWithinBound(t *testing.T) {
 	const key, bound = "evacuated", 2 * time.Second
 	has := func(b *testBox) bool {
-		for _, it := range b.copy.Items() {
+		for _, it := range b.mirror.Items() {
 			if it.Key == key {
 				return true
 			}
@@ -167,19 +169,19 @@
 	}
 	for _, c := range []struct {
 		name  string
-		fault func(*world)
+		fault func(*simulation)
 	}{
-		{"all is well", func(*world) {}},
-		{"the history is forgotten", func(w *world) {
+		{"no fault", func(*simulation) {}},
+		{"the publisher loses its history", func(w *simulation) {
 			items, revision := w.published.Items(), w.published.Revision()
-			fresh := newWorld(w.t, 1).published
+			fresh := newSimulation(w.t, 1).published
 			fresh.Load(items, revision+1)
 			w.published = fresh
 		}},
-		{"the reader is turned away", func(w *world) { w.refused[boxName(0, 0)] = true }},
-		{"the reader dies", func(w *world) { w.boxes[boxName(0, 0)].dead = true }},
-		{"a domain is cut off", func(w *world) { w.cut[domainName(1)] = true }},
-		{"boxes start again", func(w *world) {
+		{"the publisher refuses the reader", func(w *simulation) { w.refused[boxName(0, 0)] = true }},
+		{"the reader stops", func(w *simulation) { w.boxes[boxName(0, 0)].dead = true }},
+		{"a domain is cut off", func(w *simulation) { w.cutDomains[domainName(1)] = true }},
+		{"boxes restart", func(w *simulation) {
 			for i := range 4 {
 				w.start(boxName(1, i), domainName(1), uint32(100-i), false)
 			}
@@ -187,13 +189,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 5)
-			w.fleet(2, 8)
+			w := newSimulation(t, 5)
+			w.startFleet(2, 8)
 			w.run(5 * time.Second)
 			for _, gone := range []bool{false, true} {
 				c.fault(w)
 				r := w.published.Revision()
-				w.published.Apply(r, r+1, itemOf(key, r+1, gone))
+				w.published.Apply(r, r+1, publishedItem(key, r+1, gone))
 				w.run(bound)
 				wrong := slices.DeleteFunc(slices.Clone(w.names), func(name string) bool {
 					b := w.boxes[name]
--- a/group/suspects.go
+++ b/group/suspects.go
@@ -1,8 +1,8 @@
 package group
 
-// This file defines how boxes tell each other which requests upstreams end under; how that reaches all
-// of them stands in spread.go. Each box would else find out for itself, at the cost of the upstreams that end under its
-// own runs.
+// This file defines how boxes tell each other which requests upstreams crash under; replicator.go
+// defines how that reaches all boxes. Otherwise each box would have to find out by itself, at the
+// cost of the upstreams that crash under its own requests.
 
 import (
 	"slices"
@@ -12,21 +12,22 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// spreadOfSuspects says how such requests are told.
-var spreadOfSuspects = spreadOf[balance.Suspect]{
-	key:   func(x balance.Suspect) uint64 { return x.Content },
-	same:  func(a, b balance.Suspect) bool { return a.Round == b.Round && slices.Equal(a.Ended, b.Ended) },
-	tells: tellsOf,
-	pack:  packSuspects,
+// suspectReplication defines how these requests are replicated.
+var suspectReplication = replicationRules[balance.Suspect]{
+	key:       func(x balance.Suspect) uint64 { return x.Content },
+	same:      func(a, b balance.Suspect) bool { return a.Round == b.Round && slices.Equal(a.Ended, b.Ended) },
+	sendCount: suspectSendCount,
+	pack:      packSuspects,
 }
 
-// tellsOf is how many messages tell a thing. That a first upstream has ended is told once: where one ends it
-// is so of all that ran there, 50 boxes' worth in a domain of 100, and a loss costs one more end.
-func tellsOf(x balance.Suspect) int {
+// suspectSendCount returns the number of messages that carry an entry. The crash of a first
+// upstream is sent once: a crash affects all requests in progress there, which is about 50 boxes
+// in a domain of 100, and a lost message costs one more crash.
+func suspectSendCount(x balance.Suspect) int {
 	if len(x.Ended) == 1 {
 		return 1
 	}
-	return spreadTells
+	return entrySendCount
 }
 
 func packSuspects(m *wire.GroupMessage, list []balance.Suspect, digest uint64, all bool) {
@@ -36,24 +37,24 @@
 	}
 }
 
-// SetWithheld says what this box withholds.
+// SetWithheld sets the requests that this box withholds from upstreams.
 func (n *Node) SetWithheld(list []balance.Suspect) {
 	n.suspects.all, n.suspects.digest = list, balance.DigestOf(list)
 }
 
-// AnnounceSuspects notes what is new, to be told.
-func (n *Node) AnnounceSuspects(list []balance.Suspect) { n.suspects.tell(list) }
+// AnnounceSuspects queues new entries to be announced.
+func (n *Node) AnnounceSuspects(list []balance.Suspect) { n.suspects.announce(list) }
 
-// DrainSuspects returns, once, what other boxes told.
+// DrainSuspects returns the entries announced by other boxes since the last call.
 func (n *Node) DrainSuspects() []balance.Suspect { return n.suspects.drain() }
 
-// FlushSuspects tells what is new, unless that was done a moment ago.
+// FlushSuspects sends queued entries, at most once per minFlushInterval.
 func (n *Node) FlushSuspects(now time.Duration) { n.suspects.flush(n, now) }
 
-// tellsSuspects reports whether a message tells of requests that upstreams end under, and nothing else.
-func tellsSuspects(m *wire.GroupMessage) bool { return m.AllWithheld || len(m.Suspects) > 0 }
+// carriesSuspects reports whether a message carries suspects and nothing else.
+func carriesSuspects(m *wire.GroupMessage) bool { return m.AllWithheld || len(m.Suspects) > 0 }
 
-// handleSuspects takes in a message that tells of them.
+// handleSuspects processes a message with suspects.
 func (n *Node) handleSuspects(now time.Duration, m *wire.GroupMessage) {
 	list := make([]balance.Suspect, len(m.Suspects))
 	for i, x := range m.Suspects {
--- a/group/suspects_test.go
+++ b/group/suspects_test.go
@@ -10,217 +10,220 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// holders are the boxes' tables of what upstreams end under, joined to the nodes as a box does it.
-type holders struct {
-	w      *world
+// suspectTables holds the boxes' tables of requests that upstreams crash under, connected to the
+// nodes as in a box.
+type suspectTables struct {
+	sim    *simulation
 	tables map[string]*balance.Suspects
-	lives  map[string]*testBox
+	boxes  map[string]*testBox
 }
 
-func newHolders(w *world) *holders {
-	return &holders{w: w, tables: make(map[string]*balance.Suspects), lives: make(map[string]*testBox)}
+func newSuspectTables(w *simulation) *suspectTables {
+	return &suspectTables{sim: w, tables: make(map[string]*balance.Suspects), boxes: make(map[string]*testBox)}
 }
 
-// run lets time pass. A box that has started again knows nothing of before.
-func (h *holders) run(d time.Duration) {
-	for end := h.w.now + d; h.w.now < end; {
-		h.w.run(step)
-		for _, name := range h.w.names {
-			b := h.w.boxes[name]
+// runTables runs the simulation for a while. A box that has restarted begins with an empty table.
+func (h *suspectTables) runTables(d time.Duration) {
+	for end := h.sim.now + d; h.sim.now < end; {
+		h.sim.run(step)
+		for _, name := range h.sim.names {
+			b := h.sim.boxes[name]
 			if b.dead || b.frozen {
 				continue
 			}
-			if h.lives[name] != b {
-				h.lives[name], h.tables[name] = b, new(balance.Suspects)
+			if h.boxes[name] != b {
+				h.boxes[name], h.tables[name] = b, new(balance.Suspects)
 			}
 			s := h.tables[name]
-			s.Take(h.w.now, b.node.DrainSuspects())
-			b.node.AnnounceSuspects(s.News(h.w.now))
-			b.node.SetWithheld(s.Withheld(h.w.now))
-			b.node.FlushSuspects(h.w.now)
-			h.w.collect(b)
+			s.Take(h.sim.now, b.node.DrainSuspects())
+			b.node.AnnounceSuspects(s.News(h.sim.now))
+			b.node.SetWithheld(s.Withheld(h.sim.now))
+			b.node.FlushSuspects(h.sim.now)
+			h.sim.sendOutgoing(b)
 		}
 	}
 }
 
-// end has an upstream end under a content that a box runs.
-func (h *holders) end(name string, content uint64, id string) {
+// crash lets an upstream crash while a box runs a content on it.
+func (h *suspectTables) crash(name string, content uint64, id string) {
 	s := h.tables[name]
-	s.CutOff(h.w.now, content, balance.Incarnation{ID: id})
-	s.Ended(h.w.now, balance.Incarnation{ID: id})
+	s.CutOff(h.sim.now, content, balance.Incarnation{ID: id})
+	s.Ended(h.sim.now, balance.Incarnation{ID: id})
 }
 
-// withhold lists the boxes that withhold a content.
-func (h *holders) withhold(content uint64) int {
+// withholding counts the boxes that withhold a content.
+func (h *suspectTables) withholding(content uint64) int {
 	n := 0
 	for name, s := range h.tables {
-		if !h.w.boxes[name].dead && s.Left(h.w.now, content) > 0 {
+		if !h.sim.boxes[name].dead && s.Left(h.sim.now, content) > 0 {
 			n++
 		}
 	}
 	return n
 }
 
-const fatal = 77
+const fatalContent = 77
 
-// hears is how long a box may take to be told at the most: boxes that are in touch have three seconds.
-const hears = 3 * time.Second
+// knownWithin is the longest time until a box in contact with the others learns of an entry.
+const knownWithin = 3 * time.Second
 
-func TestAllBoxesComeToWithhold(t *testing.T) {
+func TestAllBoxesWithholdFatalContent(t *testing.T) {
 	all := []string{"b00", "b01", "b02", "b10", "b11", "b20"}
-	start := func(t *testing.T, seed uint64) *holders {
-		w := newWorld(t, seed)
+	start := func(t *testing.T, seed uint64) *suspectTables {
+		w := newSimulation(t, seed)
 		w.seeds = []string{"b00", "b10"}
 		for i, name := range all {
 			w.start(name, "d"+name[1:2], uint32(10-i), true)
 		}
-		h := newHolders(w)
-		h.run(3 * time.Second)
+		h := newSuspectTables(w)
+		h.runTables(3 * time.Second)
 		return h
 	}
 	for _, test := range []struct {
 		name   string
 		within time.Duration
-		do     func(h *holders)
+		do     func(h *suspectTables)
 	}{
-		{"two ends seen by one box", 200 * time.Millisecond, func(h *holders) {
-			h.end("b02", fatal, "u1")
-			h.end("b02", fatal, "u2")
+		{"two crashes seen by one box", 200 * time.Millisecond, func(h *suspectTables) {
+			h.crash("b02", fatalContent, "u1")
+			h.crash("b02", fatalContent, "u2")
 		}},
-		{"an end each seen by boxes of two domains", 200 * time.Millisecond, func(h *holders) {
-			h.end("b02", fatal, "u1")
-			h.end("b11", fatal, "u2")
+		{"one crash seen in each of two domains", 200 * time.Millisecond, func(h *suspectTables) {
+			h.crash("b02", fatalContent, "u1")
+			h.crash("b11", fatalContent, "u2")
 		}},
-		{"a fifth of all messages is lost", hears, func(h *holders) {
-			h.w.loss = 0.2
-			h.end("b02", fatal, "u1")
-			h.end("b02", fatal, "u2")
+		{"a fifth of all messages is lost", knownWithin, func(h *suspectTables) {
+			h.sim.loss = 0.2
+			h.crash("b02", fatalContent, "u1")
+			h.crash("b02", fatalContent, "u2")
 		}},
-		{"half of all messages are lost", 20 * time.Second, func(h *holders) {
-			h.w.loss = 0.5
-			h.end("b02", fatal, "u1")
-			h.end("b02", fatal, "u2")
+		{"half of all messages are lost", 20 * time.Second, func(h *suspectTables) {
+			h.sim.loss = 0.5
+			h.crash("b02", fatalContent, "u1")
+			h.crash("b02", fatalContent, "u2")
 		}},
-		{"the lead dies just after it was told", hears, func(h *holders) {
-			h.end("b02", fatal, "u1")
-			h.end("b02", fatal, "u2")
-			h.run(10 * time.Millisecond)
-			h.w.boxes["b00"].dead = true
+		{"the leader stops right after it received the entry", knownWithin, func(h *suspectTables) {
+			h.crash("b02", fatalContent, "u1")
+			h.crash("b02", fatalContent, "u2")
+			h.runTables(10 * time.Millisecond)
+			h.sim.boxes["b00"].dead = true
 		}},
-		{"a domain is cut off meanwhile", hears, func(h *holders) {
-			h.w.cut["d1"] = true
-			h.run(2 * time.Second)
-			h.end("b02", fatal, "u1")
-			h.end("b02", fatal, "u2")
-			h.run(4 * time.Second)
-			h.w.cut["d1"] = false
+		{"a domain is cut off meanwhile", knownWithin, func(h *suspectTables) {
+			h.sim.cutDomains["d1"] = true
+			h.runTables(2 * time.Second)
+			h.crash("b02", fatalContent, "u1")
+			h.crash("b02", fatalContent, "u2")
+			h.runTables(4 * time.Second)
+			h.sim.cutDomains["d1"] = false
 		}},
-		{"a box starts again", hears, func(h *holders) {
-			h.end("b02", fatal, "u1")
-			h.end("b02", fatal, "u2")
-			h.run(time.Second)
-			h.w.start("b01", "d0", 9, false)
+		{"a box restarts", knownWithin, func(h *suspectTables) {
+			h.crash("b02", fatalContent, "u1")
+			h.crash("b02", fatalContent, "u2")
+			h.runTables(time.Second)
+			h.sim.start("b01", "d0", 9, false)
 		}},
-		{"all of a domain start again", hears, func(h *holders) {
-			h.end("b02", fatal, "u1")
-			h.end("b02", fatal, "u2")
-			h.run(time.Second)
+		{"all boxes of a domain restart", knownWithin, func(h *suspectTables) {
+			h.crash("b02", fatalContent, "u1")
+			h.crash("b02", fatalContent, "u2")
+			h.runTables(time.Second)
 			for i, name := range []string{"b10", "b11"} {
-				h.w.start(name, "d1", uint32(7-i), false)
+				h.sim.start(name, "d1", uint32(7-i), false)
 			}
 		}},
-		{"a box was frozen", hears, func(h *holders) {
-			h.w.boxes["b20"].frozen = true
-			h.end("b02", fatal, "u1")
-			h.end("b02", fatal, "u2")
-			h.run(5 * time.Second)
-			h.w.boxes["b20"].frozen = false
+		{"a box was frozen", knownWithin, func(h *suspectTables) {
+			h.sim.boxes["b20"].frozen = true
+			h.crash("b02", fatalContent, "u1")
+			h.crash("b02", fatalContent, "u2")
+			h.runTables(5 * time.Second)
+			h.sim.boxes["b20"].frozen = false
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(10) {
 				h := start(t, seed)
 				test.do(h)
-				h.run(test.within)
+				h.runTables(test.within)
 				alive := 0
 				for _, name := range all {
-					if !h.w.boxes[name].dead {
+					if !h.sim.boxes[name].dead {
 						alive++
 					}
 				}
-				if n := h.withhold(fatal); n != alive {
-					t.Fatalf("seed %d: %d boxes of %d withhold it", seed, n, alive)
+				if n := h.withholding(fatalContent); n != alive {
+					t.Fatalf("seed %d: %d of %d boxes withhold the content", seed, n, alive)
 				}
 			}
 		})
 	}
 }
 
-// What was answered whole on one box is withheld by none, also by those that were not told.
-func TestWhatIsAnsweredIsWithheldByNone(t *testing.T) {
+// A content that one box had answered completely is withheld by no box, including those whose
+// messages were lost.
+func TestAnsweredContentIsNotWithheld(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	w.seeds = []string{"a", "c"}
 	for i, name := range []string{"a", "b", "c", "d"} {
 		w.start(name, map[bool]string{true: "d0", false: "d1"}[i < 2], uint32(10-i), true)
 	}
-	h := newHolders(w)
-	h.run(3 * time.Second)
-	h.end("b", fatal, "u1")
-	h.end("b", fatal, "u2")
-	h.run(time.Second)
-	is.Equal(h.withhold(fatal), 4)
+	h := newSuspectTables(w)
+	h.runTables(3 * time.Second)
+	h.crash("b", fatalContent, "u1")
+	h.crash("b", fatalContent, "u2")
+	h.runTables(time.Second)
+	is.Equal(h.withholding(fatalContent), 4)
 	w.loss = 1
-	h.tables["d"].Answered(w.now, fatal)
-	h.run(500 * time.Millisecond)
-	is.Equal(h.withhold(fatal), 3)
+	h.tables["d"].Answered(w.now, fatalContent)
+	h.runTables(500 * time.Millisecond)
+	is.Equal(h.withholding(fatalContent), 3)
 	w.loss = 0
-	h.run(hears)
-	is.Equal(h.withhold(fatal), 0)
+	h.runTables(knownWithin)
+	is.Equal(h.withholding(fatalContent), 0)
 }
 
-// Where nothing is withheld nothing is told, and where it is known everywhere neither.
-func TestWhatIsKnownIsNotToldAgain(t *testing.T) {
+// Nothing is sent if nothing is withheld, or if all boxes know what is withheld.
+func TestKnownSuspectsAreNotSentAgain(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	w.seeds = []string{"a"}
 	for i, name := range []string{"a", "b", "c"} {
 		w.start(name, "d0", uint32(10-i), true)
 	}
-	h := newHolders(w)
-	told := func() int { return w.kinds[sentKey{KindSuspects, ReachDomain}] }
-	h.run(5 * time.Second)
-	is.Equal(told(), 0)
-	h.end("c", fatal, "u1")
-	h.end("c", fatal, "u2")
-	h.run(2 * time.Second)
-	first := told()
+	h := newSuspectTables(w)
+	sentBytes := func() int { return w.bytesByKind[sentKey{KindSuspects, ReachDomain}] }
+	h.runTables(5 * time.Second)
+	is.Equal(sentBytes(), 0)
+	h.crash("c", fatalContent, "u1")
+	h.crash("c", fatalContent, "u2")
+	h.runTables(2 * time.Second)
+	first := sentBytes()
 	is.True(first > 0)
 	is.True(first < 1000) // bytes
-	h.run(10 * time.Second)
-	is.Equal(told(), first)
+	h.runTables(10 * time.Second)
+	is.Equal(sentBytes(), first)
 }
 
-// BenchmarkAnEndAmongManyBoxes: an upstream ends under one request each of 50 boxes, in a domain of 100; then one
-// request comes to be withheld. It reports what all boxes send of that, in bytes.
-func BenchmarkAnEndAmongManyBoxes(b *testing.B) {
+// BenchmarkCrash measures the bytes that all boxes send about suspects: after an upstream crashes
+// under one request each of 50 boxes in a domain of 100, and after one of these requests becomes
+// withheld.
+func BenchmarkCrash(b *testing.B) {
 	for b.Loop() {
-		w := newWorld(b, 1)
+		w := newSimulation(b, 1)
 		w.seeds = []string{"b000"}
 		for i := range 100 {
 			w.start(fmt.Sprintf("b%03d", i), "d0", uint32(1000-i), true)
 		}
-		h := newHolders(w)
-		h.run(2 * time.Second)
-		all := w.kinds[sentKey{KindSuspects, ReachDomain}]
+		h := newSuspectTables(w)
+		h.runTables(2 * time.Second)
+		all := w.bytesByKind[sentKey{KindSuspects, ReachDomain}]
 		for i := range 50 {
-			h.end(fmt.Sprintf("b%03d", 2*i+1), uint64(1000+i), "u1")
+			h.crash(fmt.Sprintf("b%03d", 2*i+1), uint64(1000+i), "u1")
 		}
-		h.run(time.Second)
-		b.ReportMetric(float64(w.kinds[sentKey{KindSuspects, ReachDomain}]-all), "B/end")
-		all = w.kinds[sentKey{KindSuspects, ReachDomain}]
-		h.end("b001", 1000, "u2")
-		h.run(time.Second)
-		b.ReportMetric(float64(w.kinds[sentKey{KindSuspects, ReachDomain}]-all), "B/withheld")
+		h.runTables(time.Second)
+		b.ReportMetric(float64(w.bytesByKind[sentKey{KindSuspects, ReachDomain}]-all), "B/end")
+		all = w.bytesByKind[sentKey{KindSuspects, ReachDomain}]
+		h.crash("b001", 1000, "u2")
+		h.runTables(time.Second)
+		b.ReportMetric(float64(w.bytesByKind[sentKey{KindSuspects, ReachDomain}]-all), "B/withheld")
 	}
 }
