--- a/group/takeover.go
+++ b/group/takeover.go
@@ -1,87 +1,91 @@
 package group
 
-// This file defines what a box that has just become its domain's lead goes by, until those whose
-// loads it adds up have told it theirs. The invariant: what it knew of the others' as a member
-// counts until they have told it, or have had Timing.Member to do so; and it hands on no sum that
-// is a part of the truth only.
+// This file defines the loads that a new domain leader uses until the boxes whose loads it sums
+// have reported them. The invariant: the loads it knew as a member count until the other boxes
+// have reported theirs, or have had the member timeout to do so, and no incomplete sum is sent
+// on.
 //
-// Without this, the successor of a lead that died and all its members would believe for a beat that hardly any
-// requests are under way.
+// Without this, the successor of a failed leader and all its members would assume for one
+// heartbeat that hardly any requests are in progress.
 
 import (
 	"maps"
 	"time"
 )
 
-// inheritance is what a lead knew as a member.
-type inheritance struct {
-	at     time.Duration // when it began to lead
-	others Loads         // all other boxes'
-	// Whether all have told that are to: the members, the leads of the region's other domains,
-	// and those who tell of other regions.
-	domain, region, beyond bool
+// inheritedLoads holds the loads that a leader knew as a member.
+type inheritedLoads struct {
+	since time.Duration // when it became leader
+	loads Loads         // of all other boxes
+	// Whether all expected reports were received: from the members, from the leaders of the
+	// region's other domains, and about other regions.
+	domainKnown, regionKnown, otherRegionsKnown bool
 }
 
-// takeOver begins to lead.
-func (n *Node) takeOver(now time.Duration) {
-	if n.leading {
+// becomeLeader starts to act as leader, if this box does not do so yet.
+func (n *Node) becomeLeader(now time.Duration) {
+	if n.actsAsLeader {
 		return
 	}
-	n.leading = true
-	n.sums, n.speaker = loadSums{}, ""
+	n.actsAsLeader = true
+	n.sums, n.regionLeaderName = loadSums{}, ""
 	if !n.hasFollowed {
 		return // it has just started
 	}
-	n.greets, n.lastBeat = true, never // those who are to tell are to know at once
-	n.inherits = &inheritance{at: now, others: maps.Clone(n.others)}
+	n.announcesLeadership, n.lastHeartbeat = true, never // the boxes that report to this one must learn of it at once
+	n.inherited = &inheritedLoads{since: now, loads: maps.Clone(n.otherLoads)}
 }
 
-// stepDown ends leading.
+// stepDown stops acting as leader.
 func (n *Node) stepDown() {
-	n.leading, n.hasFollowed = false, true
-	n.greets, n.inherits = false, nil
-	n.audiences = audiences{}
+	n.actsAsLeader, n.hasFollowed = false, true
+	n.announcesLeadership, n.inherited = false, nil
+	n.recipients = recipientGroups{}
 }
 
-// settleInheritance notes who has told, and forgets what was inherited once all have.
-func (n *Node) settleInheritance(now time.Duration) {
-	h := n.inherits
+// updateInherited records which reports were received, and discards the inherited loads once all
+// were.
+func (n *Node) updateInherited(now time.Duration) {
+	h := n.inherited
 	if h == nil {
 		return
 	}
-	h.domain = n.membersTold(now, h.at)
-	h.region = n.eachTold(now, domainOf,
-		func(p *peer) bool { return n.sameRegion(p.box) }, func(p *peer) bool { return p.loadsAt >= h.at })
-	h.beyond = n.beyondTold(now, h.at)
-	if h.domain && h.region && h.beyond || now-h.at >= n.cfg.Timing.Member {
-		n.inherits = nil
+	h.domainKnown = n.membersReported(now, h.since)
+	h.regionKnown = n.eachReported(now, domainOf,
+		func(p *peer) bool { return n.sameRegion(p.box) }, func(p *peer) bool { return p.loadsAt >= h.since })
+	h.otherRegionsKnown = n.otherRegionsReported(now, h.since)
+	if h.domainKnown && h.regionKnown && h.otherRegionsKnown || now-h.since >= n.cfg.Timing.MemberTimeout {
+		n.inherited = nil
 	}
 }
 
-// lately reports whether a peer was heard or named lately enough to be waited for.
-func lately(now time.Duration, p *peer) bool { return now-max(p.heard, p.named) < sharesFor }
+// recentlySeen reports whether a peer was heard or listed recently enough to wait for it.
+func recentlySeen(now time.Duration, p *peer) bool {
+	return now-max(p.lastHeard, p.lastNamed) < shareWindow
+}
 
-// membersTold reports whether all members have told their loads since a moment.
-func (n *Node) membersTold(now, since time.Duration) bool {
+// membersReported reports whether all members have sent their loads since the given time.
+func (n *Node) membersReported(now, since time.Duration) bool {
 	for _, p := range n.peers {
-		if n.sameDomain(p) && !p.silent && !p.leaving && lately(now, p) && p.loadsAt < since {
+		if n.sameDomain(p) && !p.timedOut && !p.leaving && recentlySeen(now, p) && p.loadsAt < since {
 			return false
 		}
 	}
 	return true
 }
 
-// eachTold reports whether of each group of leads that fit one has told.
-func (n *Node) eachTold(now time.Duration, group func(*peer) string, fits, told func(*peer) bool) bool {
-	waits := make(map[string]bool)
+// eachReported reports whether at least one leader of each group has reported, among the leaders
+// accepted by fits.
+func (n *Node) eachReported(now time.Duration, group func(*peer) string, fits, reported func(*peer) bool) bool {
+	missing := make(map[string]bool)
 	for _, p := range n.peers {
-		if n.sameDomain(p) || !p.leads || p.leaving || !lately(now, p) || !fits(p) {
+		if n.sameDomain(p) || !p.isLeader || p.leaving || !recentlySeen(now, p) || !fits(p) {
 			continue
 		}
-		before, known := waits[group(p)]
-		waits[group(p)] = !told(p) && (before || !known)
+		before, known := missing[group(p)]
+		missing[group(p)] = !reported(p) && (before || !known)
 	}
-	for _, w := range waits {
+	for _, w := range missing {
 		if w {
 			return false
 		}
@@ -89,34 +93,36 @@
 	return true
 }
 
-// beyondTold reports whether the loads of other regions were told since a moment.
-func (n *Node) beyondTold(now, since time.Duration) bool {
+// otherRegionsReported reports whether the loads of other regions were received since the given
+// time.
+func (n *Node) otherRegionsReported(now, since time.Duration) bool {
 	foreign := func(p *peer) bool { return !n.sameRegion(p.box) }
-	lead := n.peers[n.regionLead(now).Name]
-	return n.eachTold(now, regionOf, foreign, func(p *peer) bool {
-		if lead != nil {
-			return lead.beyondAt >= since
+	leader := n.peers[n.regionLeader(now).Name]
+	return n.eachReported(now, regionOf, foreign, func(p *peer) bool {
+		if leader != nil {
+			return leader.otherRegionLoadsAt >= since
 		}
-		return p.regionAt >= since
+		return p.regionLoadsAt >= since
 	})
 }
 
-// tellable narrows what a lead tells whom to what it knows whole.
-func (n *Node) tellable(now time.Duration, a *audience) bool {
-	h := n.inherits
+// canSendTo reports whether the loads for a group are complete.
+func (n *Node) canSendTo(now time.Duration, g *recipientGroup) bool {
+	h := n.inherited
 	switch {
-	case a == n.audiences.inland && n.awaitsRegions(now):
+	case g == n.recipients.regionRelay && n.awaitsOtherRegions(now):
 		return false
-	case h == nil || a == n.audiences.members:
+	case h == nil || g == n.recipients.members:
 		return true
-	case a == n.audiences.near:
-		return h.domain
-	case a == n.audiences.far:
-		return h.domain && h.region
+	case g == n.recipients.nearLeaders:
+		return h.domainKnown
+	case g == n.recipients.farLeaders:
+		return h.domainKnown && h.regionKnown
 	}
-	return h.beyond
+	return h.otherRegionsKnown
 }
 
-// hasTold reports whether a lead that has just begun was told a member's loads: what it
-// inherited holds those of the others, whom nothing is told from which they would take off none.
-func (n *Node) hasTold(p *peer) bool { return n.inherits == nil || p.loadsAt >= n.inherits.at }
+// hasReported reports whether a member has sent its loads to a new leader. The inherited loads
+// include those of such members; a member that subtracted loads it has not sent would get a wrong
+// result, so it is sent nothing before.
+func (n *Node) hasReported(p *peer) bool { return n.inherited == nil || p.loadsAt >= n.inherited.since }
