--- a/relay/caller_test.go
+++ b/relay/caller_test.go
@@ -19,11 +19,11 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// bounded gives a box a bound of memory.
-func bounded(bytes int64) func(*Config) { return func(c *Config) { c.Memory = bytes } }
+// withMemoryBound gives a box a bound of memory.
+func withMemoryBound(bytes int64) func(*Config) { return func(c *Config) { c.Memory = bytes } }
 
 // dialBox connects to the box as a caller whose kernel keeps little.
-func (b *bench) dialBox() *net.TCPConn {
+func (b *testBox) dialBox() *net.TCPConn {
 	b.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	if err != nil {
@@ -35,8 +35,8 @@
 	return c
 }
 
-// lines writes a request as it goes over the wire.
-func lines(path, body string, header ...string) string {
+// rawRequest writes a request as it goes over the wire.
+func rawRequest(path, body string, header ...string) string {
 	head := []string{"POST " + path + " HTTP/1.1", "Host: h.example", "X-Id: id-" + path, "X-Key: secret", "X-Left: 4000"}
 	if body != "" {
 		header = append(header, fmt.Sprintf("Content-Length: %d", len(body)))
@@ -44,13 +44,13 @@
 	return strings.Join(append(head, header...), "\r\n") + "\r\n\r\n" + body
 }
 
-// atRest reports whether the box keeps nothing but its callers' connections.
-func (b *bench) atRest(connections int64) bool {
+// isIdle reports whether the box keeps nothing but its callers' connections.
+func (b *testBox) isIdle(connections int64) bool {
 	return b.relay.stats.open.Load() == 0 && b.relay.account.Used() == connections*callerBytes
 }
 
-// flood sends events without end, 1,000 bytes each.
-func flood(c net.Conn, r stubRequest) bool {
+// endlessStream sends events without end, 1,000 bytes each.
+func endlessStream(c net.Conn, r stubRequest) bool {
 	startStream(c, r)
 	text := strings.Repeat("x", 1000)
 	for i := 1; ; i++ {
@@ -60,28 +60,30 @@
 	}
 }
 
-// serving is how many goroutines serve connections of the box's callers; others rest in their
+// activeHandlers is how many goroutines serve connections of the box's callers; others rest in their
 // pool. It is the server's own count: one over all stacks of the process counted what tests before
 // had left behind as well.
-func (b *bench) serving() int { return int(b.relay.callerServer.server.GetCurrentConcurrency()) }
+func (b *testBox) activeHandlers() int {
+	return int(b.relay.callerServer.server.GetCurrentConcurrency())
+}
 
 func TestCallersThatReadNothingAreCutOff(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", flood)
-	b := newBenchWith(t, bounded(64<<20), u)
+	u := newStub(t, "u1", endlessStream)
+	b := newTestBoxWithConfig(t, withMemoryBound(64<<20), u)
 	const callers = 20
 	for i := range callers {
-		_, err := io.WriteString(b.dialBox(), lines(fmt.Sprintf("/flow/%d", i), ""))
+		_, err := io.WriteString(b.dialBox(), rawRequest(fmt.Sprintf("/flow/%d", i), ""))
 		is.NoErr(err)
 	}
-	b.until(func() bool { return b.serving() == callers })
+	b.waitFor(func() bool { return b.activeHandlers() == callers })
 	for range callers {
-		<-u.ended // the upstream's connection is closed, well before the route's time
+		<-u.closed // the upstream's connection is closed, well before the route's time
 	}
-	b.until(func() bool { return b.atRest(0) })
-	b.until(func() bool { return b.serving() == 0 })
+	b.waitFor(func() bool { return b.isIdle(0) })
+	b.waitFor(func() bool { return b.activeHandlers() == 0 })
 	is.Equal(b.relay.stats.counted(callersCutOff), uint64(callers))
-	b.until(func() bool { return b.log.contains(`"msg":"request: caller does not read"`) })
+	b.waitFor(func() bool { return b.log.contains(`"msg":"request: caller does not read"`) })
 	is.True(!b.log.contains(`"msg":"run: failed"`)) // nothing is said against the upstream
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
@@ -91,24 +93,24 @@
 }
 
 // A plain answer whose caller does not read ends its connection as well.
-func TestAPlainAnswerThatNobodyReadsIsCutOff(t *testing.T) {
+func TestUnreadNonStreamResponseIsCutOff(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK(strings.Repeat("x", 2<<20)))
-	b := newBenchWith(t, bounded(64<<20), u)
-	_, err := io.WriteString(b.dialBox(), lines("/once/x", ""))
+	u := newStub(t, "u1", respondOK(strings.Repeat("x", 2<<20)))
+	b := newTestBoxWithConfig(t, withMemoryBound(64<<20), u)
+	_, err := io.WriteString(b.dialBox(), rawRequest("/once/x", ""))
 	is.NoErr(err)
-	b.until(func() bool { return b.relay.stats.counted(callersCutOff) == 1 && b.atRest(0) })
-	b.until(func() bool { return b.log.contains("takes nothing") })
+	b.waitFor(func() bool { return b.relay.stats.counted(callersCutOff) == 1 && b.isIdle(0) })
+	b.waitFor(func() bool { return b.log.contains("takes nothing") })
 }
 
 // A caller that takes little at a time gets all of its answer, however long that lasts.
-func TestACallerThatReadsSlowlyIsNotCutOff(t *testing.T) {
+func TestSlowlyReadingCallerIsNotCutOff(t *testing.T) {
 	is := is.New(t)
 	whole := strings.Repeat("x", 700<<10)
-	u := newStub(t, "u1", answerOK(whole))
-	b := newBenchWith(t, bounded(64<<20), u)
+	u := newStub(t, "u1", respondOK(whole))
+	b := newTestBoxWithConfig(t, withMemoryBound(64<<20), u)
 	c := b.dialBox()
-	_, err := io.WriteString(c, lines("/once/x", ""))
+	_, err := io.WriteString(c, rawRequest("/once/x", ""))
 	is.NoErr(err)
 	read := 0
 	buf := make([]byte, 64<<10)
@@ -126,10 +128,10 @@
 	is.Equal(b.relay.stats.counted(callersCutOff), uint64(0))
 }
 
-func TestRequestsThatComeInPiecesAreServed(t *testing.T) {
+func TestRequestsArrivingInPiecesAreServed(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBenchWith(t, bounded(1<<20), u)
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBoxWithConfig(t, withMemoryBound(1<<20), u)
 	c := b.dialBox()
 	in := bufio.NewReader(c)
 	send := func(text string) {
@@ -143,14 +145,14 @@
 		is.NoErr(err)
 		is.Equal(resp.StatusCode, 200)
 	}
-	for _, piece := range strings.SplitAfter(lines("/once/a", "b o d y"), " ") {
+	for _, piece := range strings.SplitAfter(rawRequest("/once/a", "b o d y"), " ") {
 		send(piece)
 		time.Sleep(time.Millisecond)
 	}
 	answer()
 	// Several at once, and a part of the next; small bodies and large ones.
 	large := strings.Repeat("l", 2*maxCollectedBody)
-	all := lines("/once/b", "one") + lines("/once/c", large) + lines("/once/d", "") + lines("/once/e", "last")
+	all := rawRequest("/once/b", "one") + rawRequest("/once/c", large) + rawRequest("/once/d", "") + rawRequest("/once/e", "last")
 	cut := len(all) - len("HTTP/1.1\r\n") - 40
 	send(all[:cut])
 	answer()
@@ -164,11 +166,11 @@
 	}
 	is.Equal(bodies, []string{"b o d y", "one", large, "", "last"})
 	is.NoErr(c.Close())
-	b.until(func() bool { return b.atRest(0) })
+	b.waitFor(func() bool { return b.isIdle(0) })
 }
 
 // What does not fit is refused before it is read, and has not run.
-func TestABodyThatDoesNotFitIsTurnedAway(t *testing.T) {
+func TestBodyBeyondMemoryBoundIsRefused(t *testing.T) {
 	body := strings.Repeat("x", 900<<10)
 	for _, c := range []struct {
 		name   string
@@ -180,8 +182,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			u := newStub(t, "u1", answerOK("ok"))
-			b := newBenchWith(t, bounded(1<<20), u)
+			u := newStub(t, "u1", respondOK("ok"))
+			b := newTestBoxWithConfig(t, withMemoryBound(1<<20), u)
 			r := b.request("POST", "/once/x", body)
 			c.change(r)
 			a := b.do(r)
@@ -193,25 +195,25 @@
 			is.Equal(len(u.requests()), 0)
 			is.Equal(b.relay.stats.counted(callersTurnedAway), uint64(1))
 			is.True(b.relay.account.Peak() <= 1<<20)
-			b.until(func() bool { return b.atRest(0) })
+			b.waitFor(func() bool { return b.isIdle(0) })
 			is.Equal(b.do(b.request("POST", "/once/x", "small")).status, 200)
 		})
 	}
 }
 
 // Where little is left, the most urgent are still served.
-func TestTheMostUrgentAreTurnedAwayLast(t *testing.T) {
+func TestMostUrgentRequestsAreRefusedLast(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBenchWith(t, bounded(1<<20), u)
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBoxWithConfig(t, withMemoryBound(1<<20), u)
 	doc := testDocument(2)
 	for i := range doc.Routes {
 		if doc.Routes[i].Name == "once" {
 			doc.Routes[i].Rank = 9
 		}
 	}
-	b.board.set("document", doc, false)
-	b.until(func() bool { return b.relay.belief.document().Version == 2 })
+	b.publisher.set("document", doc, false)
+	b.waitFor(func() bool { return b.relay.belief.document().Version == 2 })
 	others := b.relay.account.Lease()
 	is.True(others.Grow(600<<10, 1))
 	is.Equal(b.do(b.request("POST", "/once/x", "")).status, 503)
@@ -221,7 +223,7 @@
 }
 
 // An upstream that does not read a body holds it no longer than the request's time.
-func TestAnUpstreamThatReadsABodySlowly(t *testing.T) {
+func TestUpstreamReadingBodySlowlyIsBoundedByTimeout(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
 	defer func() { _ = l.Close() }()
@@ -239,19 +241,19 @@
 		}
 		_ = c.Close()
 	})
-	b := newBenchWith(t, bounded(64<<20), newStub(t, "other", answerOK("ok")))
-	b.board.set("other", nil, true)
-	b.board.set("u1", balance.Upstream{ID: "u1", Service: "s", Address: l.Addr().String(), Domain: "d", Slots: 8}, false)
-	b.until(func() bool { return b.knows("u1") && !b.knows("other") })
+	b := newTestBoxWithConfig(t, withMemoryBound(64<<20), newStub(t, "other", respondOK("ok")))
+	b.publisher.set("other", nil, true)
+	b.publisher.set("u1", balance.Upstream{ID: "u1", Service: "s", Address: l.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.waitFor(func() bool { return b.lists("u1") && !b.lists("other") })
 	a := b.do(b.request("POST", "/brief/x", strings.Repeat("x", 1<<20)))
 	is.Equal(a.status, 504) // it may have run
-	b.until(func() bool { return b.atRest(0) })
+	b.waitFor(func() bool { return b.isIdle(0) })
 	ended.Wait()
 }
 
 // A large body that is still being sent when its answer has come is not mixed with the
 // next one that the server reads.
-func TestAnEarlyAnswerMixesNoBodies(t *testing.T) {
+func TestEarlyResponseDoesNotMixBodies(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
 	defer func() { _ = l.Close() }()
@@ -278,10 +280,10 @@
 			})
 		}
 	})
-	b := newBenchWith(t, bounded(64<<20), newStub(t, "other", answerOK("ok")))
-	b.board.set("other", nil, true)
-	b.board.set("u1", balance.Upstream{ID: "u1", Service: "s", Address: l.Addr().String(), Domain: "d", Slots: 8}, false)
-	b.until(func() bool { return b.knows("u1") && !b.knows("other") })
+	b := newTestBoxWithConfig(t, withMemoryBound(64<<20), newStub(t, "other", respondOK("ok")))
+	b.publisher.set("other", nil, true)
+	b.publisher.set("u1", balance.Upstream{ID: "u1", Service: "s", Address: l.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.waitFor(func() bool { return b.lists("u1") && !b.lists("other") })
 	var callers sync.WaitGroup
 	for i := range 8 {
 		callers.Go(func() {
@@ -293,13 +295,13 @@
 	}
 	callers.Wait()
 	_ = l.Close()
-	b.until(func() bool { return b.atRest(0) })
+	b.waitFor(func() bool { return b.isIdle(0) })
 	done.Wait()
 	is.Equal(mixed.Load(), int64(0))
 }
 
-// knows reports whether the box has an upstream on its list.
-func (b *bench) knows(id string) bool {
+// lists reports whether the box has an upstream on its list.
+func (b *testBox) lists(id string) bool {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	for _, u := range b.relay.fleet.View(b.relay.now()) {
@@ -310,11 +312,11 @@
 	return false
 }
 
-// crowd are callers that read and send at a few bytes a second, or not at all.
-func (b *bench) crowd(readers, senders int) {
+// addSlowCallers are callers that read and send at a few bytes a second, or not at all.
+func (b *testBox) addSlowCallers(readers, senders int) {
 	b.t.Helper()
 	for i := range readers {
-		if _, err := io.WriteString(b.dialBox(), lines(fmt.Sprintf("/flow/%d", i), "")); err != nil {
+		if _, err := io.WriteString(b.dialBox(), rawRequest(fmt.Sprintf("/flow/%d", i), "")); err != nil {
 			b.t.Fatal(err)
 		}
 	}
@@ -323,7 +325,7 @@
 	b.t.Cleanup(func() { cancel(); done.Wait() })
 	for i := range senders {
 		c := b.dialBox()
-		text := lines(fmt.Sprintf("/once/%d", i), strings.Repeat("x", 30<<10))
+		text := rawRequest(fmt.Sprintf("/once/%d", i), strings.Repeat("x", 30<<10))
 		done.Go(func() {
 			for ctx.Err() == nil && len(text) > 0 {
 				if _, err := io.WriteString(c, text[:8]); err != nil {
@@ -336,14 +338,14 @@
 	}
 }
 
-// drip sends an event of 1,000 bytes each 2 ms.
-func drip(c net.Conn, r stubRequest) bool {
+// slowStream sends an event of 1,000 bytes each 2 ms.
+func slowStream(c net.Conn, r stubRequest) bool {
 	if !strings.HasPrefix(r.URL.Path, "/flow") {
-		return answerOK("ok")(c, r)
+		return respondOK("ok")(c, r)
 	}
 	startStream(c, r)
 	if strings.HasPrefix(r.URL.Path, "/flow/quiet") {
-		chunk(c, event(1))
+		writeChunk(c, event(1))
 		_, _ = c.Read(make([]byte, 1)) // until the box ends it
 		return false
 	}
@@ -359,12 +361,12 @@
 }
 
 // Sound callers are served beside hundreds that read and send at a few bytes a second.
-func TestSoundCallersBesideSlowOnes(t *testing.T) {
+func TestHealthyCallersAreServedBesideSlowOnes(t *testing.T) {
 	is := is.New(t)
 	const bound = 40 << 20
-	u := newStub(t, "u1", drip)
-	b := newBenchWith(t, bounded(bound), u)
-	b.crowd(80, 200) // 80 of the 100 connections that the service allows
+	u := newStub(t, "u1", slowStream)
+	b := newTestBoxWithConfig(t, withMemoryBound(bound), u)
+	b.addSlowCallers(80, 200) // 80 of the 100 connections that the service allows
 	var failed atomic.Int64
 	var sound sync.WaitGroup
 	for i := range 10 {
@@ -384,20 +386,20 @@
 }
 
 // A connection rests, and a head arrives, no longer than the document allows.
-func TestTheDocumentBoundsHeadsAndRests(t *testing.T) {
+func TestDocumentBoundsHeaderAndIdleTimes(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBenchWith(t, bounded(1<<20), u)
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBoxWithConfig(t, withMemoryBound(1<<20), u)
 	doc := testDocument(2)
 	doc.Limits.HeaderWait, doc.Limits.IdleWait = 150*time.Millisecond, 100*time.Millisecond
-	b.board.set("document", doc, false)
-	b.until(func() bool { return b.relay.belief.document().Version == 2 })
+	b.publisher.set("document", doc, false)
+	b.waitFor(func() bool { return b.relay.belief.document().Version == 2 })
 	for _, c := range []struct {
 		name string
 		sent string
 		want []int // statuses, before the connection is closed
 	}{
-		{"it rests", lines("/once/x", "body"), []int{200}},
+		{"it rests", rawRequest("/once/x", "body"), []int{200}},
 		{"its head does not come whole", "POST /once/x HTTP/1.1\r\nHost: h", []int{408}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -418,7 +420,7 @@
 	}
 	// The body of a request has more time than its head.
 	conn := b.dialBox()
-	whole := lines("/once/y", "a body that is late")
+	whole := rawRequest("/once/y", "a body that is late")
 	_, err := io.WriteString(conn, whole[:len(whole)-4])
 	is.NoErr(err)
 	time.Sleep(300 * time.Millisecond)
@@ -430,17 +432,17 @@
 }
 
 // Operators see what is kept, turned away and cut off.
-func TestTheStateTellsOfMemory(t *testing.T) {
+func TestStateReportsMemory(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBenchWith(t, bounded(1<<20), u)
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBoxWithConfig(t, withMemoryBound(1<<20), u)
 	c := b.dialBox()
-	b.until(func() bool { return b.atRest(1) })
+	b.waitFor(func() bool { return b.isIdle(1) })
 	is.Equal(b.do(b.request("POST", "/once/x", strings.Repeat("x", 900<<10))).status, 503)
-	b.until(func() bool { return b.atRest(1) })
+	b.waitFor(func() bool { return b.isIdle(1) })
 	m := b.relay.state().Memory
 	is.Equal([]uint64{m.Bound, m.Used, m.TurnedAway, m.CutOff}, []uint64{1 << 20, callerBytes, 1, 0})
-	b.until(func() bool { return b.log.contains(`"msg":"caller: turned away"`) })
+	b.waitFor(func() bool { return b.log.contains(`"msg":"caller: turned away"`) })
 	var text bytes.Buffer
 	b.relay.WriteMetrics(&text)
 	is.True(strings.Contains(text.String(), "memory_bound_bytes 1048576\n"))
--- a/relay/callercost_test.go
+++ b/relay/callercost_test.go
@@ -20,18 +20,18 @@
 	}{{"resting", 500, 0, 0}, {"streams between events", 0, 90, 0}, {"reading nothing", 0, 0, 90}} {
 		b.Run(c.name, func(b *testing.B) {
 			for range b.N {
-				u := newStub(b, "u1", drip)
-				x := newBenchWith(b, bounded(64<<20), u)
+				u := newStub(b, "u1", slowStream)
+				x := newTestBoxWithConfig(b, withMemoryBound(64<<20), u)
 				before := heapAndStacks()
 				for range c.resting {
 					conn := x.dialBox()
-					_, _ = io.WriteString(conn, lines("/once/x", ""))
+					_, _ = io.WriteString(conn, rawRequest("/once/x", ""))
 					_, _ = conn.Read(make([]byte, 1<<10))
 				}
 				for i := range c.quiet {
-					_, _ = io.WriteString(x.dialBox(), lines(fmt.Sprintf("/flow/quiet/%d", i), ""))
+					_, _ = io.WriteString(x.dialBox(), rawRequest(fmt.Sprintf("/flow/quiet/%d", i), ""))
 				}
-				x.crowd(c.readers, 0)
+				x.addSlowCallers(c.readers, 0)
 				peak := uint64(0)
 				for range 20 {
 					time.Sleep(50 * time.Millisecond)
@@ -72,10 +72,10 @@
 	for range b.N {
 		taken.Store(0)
 		u := newStub(b, "u1", count)
-		x := newBenchWith(b, bounded(64<<20), u)
+		x := newTestBoxWithConfig(b, withMemoryBound(64<<20), u)
 		begun := time.Now()
-		_, _ = io.WriteString(x.dialBox(), lines("/flow/x", ""))
-		<-u.ended
+		_, _ = io.WriteString(x.dialBox(), rawRequest("/flow/x", ""))
+		<-u.closed
 		b.ReportMetric(float64(taken.Load()), "taken-bytes")
 		b.ReportMetric(time.Since(begun).Seconds(), "held-s")
 	}
--- a/relay/collect_test.go
+++ b/relay/collect_test.go
@@ -8,7 +8,7 @@
 )
 
 // A request is handed on once it is complete, whatever the steps in which it comes.
-func TestWhenARequestIsHandedOn(t *testing.T) {
+func TestRequestBufferComplete(t *testing.T) {
 	long := strings.Repeat("x", maxCollectedBody+1)
 	for _, c := range []struct {
 		name string
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestTheLeastUrgentFillTheLeast(t *testing.T) {
+func TestLessUrgentRequestsGetSmallerMemoryShare(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
 		urgency, of int
--- a/relay/share_test.go
+++ b/relay/connectioncap_test.go
@@ -10,7 +10,7 @@
 
 // A box that started again within a cut opened as many connections to an upstream as if the boxes that it heard of were all
 // there are. Found by looking for the cause of an incident with retry budgets elsewhere.
-func TestConnectionsAreSharedWithBoxesThatAreNotHeard(t *testing.T) {
+func TestConnectionCapCountsUnheardBoxes(t *testing.T) {
 	const assumed = 10
 	for _, tt := range []struct {
 		name           string
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -22,7 +22,7 @@
 		fleet.Put(0, balance.Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Address: fmt.Sprintf("127.0.0.1:%d", i+1), Domain: fmt.Sprintf("d%d", i%2), Slots: 1})
 	}
 	r := &Relay{startedAt: time.Now(), fleet: fleet, budgets: new(balance.Budgets), conns: newConns(nil), stats: newStats(), trialNeeded: make(chan struct{}, 1),
-		cfg: Config{Log: NewLog(self, io.Discard), Decode: decode, Self: &wire.GroupBox{Name: self, Domain: "d0", Boot: 1}, Timing: group.DefaultTiming, Boxes: 1}}
+		cfg: Config{Log: NewLog(self, io.Discard), Decode: decodeItem, Self: &wire.GroupBox{Name: self, Domain: "d0", Boot: 1}, Timing: group.DefaultTiming, Boxes: 1}}
 	m, err := newMembers(r)
 	if err != nil {
 		t.Fatal(err)
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,18 +1,20 @@
-// Package relay is a box that passes requests on to upstreams without knowing what
-// is in them: requests are told apart by host and path, prompts are described by
-// headers, and answers go back byte for byte. The decisions are in package balance.
+// Package relay implements a box: it forwards requests to upstreams without parsing
+// their bodies. Requests are routed by host and path, prompts are described by
+// headers, and responses are returned byte for byte. Package balance decides which
+// upstream gets a request.
 //
-// A Relay joins the parts, by duty:
+// A run is one execution of a request on one upstream; a request may have several.
+// The files by area:
 //
-//   - its start, stop and time: relay.go, stop.go, suspended.go
-//   - callers: front.go, caller.go, collect.go, request.go, leave.go, unread.go, refusal.go
-//   - a request from its arrival (arrival.go, starting.go) to its end (exchange.go), from one upstream to the
-//     next (runs.go), one run (attempt.go, outgoing.go) and what became of it (outcome.go)
-//   - answers: answer.go, body.go, events.go, stream.go, pace.go; one that goes on elsewhere: move.go
-//   - upstreams: conns.go, dial.go, trial.go, silence.go, lives.go, limit.go, withhold.go, content.go
-//   - what the box believes: belief.go, news.go, reader.go
-//   - its part of the group: members.go, peers.go, pull.go, sync.go, traffic.go
-//   - memory: memory.go, buffers.go
-//   - what it tells: log.go, stats.go, state.go
-//   - a deployment's words: protocol.go
+//   - start, stop and clocks: relay.go, stop.go, suspension.go
+//   - callers: server.go, caller.go, collect.go, request.go, disconnect.go, callerwrite.go, refusal.go
+//   - a request from its admission (arrival.go, documentwait.go) to its end (exchange.go), with its retries
+//     (runs.go, retry.go, pausequeue.go), each run (attempt.go, outgoing.go) and the outcome of a run (outcome.go)
+//   - responses: response.go, body.go, events.go, stream.go, pace.go, and moving a stream between upstreams: move.go
+//   - upstreams: conns.go, dial.go, trial.go, silence.go, lives.go, limit.go, said.go, withhold.go, content.go, cutoff.go
+//   - what the box knows of documents and upstreams: belief.go, news.go, reader.go
+//   - the exchange of state between boxes: members.go, peers.go, pull.go, sync.go, traffic.go
+//   - memory limits: memory.go, buffers.go
+//   - logs, metrics and status: log.go, stats.go, state.go
+//   - the headers and calls of a deployment: protocol.go
 package relay
--- a/relay/fatal_test.go
+++ b/relay/fatal_test.go
@@ -33,7 +33,7 @@
 // one, under an id and at an address of its own.
 type mortals struct {
 	t testing.TB
-	b *bench
+	b *testBox
 
 	mu    sync.Mutex
 	ended int
@@ -71,7 +71,7 @@
 			m.end(s)
 			return false
 		}
-		return answerOK("well")(c, r)
+		return respondOK("well")(c, r)
 	})
 	close(made)
 	return s
@@ -88,8 +88,8 @@
 	for _, c := range open {
 		_ = c.Close()
 	}
-	m.b.board.set(s.id, nil, true)
-	m.b.list(m.start(), false)
+	m.b.publisher.set(s.id, nil, true)
+	m.b.listUpstream(m.start(), false)
 }
 
 // newest is the id of the upstream that was started last.
@@ -111,7 +111,7 @@
 	for range n {
 		list = append(list, m.start())
 	}
-	m.b = newBenchWith(m.t, change, list...)
+	m.b = newTestBoxWithConfig(m.t, change, list...)
 }
 
 // mostEnded is how many upstreams a request may end, whatever it comes as often.
@@ -122,7 +122,7 @@
 	m := newMortals(t)
 	m.among(6, func(*Config) {})
 	for n := range 10 {
-		m.b.until(func() bool { return m.b.knows(m.newest()) })
+		m.b.waitFor(func() bool { return m.b.lists(m.newest()) })
 		m.b.do(m.b.request(http.MethodPost, "/safe/x", fatalBody, "X-Id", fmt.Sprint("fatal-", n)))
 	}
 	t.Logf("%d upstreams ended under one request", m.hasEnded())
@@ -140,7 +140,7 @@
 	m := newMortals(t)
 	m.waits = true
 	m.among(6, func(*Config) {})
-	got := make(chan answered, 1)
+	got := make(chan callerResponse, 1)
 	go func() { got <- m.b.do(m.b.request(http.MethodPost, "/flow/x", fatalBody, "X-Id", "waits")) }()
 	<-m.began
 	is.Equal(m.b.do(m.b.request(http.MethodPost, "/flow/x", fatalBody, "X-Id", "ends")).status, http.StatusBadGateway)
@@ -150,7 +150,7 @@
 	withheld := m.b.relay.state().Withheld
 	is.Equal(len(withheld), 1)
 	is.Equal(withheld[0].Ended, uint32(2))
-	m.b.until(func() bool { return m.b.log.contains(`"content":"` + withheld[0].Content + `"`) })
+	m.b.waitFor(func() bool { return m.b.log.contains(`"content":"` + withheld[0].Content + `"`) })
 }
 
 // A request that was answered whole is not withheld, though upstreams ended beside it before and after.
@@ -176,14 +176,14 @@
 }
 
 // peerOf starts another box of the group, before the same upstreams.
-func (b *bench) peerOf(self *wire.GroupBox) *bench {
+func (b *testBox) peerOf(self *wire.GroupBox) *testBox {
 	b.t.Helper()
-	other := newBenchWith(b.t, func(c *Config) {
-		c.Publisher = b.board
+	other := newTestBoxWithConfig(b.t, func(c *Config) {
+		c.Publisher = b.publisher
 		joins(b.t, c, "second", self.Address)
 	})
-	other.board = b.board
-	other.until(func() bool { return other.relay.Ready() && other.relay.boxes() == 2 && b.relay.boxes() == 2 })
+	other.publisher = b.publisher
+	other.waitFor(func() bool { return other.relay.Ready() && other.relay.boxes() == 2 && b.relay.boxes() == 2 })
 	return other
 }
 
@@ -220,8 +220,8 @@
 	is.Equal(status, http.StatusServiceUnavailable) // the first box came to refuse it
 	before := m.hasEnded()
 	for version := uint64(2); version < 5; version++ { // what the first box told before has come along with the last of them
-		m.b.board.set("document", testDocument(version), false)
-		second.until(func() bool { return second.relay.version() == version })
+		m.b.publisher.set("document", testDocument(version), false)
+		second.waitFor(func() bool { return second.relay.version() == version })
 	}
 	is.Equal(second.do(second.request(http.MethodPost, "/safe/x", fatalBody, "X-Id", "second")).status, http.StatusServiceUnavailable)
 	is.Equal(m.hasEnded(), before) // none ended under it at the second box
@@ -250,13 +250,13 @@
 				}
 				return false
 			}
-			return answerOK("well")(c, r)
+			return respondOK("well")(c, r)
 		}
 	}
 	for n := range 3 {
 		stubs = append(stubs, newStub(t, fmt.Sprint("u", n), script(n)))
 	}
-	b := newBench(t, stubs...)
+	b := newTestBox(t, stubs...)
 	var warm sync.WaitGroup
 	for n := range 12 { // a connection rests to each
 		warm.Go(func() { b.do(b.request(http.MethodPost, "/safe/x", "warm", "X-Id", fmt.Sprint("warm", n))) })
@@ -277,18 +277,18 @@
 	for _, leaving := range []bool{false, true} {
 		cutOff := func(net.Conn, stubRequest) bool { return false }
 		u := newStub(t, "u", cutOff)
-		b := newBench(t, u)
+		b := newTestBox(t, u)
 		if leaving {
-			b.list(u, true)
-			b.until(func() bool { return b.log.contains(`"leaving":true`) })
+			b.listUpstream(u, true)
+			b.waitFor(func() bool { return b.log.contains(`"leaving":true`) })
 		}
 		const content = 7
 		b.relay.mu.Lock()
 		b.relay.crashSuspects.CutOff(b.relay.now(), content, balance.Incarnation{ID: "u"})
 		b.relay.mu.Unlock()
 		next := &stub{id: "next", listener: u.listener}
-		b.list(next, false)
-		b.until(func() bool { return b.log.contains(`"upstream":"next"`) }) // all is taken in that its entry says
+		b.listUpstream(next, false)
+		b.waitFor(func() bool { return b.log.contains(`"upstream":"next"`) }) // all is taken in that its entry says
 		b.relay.mu.Lock()
 		is.Equal(b.relay.crashSuspects.Suspected(content), !leaving)
 		b.relay.mu.Unlock()
--- a/relay/header_test.go
+++ b/relay/header_test.go
@@ -9,9 +9,9 @@
 
 // Headers that only a box may set never reach an upstream as a caller sent them, however
 // they are spelled, doubled, or named among those of the connection.
-func TestCallersCannotSetWhatOnlyABoxMay(t *testing.T) {
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBench(t, u)
+func TestCallerCannotSetReservedHeaders(t *testing.T) {
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBox(t, u)
 	for _, name := range testProtocol.own() {
 		for _, c := range []struct {
 			name   string
@@ -24,7 +24,7 @@
 			{"of the connection", []string{name, "forged", "Connection", name}},
 		} {
 			if name == testProtocol.Key {
-				continue // TestRequestsGoOnAsTheyCame shows that a good key does not go on
+				continue // TestRequestIsForwardedUnchanged shows that a valid key is not forwarded
 			}
 			t.Run(name+" "+c.name, func(t *testing.T) {
 				is := is.New(t)
@@ -55,9 +55,9 @@
 
 // What says which request it is goes on even where the caller claims that it concerns its
 // connection only.
-func TestWhatDescribesARequestAlwaysGoesOn(t *testing.T) {
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBench(t, u)
+func TestDescribingHeadersAreAlwaysForwarded(t *testing.T) {
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBox(t, u)
 	for _, name := range testProtocol.vital() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -47,7 +47,7 @@
 	for i := range 3 {
 		n.list = append(n.list, newStub(t, fmt.Sprint("u", i), func(c net.Conn, r stubRequest) bool {
 			if i > 0 || r.Header.Get("X-Id") == "" {
-				return answerOK("well")(c, r)
+				return respondOK("well")(c, r)
 			}
 			n.mu.Lock()
 			n.got = append(n.got, time.Now())
@@ -56,7 +56,7 @@
 				named = "X-Limit: " + n.limit + "\n"
 			}
 			n.mu.Unlock()
-			say(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\n%sContent-Length: 4\n\nwell", r.Header.Get("X-Id"), named))
+			writeWire(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\n%sContent-Length: 4\n\nwell", r.Header.Get("X-Id"), named))
 			return true
 		}))
 	}
@@ -80,14 +80,14 @@
 }
 
 // send sends requests by a box, one after the other.
-func (n *needy) send(b *bench, name string, count int) {
+func (n *needy) send(b *testBox, name string, count int) {
 	for i := range count {
 		b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", fmt.Sprint(name, "-", i)))
 	}
 }
 
 // untilNamed sends requests by a box until one has reached the upstream that names its limit.
-func (n *needy) untilNamed(b *bench) {
+func (n *needy) untilNamed(b *testBox) {
 	for i := 0; ; i++ {
 		if all, _ := n.arrivals(); all > 0 {
 			return
@@ -99,7 +99,7 @@
 func TestAnUpstreamGetsNoMoreThanItNames(t *testing.T) {
 	is := is.New(t)
 	n := newNeedy(t, "1")
-	b := newBench(t, n.list...)
+	b := newTestBox(t, n.list...)
 	n.untilNamed(b)
 	n.send(b, "more", 60)
 	_, most := n.arrivals()
@@ -112,13 +112,13 @@
 	is := is.New(t)
 	n := newNeedy(t, "1")
 	var self *wire.GroupBox
-	first := newBenchWith(t, func(c *Config) {
+	first := newTestBoxWithConfig(t, func(c *Config) {
 		joins(t, c, "first")
 		self = c.Self
 	}, n.list...)
 	second := first.peerOf(self)
 	n.untilNamed(first)
-	second.until(func() bool { return second.log.contains(`"msg":"upstream: names a limit"`) })
+	second.waitFor(func() bool { return second.log.contains(`"msg":"upstream: names a limit"`) })
 	before, _ := n.arrivals()
 	n.send(second, "second", 40)
 	all, most := n.arrivals()
@@ -169,7 +169,7 @@
 }
 
 // limitOf is what a box keeps to.
-func (b *bench) limitOf(id string) (balance.LimitOf, bool) {
+func (b *testBox) limitOf(id string) (balance.LimitOf, bool) {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	return b.relay.fleet.Limit(b.relay.now(), id)
@@ -178,7 +178,7 @@
 // answerNaming answers with headers besides.
 func answerNaming(status string, headers ...string) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
-		say(c, fmt.Sprintf("HTTP/1.1 %s\nX-Id: %s\nX-Sign: s\n%s\nContent-Length: 4\n\nwell", status, r.Header.Get("X-Id"), strings.Join(headers, "\n")))
+		writeWire(c, fmt.Sprintf("HTTP/1.1 %s\nX-Id: %s\nX-Sign: s\n%s\nContent-Length: 4\n\nwell", status, r.Header.Get("X-Id"), strings.Join(headers, "\n")))
 		return true
 	}
 }
@@ -187,7 +187,7 @@
 func TestWhereAllUpstreamsTakeNoMoreCallersHearItAtOnce(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerNaming("200 OK", "X-Limit: 0"))
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "first"))
 	is.Equal(got.status, http.StatusOK)
 	is.Equal(got.header.Get("X-Limit"), "0") // the answer is passed on as it came
@@ -217,12 +217,12 @@
 		{"a refusal's", answerNaming("503 Full", "X-Not-Run: 1", "X-Limit: 7"), true},
 		{"another start's", answerNaming("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Limit: 7"), false},
 		{"one that cannot be read", answerNaming("200 OK", "X-Limit: -7"), false},
-		{"the caller's", answerOK("well"), false},
+		{"the caller's", respondOK("well"), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			u := newStub(t, "u", c.script)
-			b := newBench(t, u)
+			b := newTestBox(t, u)
 			b.do(b.request(http.MethodPost, "/once/x", "x", "X-Limit", "7"))
 			is.Equal(u.requests()[0].Header.Get("X-Limit"), "7") // a caller's header goes on like any other
 			l, known := b.limitOf("u")
@@ -238,13 +238,13 @@
 func TestALimitIsThatOfALife(t *testing.T) {
 	is := is.New(t)
 	n := newNeedy(t, "0")
-	b := newBench(t, n.list...)
+	b := newTestBox(t, n.list...)
 	n.untilNamed(b)
 	_, known := b.limitOf("u0")
 	is.True(known)
 	u := balance.Upstream{ID: "u0", StartedAt: 5, Service: "s", Address: n.list[0].listener.Addr().String(), Domain: "d", Slots: 8}
-	b.board.set("u0", u, false)
-	b.until(func() bool { return b.log.contains(`"msg":"upstream: started again"`) })
+	b.publisher.set("u0", u, false)
+	b.waitFor(func() bool { return b.log.contains(`"msg":"upstream: started again"`) })
 	_, known = b.limitOf("u0")
 	is.True(!known)
 }
@@ -255,7 +255,7 @@
 	is := is.New(t)
 	limit := "X-Limit: 7"
 	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return answerNaming("200 OK", limit)(c, r) })
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	call := func() {
 		_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 		is.NoErr(err)
@@ -268,7 +268,7 @@
 	call()
 	_, known = b.limitOf("u")
 	is.True(known)
-	b.until(func() bool { // a box that has just started has no part
+	b.waitFor(func() bool { // a box that has just started has no part
 		l, _ := b.limitOf("u")
 		return l.Ration > 0
 	})
@@ -280,8 +280,8 @@
 // A connection on which nothing was sent, since its upstream takes no more, can be used again.
 func TestAConnectionThatWasNotUsedIsKept(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerOK("well"))
-	b := newBench(t, u)
+	u := newStub(t, "u", respondOK("well"))
+	b := newTestBox(t, u)
 	to := *b.relay.fleet.Get("u")
 	c, err := b.relay.conns.get(t.Context(), to, "s")
 	is.NoErr(err)
--- a/relay/lives_test.go
+++ b/relay/lives_test.go
@@ -18,12 +18,12 @@
 )
 
 // listBorn lists an upstream in a life.
-func (b *bench) listBorn(s *stub, born int64, leaving bool) {
-	b.board.set(s.id, balance.Upstream{ID: s.id, StartedAt: born, Service: "s", Address: s.listener.Addr().String(), Domain: "d", Slots: 8, Leaving: leaving}, false)
+func (b *testBox) listBorn(s *stub, born int64, leaving bool) {
+	b.publisher.set(s.id, balance.Upstream{ID: s.id, StartedAt: born, Service: "s", Address: s.listener.Addr().String(), Domain: "d", Slots: 8, Leaving: leaving}, false)
 }
 
 // bornOf is the life that the relay has an upstream listed in; -1 where it is not listed.
-func (b *bench) bornOf(id string) int64 {
+func (b *testBox) bornOf(id string) int64 {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	if u := b.relay.fleet.Get(id); u != nil {
@@ -33,9 +33,9 @@
 }
 
 // await waits until an upstream is listed in a life.
-func (b *bench) await(id string, born int64) {
+func (b *testBox) await(id string, born int64) {
 	b.t.Helper()
-	b.until(func() bool { return b.bornOf(id) == born })
+	b.waitFor(func() bool { return b.bornOf(id) == born })
 }
 
 // again is another life of a stub, at the same address. Connections to the one before stay open
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := &stub{id: s.id, listener: l, script: script, ended: make(chan struct{}, 100)}
+	next := &stub{id: s.id, listener: l, script: script, closed: make(chan struct{}, 100)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -73,33 +73,33 @@
 	first := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
 		if strings.HasPrefix(r.URL.Path, "/once/") {
 			<-answer
-			return answerOK("late")(c, r)
+			return respondOK("late")(c, r)
 		}
 		startStream(c, r)
-		chunk(c, event(1))
+		writeChunk(c, event(1))
 		<-answer
 		return false
 	})
-	b := newBench(t, first)
+	b := newTestBox(t, first)
 	b.listBorn(first, 100, false)
 	b.await("u", 100)
 	const streams = 5
-	flows, once, fixed := make(chan answered, streams), make(chan answered, 1), make(chan answered, 1)
+	flows, once, fixed := make(chan callerResponse, streams), make(chan callerResponse, 1), make(chan callerResponse, 1)
 	for i := range streams {
 		go func() { flows <- b.do(b.request("POST", fmt.Sprintf("/flow/%d", i), "")) }()
 	}
 	go func() { once <- b.do(b.request("POST", "/once/x", "")) }()
 	go func() { fixed <- b.do(b.request("POST", "/fixed/x", "")) }()
-	b.until(func() bool { return len(first.requests()) == streams+2 })
+	b.waitFor(func() bool { return len(first.requests()) == streams+2 })
 
 	next := first.again(t, func(c net.Conn, r stubRequest) bool {
 		startStream(c, r)
 		for id := 1; id <= 2; id++ {
 			if fmt.Sprint(id) != r.Header.Get("X-Last") {
-				chunk(c, event(id))
+				writeChunk(c, event(id))
 			}
 		}
-		chunk(c, "")
+		writeChunk(c, "")
 		return true
 	})
 	b.listBorn(next, time.Now().UnixMilli()+1, false)
@@ -120,21 +120,21 @@
 // What an upstream's entry says, in turn, and whether it gets requests then.
 func TestAnUpstreamThatDrainedComesBack(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerOK("u"))
-	b := newBench(t, u)
+	u := newStub(t, "u", respondOK("u"))
+	b := newTestBox(t, u)
 	gets := func() bool { return b.do(b.request("GET", "/safe/x", "")).status == 200 }
 	b.listBorn(u, 100, true)
 	b.await("u", 100)
 	is.True(!gets())
 	b.listBorn(u, 100, false) // an entry that came late: one that is leaving stays so
-	b.board.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 1}, false)
+	b.publisher.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 1}, false)
 	b.await("mark", 1)
 	is.True(!gets())
 	b.listBorn(u, 200, false)
 	b.await("u", 200)
 	is.True(gets())
 	b.listBorn(u, 100, true) // of the earlier life, whatever its revision
-	b.board.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 2}, false)
+	b.publisher.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 2}, false)
 	b.await("mark", 2)
 	is.Equal(b.bornOf("u"), int64(200))
 	is.True(gets())
@@ -143,22 +143,22 @@
 // A connection that rests is not used for another life, though it is open.
 func TestNoConnectionOfAnEarlierLifeIsUsed(t *testing.T) {
 	is := is.New(t)
-	first := newStub(t, "u", answerOK("first"))
-	b := newBench(t, first)
+	first := newStub(t, "u", respondOK("first"))
+	b := newTestBox(t, first)
 	b.listBorn(first, 100, false)
 	b.await("u", 100)
 	is.Equal(b.do(b.request("GET", "/safe/a", "")).body, "first")
-	next := first.again(t, answerOK("next"))
+	next := first.again(t, respondOK("next"))
 	b.listBorn(next, 200, false)
 	b.await("u", 200)
 	is.Equal(b.do(b.request("POST", "/once/b", "")).body, "next")
-	<-first.ended // the box has closed it
+	<-first.closed // the box has closed it
 }
 
 // A connection that is given back after its life was over is not kept.
 func TestAConnectionIsNotKeptBeyondItsLife(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerOK("ok"))
+	u := newStub(t, "u", respondOK("ok"))
 	p := newConns(func(string) int { return 9 })
 	life := balance.Upstream{ID: "u", StartedAt: 100, Address: u.listener.Addr().String()}
 	c, err := p.get(context.Background(), life, "s")
@@ -184,26 +184,26 @@
 // others are; the log names it once, with its key.
 func TestAnEntryOfAnotherWriter(t *testing.T) {
 	is := is.New(t)
-	u1, u2 := newStub(t, "u1", answerOK("1")), newStub(t, "u2", answerOK("2"))
-	b := newBench(t, u1, u2)
+	u1, u2 := newStub(t, "u1", respondOK("1")), newStub(t, "u2", respondOK("2"))
+	b := newTestBox(t, u1, u2)
 	for range 3 {
-		b.board.set("u1", "what is this", false)
+		b.publisher.set("u1", "what is this", false)
 	}
-	b.until(func() bool { return b.known() == 1 })
+	b.waitFor(func() bool { return b.upstreamCount() == 1 })
 	for i := range 10 {
 		is.Equal(b.do(b.request("GET", fmt.Sprintf("/safe/%d", i), "")).body, "2")
 	}
-	b.list(u1, false) // its writer writes it again
-	b.until(func() bool { return b.known() == 2 })
-	b.list(u2, true)
-	b.until(func() bool { return b.do(b.request("GET", "/safe/x", "")).body == "1" })
+	b.listUpstream(u1, false) // its writer writes it again
+	b.waitFor(func() bool { return b.upstreamCount() == 2 })
+	b.listUpstream(u2, true)
+	b.waitFor(func() bool { return b.do(b.request("GET", "/safe/x", "")).body == "1" })
 	is.True(b.log.contains("entry unusable"))
-	b.until(func() bool { return b.log.contains("published: not taken") })
+	b.waitFor(func() bool { return b.log.contains("published: not taken") })
 	is.Equal(b.log.count("published: not taken"), 1)
 }
 
 // count is how often a text was written.
-func (l *lockedText) count(s string) int {
+func (l *lockedBuffer) count(s string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), s)
@@ -216,7 +216,7 @@
 
 func TestWhatIsNotTakenIsNamedOnceForEachContent(t *testing.T) {
 	is := is.New(t)
-	var text lockedText
+	var text lockedBuffer
 	log := NewLog("box", &text)
 	m := &members{relay: &Relay{cfg: Config{Log: log}, stats: newStats()}, refused: make(map[string]uint64)}
 	err := wrongField{errors.New("no")}
@@ -257,19 +257,19 @@
 // A copy that lies where another life has begun is not used, and freed at its source.
 func TestACopyAtAnEarlierLifeIsNotUsed(t *testing.T) {
 	is := is.New(t)
-	var m *movingBench
-	m = newMovingBench(t, func(c net.Conn, stop func()) {
+	var m *movingTestBox
+	m = newMovingTestBox(t, func(c net.Conn, stop func()) {
 		m.listBorn(m.fast, 200, false)
 		m.await("fast", 200)
 		stop()
-		reply(c, 200, "h7")
+		respondCall(c, 200, "h7")
 	})
-	is.Equal((<-m.stream("/flow/x")).body, wholeStream()) // resumed there, and read anew
+	is.Equal((<-m.stream("/flow/x")).body, allEvents()) // resumed there, and read anew
 	at := m.fast.requests()
 	is.Equal(len(at), 1)
 	is.Equal(at[0].Header.Get("X-Memory"), "")
 	is.True(at[0].Header.Get("X-Last") != "")
-	m.until(func() bool {
+	m.waitFor(func() bool {
 		calls := m.slow.requests()
 		return calls[len(calls)-1].URL.Path == "/copy/h7"
 	})
@@ -280,15 +280,15 @@
 	is := is.New(t)
 	u := newStub(t, "true", func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Instance") != "true" {
-			say(c, fmt.Sprintf("HTTP/1.1 421 No\nX-Id: %s\nX-Started: true\nX-Not-Run: 1\nContent-Length: 0\n\n", r.Header.Get("X-Id")))
+			writeWire(c, fmt.Sprintf("HTTP/1.1 421 No\nX-Id: %s\nX-Started: true\nX-Not-Run: 1\nContent-Length: 0\n\n", r.Header.Get("X-Id")))
 			return true
 		}
-		return answerOK("ok")(c, r)
+		return respondOK("ok")(c, r)
 	})
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	b.listBorn(u, 100, false)
 	b.await("true", 100)
-	b.board.set("false", balance.Upstream{ID: "false", StartedAt: 900, Service: "s", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.publisher.set("false", balance.Upstream{ID: "false", StartedAt: 900, Service: "s", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.await("false", 900)
 	is.Equal(b.bornOf("true"), int64(-1))
 	is.Equal(b.do(b.request("GET", "/safe/x", "")).body, "ok") // one refusal, and the second run is answered
@@ -299,15 +299,15 @@
 // An entry of a service that no document names takes no address, until one does.
 func TestAnEntryOfAServiceThatNobodyNames(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerOK("ok"))
-	b := newBench(t, u)
+	u := newStub(t, "u", respondOK("ok"))
+	b := newTestBox(t, u)
 	b.listBorn(u, 100, false)
 	b.await("u", 100)
-	b.board.set("x", balance.Upstream{ID: "x", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.publisher.set("x", balance.Upstream{ID: "x", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.await("x", 900)
 	is.Equal(b.bornOf("u"), int64(100))
 	is.Equal(b.do(b.request("POST", "/once/x", "")).body, "ok")
-	b.board.set("u", balance.Upstream{ID: "u", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.publisher.set("u", balance.Upstream{ID: "u", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.await("u", 900) // and at a sound one's key it does no more harm than that this one is not used
 	is.Equal(b.do(b.request("POST", "/once/x", "")).status, 503)
 	b.listBorn(u, 100, false)
@@ -320,7 +320,7 @@
 
 	document := testDocument(2)
 	document.Services = append(document.Services, route.Service{Name: "x"})
-	b.board.set("document", document, false)
+	b.publisher.set("document", document, false)
 	b.await("u", -1) // the later start has the address now
 	is.Equal(b.bornOf("x"), int64(900))
 }
@@ -329,10 +329,10 @@
 func twoEvents(goOn <-chan struct{}) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
 		startStream(c, r)
-		chunk(c, event(1))
+		writeChunk(c, event(1))
 		<-goOn
-		chunk(c, event(2))
-		chunk(c, "")
+		writeChunk(c, event(2))
+		writeChunk(c, "")
 		return true
 	}
 }
@@ -342,15 +342,15 @@
 	is := is.New(t)
 	goOn := make(chan struct{})
 	u := newStub(t, "u", twoEvents(goOn))
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	b.listBorn(u, 100, false)
 	b.await("u", 100)
-	done := make(chan answered, 1)
+	done := make(chan callerResponse, 1)
 	go func() { done <- b.do(b.request("POST", "/flow/x", "")) }()
-	b.until(func() bool { return len(u.requests()) == 1 })
+	b.waitFor(func() bool { return len(u.requests()) == 1 })
 	b.listBorn(u, 200, false) // it began long before the connection was opened
 	b.await("u", 200)
-	b.until(func() bool { return b.log.contains(`"born":200`) })
+	b.waitFor(func() bool { return b.log.contains(`"born":200`) })
 	close(goOn)
 	a := <-done
 	is.NoErr(a.err)
@@ -367,16 +367,16 @@
 			first := newStub(t, "u", twoEvents(goOn))
 			next := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
 				startStream(c, r)
-				chunk(c, event(2))
-				chunk(c, "")
+				writeChunk(c, event(2))
+				writeChunk(c, "")
 				return true
 			})
-			b := newBench(t, first)
+			b := newTestBox(t, first)
 			b.listBorn(first, 100, false)
 			b.await("u", 100)
-			done := make(chan answered, 1)
+			done := make(chan callerResponse, 1)
 			go func() { done <- b.do(b.request("POST", "/flow/x", "")) }()
-			b.until(func() bool { return len(first.requests()) == 1 })
+			b.waitFor(func() bool { return len(first.requests()) == 1 })
 			if !listens {
 				is.NoErr(first.listener.Close())
 			}
--- a/relay/memory_test.go
+++ b/relay/memory_test.go
@@ -16,9 +16,9 @@
 }
 
 // remembers waits until the box goes by an upstream's memory.
-func (b *bench) remembers(tokens int) {
+func (b *testBox) remembers(tokens int) {
 	b.t.Helper()
-	b.until(func() bool {
+	b.waitFor(func() bool {
 		for _, u := range b.relay.state().Upstreams {
 			if u.Memory != uint64(tokens) {
 				return false
@@ -30,9 +30,9 @@
 
 func TestWhatNoUpstreamCanHoldIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("1"))
-	b := newBench(t, u)
-	b.board.set("document", documentWithMemory(2, 2000), false)
+	u := newStub(t, "u1", respondOK("1"))
+	b := newTestBox(t, u)
+	b.publisher.set("document", documentWithMemory(2, 2000), false)
 	b.remembers(2000)
 	a := b.do(b.request("POST", "/once/x", "body", "X-Parts", "1:2000 2:100"))
 	is.Equal(a.status, 503) // as an upstream says it
@@ -44,9 +44,9 @@
 
 func TestWhatFindsNoMemoryIsToldWhenToComeBack(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("1"))
-	b := newBench(t, u)
-	b.board.set("document", documentWithMemory(2, 10000), false)
+	u := newStub(t, "u1", respondOK("1"))
+	b := newTestBox(t, u)
+	b.publisher.set("document", documentWithMemory(2, 10000), false)
 	b.remembers(10000)
 	b.relay.mu.Lock()
 	other := b.relay.fleet.Open(0, "u1", balance.Request{Service: "s", Tokens: 5000})
--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -28,36 +28,36 @@
 	return p
 }
 
-// reply answers a call to an upstream.
-func reply(c net.Conn, status int, body string) {
-	say(c, fmt.Sprintf("HTTP/1.1 %d X\nContent-Length: %d\n\n%s", status, len(body), body))
+// respondCall answers a call to an upstream.
+func respondCall(c net.Conn, status int, body string) {
+	writeWire(c, fmt.Sprintf("HTTP/1.1 %d X\nContent-Length: %d\n\n%s", status, len(body), body))
 }
 
-// movingBench is a relay before two upstreams: a stream begins at the slow one, which is the only one
+// movingTestBox is a relay before two upstreams: a stream begins at the slow one, which is the only one
 // listed at first and gives an event each 60 ms, of 100 that are expected.
-type movingBench struct {
-	*bench
+type movingTestBox struct {
+	*testBox
 	slow, fast *stub
 	stopped    chan struct{} // closed: the slow one's stream breaks off
 }
 
-// newMovingBench makes the two; copied answers the call to copy the run.
-func newMovingBench(t *testing.T, copied func(c net.Conn, stop func())) *movingBench {
-	m := &movingBench{stopped: make(chan struct{})}
+// newMovingTestBox makes the two; copied answers the call to copy the run.
+func newMovingTestBox(t *testing.T, copied func(c net.Conn, stop func())) *movingTestBox {
+	m := &movingTestBox{stopped: make(chan struct{})}
 	m.slow = newStub(t, "slow", func(c net.Conn, r stubRequest) bool {
 		switch {
 		case r.URL.Path == "/copy":
 			copied(c, func() { close(m.stopped) })
 			return true
 		case r.Method == http.MethodDelete:
-			reply(c, 200, "")
+			respondCall(c, 200, "")
 			return true
 		case r.Header.Get("X-Memory") != "":
-			return m.rest(c, r)
+			return m.respondRest(c, r)
 		}
 		startStream(c, r)
 		for i := 1; i <= 100; i++ {
-			chunk(c, event(i))
+			writeChunk(c, event(i))
 			select {
 			case <-m.stopped:
 				return false
@@ -66,32 +66,32 @@
 		}
 		return false
 	})
-	m.fast = newStub(t, "fast", m.rest)
-	m.bench = newBenchOf(t, movingProtocol(), m.slow)
+	m.fast = newStub(t, "fast", m.respondRest)
+	m.testBox = newTestBoxWithProtocol(t, movingProtocol(), m.slow)
 	document := testDocument(2)
 	document.Services[0].Moves = true
-	m.board.set("document", document, false)
-	m.until(func() bool { return m.relay.version() == 2 })
-	m.learn()
+	m.publisher.set("document", document, false)
+	m.waitFor(func() bool { return m.relay.version() == 2 })
+	m.trainFleet()
 	return m
 }
 
-// rest answers with the events behind the last that was seen, and the end.
-func (m *movingBench) rest(c net.Conn, r stubRequest) bool {
+// respondRest answers with the events behind the last that was seen, and the end.
+func (m *movingTestBox) respondRest(c net.Conn, r stubRequest) bool {
 	startStream(c, r)
 	var last int
 	_, _ = fmt.Sscan(r.Header.Get("X-Last"), &last)
 	for i := last + 1; i <= 100; i++ {
-		chunk(c, event(i))
+		writeChunk(c, event(i))
 	}
-	chunk(c, "")
+	writeChunk(c, "")
 	return true
 }
 
-// learn lets the relay know how long answers are, and that those which moved had 20 ms from one
+// trainFleet lets the relay know how long answers are, and that those which moved had 20 ms from one
 // event to the next: a stream of 100 events has to move when between 4.5 and 2.2 s of its 4.8 s
 // are left, so that a machine that stands still for a second does not decide the test.
-func (m *movingBench) learn() {
+func (m *movingTestBox) trainFleet() {
 	r := m.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,18 +106,18 @@
 }
 
 // stream asks for a long answer, and lists the fast upstream once the slow one runs it.
-func (m *movingBench) stream(path string) <-chan answered {
-	done := make(chan answered, 1)
+func (m *movingTestBox) stream(path string) <-chan callerResponse {
+	done := make(chan callerResponse, 1)
 	go func() {
 		done <- m.do(m.request("POST", path, "body", "X-Parts", "1:2000 2:100", "X-Expected", "100", "X-Left", "4800"))
 	}()
-	m.until(func() bool { return len(m.slow.requests()) == 1 })
-	m.list(m.fast, false)
+	m.waitFor(func() bool { return len(m.slow.requests()) == 1 })
+	m.listUpstream(m.fast, false)
 	return done
 }
 
-// wholeStream is all events, each once.
-func wholeStream() string {
+// allEvents is all events, each once.
+func allEvents() string {
 	var b strings.Builder
 	for i := 1; i <= 100; i++ {
 		b.WriteString(event(i))
@@ -125,15 +125,15 @@
 	return b.String()
 }
 
-func TestALongAnswerMovesAndEndsInTime(t *testing.T) {
+func TestLateStreamMovesAndEndsInTime(t *testing.T) {
 	for _, path := range []string{"/flow/x", "/fixed/x", "/single/x"} { // whatever may be run again
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
-			m := newMovingBench(t, func(c net.Conn, stop func()) {
+			m := newMovingTestBox(t, func(c net.Conn, stop func()) {
 				stop()
-				reply(c, 200, "h7")
+				respondCall(c, 200, "h7")
 			})
-			is.Equal((<-m.stream(path)).body, wholeStream())
+			is.Equal((<-m.stream(path)).body, allEvents())
 			calls := m.slow.requests()
 			is.Equal(len(calls), 2) // the request, and the call to copy it
 			var call string
@@ -150,13 +150,13 @@
 }
 
 // An upstream that has stopped a run, and found no room for it at the other, goes on with it.
-func TestAnAnswerThatFindsNoRoomGoesOnWhereItWas(t *testing.T) {
+func TestMoveWithoutRoomContinuesOnOriginalUpstream(t *testing.T) {
 	is := is.New(t)
-	m := newMovingBench(t, func(c net.Conn, stop func()) {
+	m := newMovingTestBox(t, func(c net.Conn, stop func()) {
 		stop()
-		reply(c, 503, "h7")
+		respondCall(c, 503, "h7")
 	})
-	is.Equal((<-m.stream("/single/x")).body, wholeStream())
+	is.Equal((<-m.stream("/single/x")).body, allEvents())
 	calls := m.slow.requests()
 	is.Equal(len(calls), 3)
 	is.Equal(calls[2].Header.Get("X-Memory"), m.slow.listener.Addr().String()+"/h7")
@@ -164,9 +164,9 @@
 }
 
 // A run that is not copied goes on, and is not asked for again.
-func TestAnAnswerThatIsNotCopiedGoesOn(t *testing.T) {
+func TestFailedCopyDoesNotInterruptRun(t *testing.T) {
 	is := is.New(t)
-	m := newMovingBench(t, func(c net.Conn, _ func()) { reply(c, 404, "") })
+	m := newMovingTestBox(t, func(c net.Conn, _ func()) { respondCall(c, 404, "") })
 	a := <-m.stream("/single/x")
 	is.True(a.err != nil) // its caller's time was over
 	is.Equal(len(m.slow.requests()), 2)
@@ -174,12 +174,12 @@
 }
 
 // A copy that nobody goes on with is freed.
-func TestACopyThatIsNotUsedIsFreed(t *testing.T) {
+func TestUnusedCopyIsFreed(t *testing.T) {
 	is := is.New(t)
-	m := newMovingBench(t, func(c net.Conn, _ func()) { reply(c, 200, "h7") }) // its stream does not stop
+	m := newMovingTestBox(t, func(c net.Conn, _ func()) { respondCall(c, 200, "h7") }) // its stream does not stop
 	a := <-m.stream("/single/x")
 	is.True(a.err != nil)
-	m.until(func() bool {
+	m.waitFor(func() bool {
 		calls := m.slow.requests()
 		return calls[len(calls)-1].Method == http.MethodDelete && calls[len(calls)-1].URL.Path == "/copy/h7"
 	})
@@ -188,7 +188,7 @@
 
 // Of a copy and the end of its request that come together the end goes first, whichever is
 // seen: the copy stays for whoever gives it up.
-func TestACopyStaysWhenItsRequestHasEnded(t *testing.T) {
+func TestCopyIsKeptForCleanupAfterRequestEnds(t *testing.T) {
 	is := is.New(t)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/relay/news_test.go
+++ b/relay/news_test.go
@@ -16,10 +16,10 @@
 
 func TestAnUpstreamThatIsLeavingGetsNothingNew(t *testing.T) {
 	is := is.New(t)
-	u1, u2 := newStub(t, "u1", answerOK("1")), newStub(t, "u2", answerOK("2"))
-	b := newBench(t, u1, u2)
-	b.list(u1, true)
-	b.until(func() bool {
+	u1, u2 := newStub(t, "u1", respondOK("1")), newStub(t, "u2", respondOK("2"))
+	b := newTestBox(t, u1, u2)
+	b.listUpstream(u1, true)
+	b.waitFor(func() bool {
 		b.relay.mu.Lock()
 		defer b.relay.mu.Unlock()
 		return b.relay.fleet.Get("u1").Leaving
@@ -32,16 +32,16 @@
 
 func TestADocumentNeverGoesBack(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBench(t, u)
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBox(t, u)
 	newer := testDocument(7)
 	newer.Routes = newer.Routes[1:]
-	b.board.set("document", newer, false)
-	b.until(func() bool { return b.relay.version() == 7 })
+	b.publisher.set("document", newer, false)
+	b.waitFor(func() bool { return b.relay.version() == 7 })
 	is.Equal(b.do(b.request("GET", "/safe/x", "")).status, 404)
-	b.board.set("document", testDocument(6), false)
-	b.board.set("other", map[string]string{"ID": "other", "Service": "x"}, false)
-	b.until(func() bool { return b.known() == 2 }) // what came after it has been taken
+	b.publisher.set("document", testDocument(6), false)
+	b.publisher.set("other", map[string]string{"ID": "other", "Service": "x"}, false)
+	b.waitFor(func() bool { return b.upstreamCount() == 2 }) // what came after it has been taken
 	is.Equal(b.relay.version(), uint64(7))
 }
 
@@ -65,7 +65,7 @@
 func TestABoxAnswersOthersWhileItTakesInALongList(t *testing.T) {
 	is := is.New(t)
 	r := &Relay{startedAt: time.Now(), fleet: newEmptyFleet(), conns: newConns(nil), stats: newStats(),
-		cfg: Config{Log: NewLog("box", io.Discard), Decode: decode, Self: &wire.GroupBox{Name: "box", Domain: "d", Boot: 1}, Timing: group.DefaultTiming, Boxes: 1}}
+		cfg: Config{Log: NewLog("box", io.Discard), Decode: decodeItem, Self: &wire.GroupBox{Name: "box", Domain: "d", Boot: 1}, Timing: group.DefaultTiming, Boxes: 1}}
 	m, err := newMembers(r)
 	is.NoErr(err)
 	m.after(context.Background())
--- a/relay/outcome_test.go
+++ b/relay/outcome_test.go
@@ -12,7 +12,7 @@
 	"github.com/doormast/doormast/route"
 )
 
-func TestWhatAStatusTellsOfItsUpstream(t *testing.T) {
+func TestOutcomeOfStatus(t *testing.T) {
 	tests := []struct {
 		status int
 		time   time.Duration // that the caller waits; the route gives 12 s
@@ -39,10 +39,10 @@
 
 // A run that could not be sent to an earlier life of an upstream closes no connection to the
 // present one, and no loss is put down to it; one on the present life does both.
-func TestAFailureOfAnEarlierLifeLeavesThePresentOneAlone(t *testing.T) {
+func TestFailureOfEarlierInstanceKeepsCurrentConnections(t *testing.T) {
 	is := is.New(t)
-	u, v := newStub(t, "u", answerOK("ok")), newStub(t, "v", answerOK("ok"))
-	b := newBench(t, u, v)
+	u, v := newStub(t, "u", respondOK("ok")), newStub(t, "v", respondOK("ok"))
+	b := newTestBox(t, u, v)
 	b.listBorn(u, 200, false)
 	b.await("u", 200)
 	r := b.relay
@@ -71,5 +71,5 @@
 	x.upstream.StartedAt = 200
 	x.recordFailure(runUnsent, syscall.ECONNREFUSED)
 	is.Equal(resting(), 0)
-	b.until(func() bool { return b.log.contains("out of reach") })
+	b.waitFor(func() bool { return b.log.contains("out of reach") })
 }
--- a/relay/pace_test.go
+++ b/relay/pace_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestPausesBetweenEventsAreMeasured(t *testing.T) {
+func TestPaceMeasuresPauses(t *testing.T) {
 	tests := []struct {
 		name    string
 		at      []int // ms
--- a/relay/pause_test.go
+++ b/relay/pause_test.go
@@ -96,7 +96,7 @@
 			return answerNaming("503 No", "X-Not-Run: 1", "Retry-After: "+length)(c, r)
 		}
 		<-p.hold
-		return answerOK("well")(c, r)
+		return respondOK("well")(c, r)
 	})
 	return p
 }
@@ -112,7 +112,7 @@
 }
 
 // waits is how many requests of the service wait for the end of a pause.
-func (b *bench) waits() int {
+func (b *testBox) waits() int {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	if q := b.relay.pauseQueues["s"]; q != nil {
@@ -122,8 +122,8 @@
 }
 
 // sends sends requests at the same time, and returns where their answers come.
-func (b *bench) sends(count int, header ...string) <-chan answered {
-	done := make(chan answered, count)
+func (b *testBox) sends(count int, header ...string) <-chan callerResponse {
+	done := make(chan callerResponse, count)
 	for i := range count {
 		go func() {
 			done <- b.do(b.request(http.MethodPost, "/safe/x", "x", append([]string{"X-Id", fmt.Sprint("r", i)}, header...)...))
@@ -137,13 +137,13 @@
 	is := is.New(t)
 	const length = 1500 * time.Millisecond
 	u := newPauser(t, "1.5")
-	b := newBench(t, u.stub)
+	b := newTestBox(t, u.stub)
 	first := b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	is.Equal(first.status, http.StatusServiceUnavailable)
 	const count = 12
 	done := b.sends(count, "X-Left", "30000")
-	b.until(func() bool { return b.waits() == count || len(u.requests()) > 1 })
-	b.until(func() bool { n, _ := u.arrivals(); return n > 0 })
+	b.waitFor(func() bool { return b.waits() == count || len(u.requests()) > 1 })
+	b.waitFor(func() bool { n, _ := u.arrivals(); return n > 0 })
 	n, after := u.arrivals()
 	is.True(after >= length) // none came within the pause
 	is.Equal(n, 1)           // the others wait until that one is answered
@@ -160,7 +160,7 @@
 func TestAPauseThatIsTooLongForACallerIsSaidAtOnce(t *testing.T) {
 	is := is.New(t)
 	u := newPauser(t, "30")
-	b := newBench(t, u.stub)
+	b := newTestBox(t, u.stub)
 	for i := range 3 { // the first was sent, the others were not
 		got := b.do(b.request(http.MethodPost, "/once/x", "x", "X-Id", fmt.Sprint(i)))
 		is.Equal(got.status, http.StatusServiceUnavailable)
@@ -177,12 +177,12 @@
 // Who leaves while it waits is not sent, and who waits for an upstream that is replaced goes to the next one.
 func TestWhoWaitsForAPauseHearsOfOthers(t *testing.T) {
 	is := is.New(t)
-	u, v := newPauser(t, "3"), newStub(t, "v", answerOK("v"))
-	b := newBench(t, u.stub)
+	u, v := newPauser(t, "3"), newStub(t, "v", respondOK("v"))
+	b := newTestBox(t, u.stub)
 	b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	done := b.sends(3)
-	b.until(func() bool { return b.waits() == 3 })
-	b.list(v, false)
+	b.waitFor(func() bool { return b.waits() == 3 })
+	b.listUpstream(v, false)
 	for range 3 {
 		is.Equal((<-done).body, "v")
 	}
@@ -194,7 +194,7 @@
 func TestCallsKeepToPauses(t *testing.T) {
 	is := is.New(t)
 	u := newPauser(t, "30")
-	b := newBench(t, u.stub)
+	b := newTestBox(t, u.stub)
 	call := func() error {
 		_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 		return err
@@ -208,7 +208,7 @@
 func TestAPauseThatCannotBeReadIsNamed(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerNaming("503 No", "X-Not-Run: 1", "Retry-After: soon"))
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	for range 2 {
 		b.do(b.request(http.MethodPost, "/once/x", "x"))
 		time.Sleep(fullRestPassed)
@@ -221,10 +221,10 @@
 func TestABoxThatStopsLetsNoneWaitForAPause(t *testing.T) {
 	is := is.New(t)
 	u := newPauser(t, "3")
-	b := newBench(t, u.stub)
+	b := newTestBox(t, u.stub)
 	b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	done := b.sends(3)
-	b.until(func() bool { return b.waits() == 3 })
+	b.waitFor(func() bool { return b.waits() == 3 })
 	stopped := make(chan struct{})
 	go func() {
 		b.relay.Stop()
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -12,10 +12,10 @@
 	"github.com/matryer/is"
 )
 
-func TestRequestsGoOnAsTheyCame(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("hello"))
-	b := newBench(t, u)
+	u := newStub(t, "u1", respondOK("hello"))
+	b := newTestBox(t, u)
 	r := b.request("POST", "/once/x?q=%20a", strings.Repeat("body ", 5000), "X-Other", "kept", "Connection", "X-Hop", "X-Hop", "dropped", "X-Customer", "forged")
 	a := b.do(r)
 	is.NoErr(a.err)
@@ -40,10 +40,10 @@
 	is.True(left > 0 && left <= 4000)
 }
 
-func TestChunkedBodiesGoOn(t *testing.T) {
+func TestChunkedBodyIsForwarded(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBench(t, u)
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBox(t, u)
 	r := b.request("POST", "/once/x", "")
 	r.Body = io.NopCloser(io.MultiReader(strings.NewReader("first "), strings.NewReader("second")))
 	r.ContentLength = -1
@@ -51,9 +51,9 @@
 	is.Equal(u.requests()[0].body, "first second")
 }
 
-func TestTheBoxAnswersByItself(t *testing.T) {
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBench(t, u)
+func TestBoxRefusesInvalidRequests(t *testing.T) {
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBox(t, u)
 	for _, c := range []struct {
 		name   string
 		path   string
@@ -83,9 +83,9 @@
 	}
 }
 
-func TestABoxWithoutADocumentIsNotReady(t *testing.T) {
+func TestBoxWithoutDocumentIsNotReady(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestBox(t)
 	resp, err := http.Get(b.ready)
 	is.NoErr(err)
 	_ = resp.Body.Close()
@@ -96,7 +96,7 @@
 	is.True(strings.Contains(a.body, `"ran":"no"`))
 }
 
-func TestACallerThatLeavesEndsItsRun(t *testing.T) {
+func TestCallerDisconnectEndsRun(t *testing.T) {
 	for _, path := range []string{"/flow/x", "/once/x"} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
@@ -104,12 +104,12 @@
 			u := newStub(t, "u1", func(c net.Conn, r stubRequest) bool {
 				if strings.HasPrefix(path, "/flow") {
 					startStream(c, r)
-					chunk(c, event(1))
+					writeChunk(c, event(1))
 				}
 				close(started)
 				return true // and nothing more comes
 			})
-			b := newBench(t, u)
+			b := newTestBox(t, u)
 			ctx, cancel := context.WithCancel(context.Background())
 			go func() {
 				<-started
@@ -117,16 +117,16 @@
 			}()
 			a := b.do(b.request("POST", path, "").WithContext(ctx))
 			is.True(a.err != nil)
-			<-u.ended // the upstream sees the end
-			b.until(func() bool { return b.relay.stats.open.Load() == 0 })
+			<-u.closed // the upstream sees the end
+			b.waitFor(func() bool { return b.relay.stats.open.Load() == 0 })
 		})
 	}
 }
 
-func TestARouteHoldsARequestNoLongerThanItsTime(t *testing.T) {
+func TestRouteTimeoutBoundsRequest(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", func(net.Conn, stubRequest) bool { return true }) // silence
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	a := b.do(b.request("POST", "/brief/x", ""))
 	is.Equal(a.status, 504)
 	left, err := strconv.Atoi(u.requests()[0].Header.Get("X-Left"))
@@ -134,23 +134,23 @@
 	is.True(left <= 200)
 }
 
-func TestHeadersAreKnownWhateverTheirCase(t *testing.T) {
+func TestHeaderNamesAreCaseInsensitive(t *testing.T) {
 	is := is.New(t)
 	refuse := func(c net.Conn, r stubRequest) bool {
-		say(c, "HTTP/1.1 503 Full\nx-id: "+r.Header.Get("X-Id")+"\nx-not-run: 1\ncontent-length: 0\n\n")
+		writeWire(c, "HTTP/1.1 503 Full\nx-id: "+r.Header.Get("X-Id")+"\nx-not-run: 1\ncontent-length: 0\n\n")
 		return true
 	}
 	u1, u2 := newStub(t, "u1", refuse), newStub(t, "u2", refuse)
-	b := newBench(t, u1, u2)
+	b := newTestBox(t, u1, u2)
 	a := b.do(b.request("POST", "/once/x", ""))
 	is.Equal(a.status, 503)
 	is.Equal(len(u1.requests())+len(u2.requests()), 2) // the first said that it had not run it
 
 	foreign := newStub(t, "u3", func(c net.Conn, r stubRequest) bool {
-		say(c, "HTTP/1.1 200 OK\nx-id: another\nContent-Length: 3\n\nold")
-		return answerOK("mine")(c, r)
+		writeWire(c, "HTTP/1.1 200 OK\nx-id: another\nContent-Length: 3\n\nold")
+		return respondOK("mine")(c, r)
 	})
-	b = newBench(t, foreign)
+	b = newTestBox(t, foreign)
 	is.Equal(b.do(b.request("POST", "/once/x", "")).body, "mine")
 
 	r := b.request("POST", "/once/y", "")
--- a/relay/retry_test.go
+++ b/relay/retry_test.go
@@ -14,10 +14,10 @@
 // withoutRetries configures a relay that has no retry left.
 func withoutRetries(c *Config) { c.Budget = balance.BudgetConfig{Window: 10 * time.Second} }
 
-func TestARequestWithoutARetryLeftHasALine(t *testing.T) {
+func TestDeniedRetryIsLogged(t *testing.T) {
 	is := is.New(t)
-	u1, u2 := newStub(t, "u1", failFirst()), newStub(t, "u2", failFirst())
-	b := newBenchWith(t, withoutRetries, u1, u2)
+	u1, u2 := newStub(t, "u1", respond500First()), newStub(t, "u2", respond500First())
+	b := newTestBoxWithConfig(t, withoutRetries, u1, u2)
 	is.Equal(b.do(b.request("GET", "/safe/x", "")).status, 500)
 	is.NoErr(b.relay.cfg.Log.Close())
 	is.True(b.log.contains(`"msg":"run: not retried"`))
@@ -29,27 +29,27 @@
 	is.Equal(rows[0].Taken, uint32(1))
 }
 
-// failing answers each request with a failure of the upstream's own.
-func failing(c net.Conn, r stubRequest) bool {
-	say(c, "HTTP/1.1 500 Broken\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: bad\nContent-Length: 2\n\nno")
+// respond500 answers each request with a failure of the upstream's own.
+func respond500(c net.Conn, r stubRequest) bool {
+	writeWire(c, "HTTP/1.1 500 Broken\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: bad\nContent-Length: 2\n\nno")
 	return true
 }
 
 // A service whose upstreams failed got more retries than its requests allow, and a sound one none, where both were served
 // by the same boxes: a box kept one budget for all services. Lines "run: not retried" of both services, with the same
 // figures, settled it.
-func TestRetriesOfAServiceAreAllowedByItsOwnRequests(t *testing.T) {
+func TestRetryBudgetIsPerService(t *testing.T) {
 	is := is.New(t)
-	sound := newStub(t, "sound", answerOK("ok"))
-	bad1, bad2 := newStub(t, "bad1", failing), newStub(t, "bad2", failing)
-	b := newBenchWith(t, func(c *Config) { c.Budget = balance.BudgetConfig{Ratio: 0.5, Window: 10 * time.Second} }, bad1, bad2)
+	sound := newStub(t, "sound", respondOK("ok"))
+	bad1, bad2 := newStub(t, "bad1", respond500), newStub(t, "bad2", respond500)
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Budget = balance.BudgetConfig{Ratio: 0.5, Window: 10 * time.Second} }, bad1, bad2)
 	doc := testDocument(2)
 	doc.Services = append(doc.Services, route.Service{Name: "other", MaxConnections: 100})
 	doc.Routes = append(doc.Routes, route.Route{Name: "other", Host: "h.example", Prefix: "/other/", Repeat: route.Repeatable, MaxAttempts: 2, Timeout: 5 * time.Second,
 		Targets: []route.Target{{Service: "other", Weight: 1}}})
-	b.board.set("document", doc, false)
-	b.board.set("sound", balance.Upstream{ID: "sound", Service: "other", Address: sound.listener.Addr().String(), Domain: "d", Slots: 8}, false)
-	b.until(func() bool { return b.known() == 3 && b.do(b.request("GET", "/other/first", "")).status == 200 })
+	b.publisher.set("document", doc, false)
+	b.publisher.set("sound", balance.Upstream{ID: "sound", Service: "other", Address: sound.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.waitFor(func() bool { return b.upstreamCount() == 3 && b.do(b.request("GET", "/other/first", "")).status == 200 })
 	for range 40 {
 		is.Equal(b.do(b.request("GET", "/other/x", "")).status, 200)
 	}
@@ -63,11 +63,11 @@
 
 // A retry that found no connection was taken from the budget when it was decided, though nothing arrived anywhere, and one
 // that waited for a connection counted in a window before the one it arrived in. Found by reading.
-func TestARetryThatIsNotSentIsNotTakenFromTheBudget(t *testing.T) {
+func TestUnsentRetryIsNotTakenFromBudget(t *testing.T) {
 	is := is.New(t)
-	bad, dead := newStub(t, "bad", failing), newStub(t, "dead", answerOK(""))
+	bad, dead := newStub(t, "bad", respond500), newStub(t, "dead", respondOK(""))
 	is.NoErr(dead.listener.Close())
-	b := newBench(t, bad, dead)
+	b := newTestBox(t, bad, dead)
 	for len(bad.requests()) == 0 { // what is placed at dead first is sent to bad as its first run
 		is.Equal(b.do(b.request("GET", "/safe/x", "")).status, 500)
 	}
--- a/relay/runs_test.go
+++ b/relay/runs_test.go
@@ -11,26 +11,26 @@
 
 // What upstreams may do to a request, and what becomes of it: how often it reaches
 // an upstream in all, and what its caller is told.
-func TestRunsThatFail(t *testing.T) {
+func TestFailedRuns(t *testing.T) {
 	reset := func(net.Conn, stubRequest) bool { return false }
 	cut := func(c net.Conn, r stubRequest) bool {
-		say(c, "HTTP/1.1 200 OK\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: s\nContent-Length: 10\n\nhalf")
+		writeWire(c, "HTTP/1.1 200 OK\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: s\nContent-Length: 10\n\nhalf")
 		return false
 	}
 	cutChunk := func(c net.Conn, r stubRequest) bool {
-		say(c, "HTTP/1.1 200 OK\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: s\nTransfer-Encoding: chunked\n\n5\nhello\n")
+		writeWire(c, "HTTP/1.1 200 OK\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: s\nTransfer-Encoding: chunked\n\n5\nhello\n")
 		return false
 	}
 	garbage := func(c net.Conn, _ stubRequest) bool {
-		say(c, "\x01\x02 what is this, surely no answer\n\n")
+		writeWire(c, "\x01\x02 what is this, surely no answer\n\n")
 		return false
 	}
 	foreign := func(c net.Conn, _ stubRequest) bool {
-		say(c, "HTTP/1.1 200 OK\nX-Id: another\nX-Sign: s\nContent-Length: 2\n\nno")
+		writeWire(c, "HTTP/1.1 200 OK\nX-Id: another\nX-Sign: s\nContent-Length: 2\n\nno")
 		return false
 	}
 	failing := func(c net.Conn, r stubRequest) bool {
-		say(c, "HTTP/1.1 500 Broken\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: s\nContent-Length: 2\n\nno")
+		writeWire(c, "HTTP/1.1 500 Broken\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: s\nContent-Length: 2\n\nno")
 		return true
 	}
 	for _, c := range []struct {
@@ -41,9 +41,9 @@
 		status int
 		ran    string
 	}{
-		{"full, once", "/once/x", refuseRun(503), 2, 503, "no"},
-		{"full, repeatable", "/safe/x", refuseRun(503), 2, 503, "no"},
-		{"another start of it", "/once/x", refuseRun(421), 2, 503, "no"},
+		{"full, once", "/once/x", respondNotRun(503), 2, 503, "no"},
+		{"full, repeatable", "/safe/x", respondNotRun(503), 2, 503, "no"},
+		{"another start of it", "/once/x", respondNotRun(421), 2, 503, "no"},
 		{"reset, once", "/once/x", reset, 1, 502, "unknown"},
 		{"reset, repeatable", "/safe/x", reset, 2, 502, "unknown"},
 		{"reset, stream", "/fixed/x", reset, 1, 502, "unknown"},
@@ -59,7 +59,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			u1, u2, u3 := newStub(t, "u1", c.script), newStub(t, "u2", c.script), newStub(t, "u3", c.script)
-			b := newBench(t, u1, u2, u3)
+			b := newTestBox(t, u1, u2, u3)
 			a := b.do(b.request("GET", c.path, ""))
 			is.NoErr(a.err)
 			is.Equal(a.status, c.status)
@@ -72,66 +72,66 @@
 	}
 }
 
-func TestARequestThatWasRefusedIsServedElsewhere(t *testing.T) {
+func TestRefusedRequestIsServedByAnotherUpstream(t *testing.T) {
 	is := is.New(t)
-	full, free := newStub(t, "full", refuseRun(503)), newStub(t, "free", answerOK("ok"))
-	b := newBench(t, full, free)
+	full, free := newStub(t, "full", respondNotRun(503)), newStub(t, "free", respondOK("ok"))
+	b := newTestBox(t, full, free)
 	for range 4 {
 		a := b.do(b.request("POST", "/once/x", "body"))
 		is.Equal(a.status, 200)
 	}
 }
 
-func TestAnUpstreamThatCannotBeReachedCostsNoAttempt(t *testing.T) {
+func TestUnreachableUpstreamCostsNoAttempt(t *testing.T) {
 	is := is.New(t)
-	dead, alive := newStub(t, "dead", answerOK("")), newStub(t, "alive", answerOK("ok"))
+	dead, alive := newStub(t, "dead", respondOK("")), newStub(t, "alive", respondOK("ok"))
 	is.NoErr(dead.listener.Close())
-	b := newBench(t, dead, alive)
+	b := newTestBox(t, dead, alive)
 	for range 4 {
 		is.Equal(b.do(b.request("POST", "/once/x", "body")).status, 200)
 	}
 }
 
-func TestALateAnswerToAnEarlierRequestIsSkipped(t *testing.T) {
+func TestResponseToEarlierRequestIsSkipped(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", func(c net.Conn, r stubRequest) bool {
-		say(c, "HTTP/1.1 200 OK\nX-Id: earlier\nX-Sign: old\nContent-Length: 3\n\nold")
-		return answerOK("mine")(c, r)
+		writeWire(c, "HTTP/1.1 200 OK\nX-Id: earlier\nX-Sign: old\nContent-Length: 3\n\nold")
+		return respondOK("mine")(c, r)
 	})
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	a := b.do(b.request("POST", "/once/x", ""))
 	is.Equal(a.status, 200)
 	is.Equal(a.body, "mine")
 	is.Equal(a.header.Get("X-Sign"), "s")
 }
 
-func TestBytesBehindAnAnswerBelongToNobody(t *testing.T) {
+func TestBytesAfterResponseAreDiscarded(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", func(c net.Conn, r stubRequest) bool {
 		id := r.Header.Get("X-Id")
-		say(c, "HTTP/1.1 200 OK\nX-Id: "+id+"\nX-Sign: s\nContent-Length: 2\n\nokHTTP/1.1 200 OK\nX-Id: "+id+"\nX-Sign: s\nContent-Length: 5\n\nextra")
+		writeWire(c, "HTTP/1.1 200 OK\nX-Id: "+id+"\nX-Sign: s\nContent-Length: 2\n\nokHTTP/1.1 200 OK\nX-Id: "+id+"\nX-Sign: s\nContent-Length: 5\n\nextra")
 		return true
 	})
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	for range 3 {
 		a := b.do(b.request("POST", "/once/x", ""))
 		is.Equal(a.body, "ok")
 	}
 }
 
-func TestAnAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
+func TestResponseWithoutLengthEndsAtConnectionClose(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", func(c net.Conn, r stubRequest) bool {
-		say(c, "HTTP/1.1 200 OK\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: s\n\nall of it")
+		writeWire(c, "HTTP/1.1 200 OK\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: s\n\nall of it")
 		return false
 	})
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	a := b.do(b.request("POST", "/once/x", ""))
 	is.Equal(a.status, 200)
 	is.Equal(a.body, "all of it")
 }
 
-func TestAnEarlyAnswerIsPassedOnAndItsConnectionDropped(t *testing.T) {
+func TestEarlyResponseIsForwardedAndConnectionDropped(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
 	done := make(chan struct{})
@@ -143,18 +143,18 @@
 		}
 		defer func() { _ = c.Close() }()
 		_, _ = c.Read(make([]byte, 1024)) // the rest of the body is never read
-		say(c, "HTTP/1.1 400 Early\nX-Id: id-/once/x\nX-Sign: s\nContent-Length: 2\n\nno")
+		writeWire(c, "HTTP/1.1 400 Early\nX-Id: id-/once/x\nX-Sign: s\nContent-Length: 2\n\nno")
 		time.Sleep(50 * time.Millisecond)
 	}()
 	u := &stub{id: "u1", listener: l}
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	a := b.do(b.request("POST", "/once/x", strings.Repeat("x", 900<<10)))
 	is.Equal(a.status, 400)
 	is.Equal(a.body, "no")
 	<-done
 }
 
-func TestNoMoreConnectionsThanTheShare(t *testing.T) {
+func TestConnectionLimitIsEnforced(t *testing.T) {
 	is := is.New(t)
 	p := newConns(func(string) int { return 2 })
 	is.True(p.reserve("u", 2))
@@ -164,23 +164,23 @@
 	is.True(p.reserve("u", 2))
 }
 
-// failFirst fails the first request it gets and answers the others.
-func failFirst() func(net.Conn, stubRequest) bool {
+// respond500First fails the first request it gets and answers the others.
+func respond500First() func(net.Conn, stubRequest) bool {
 	first := true
 	return func(c net.Conn, r stubRequest) bool {
 		if first {
 			first = false
-			say(c, "HTTP/1.1 500 Broken\nx-id: "+r.Header.Get("X-Id")+"\nX-Sign: bad\nContent-Length: 2\n\nno")
+			writeWire(c, "HTTP/1.1 500 Broken\nx-id: "+r.Header.Get("X-Id")+"\nX-Sign: bad\nContent-Length: 2\n\nno")
 			return true
 		}
-		return answerOK("ok")(c, r)
+		return respondOK("ok")(c, r)
 	}
 }
 
-func TestARequestSentAgainIsTakenFromTheBudgetOnce(t *testing.T) {
+func TestRetryIsTakenFromBudgetOnce(t *testing.T) {
 	is := is.New(t)
-	u1, u2 := newStub(t, "u1", failFirst()), newStub(t, "u2", failFirst())
-	b := newBench(t, u1, u2)
+	u1, u2 := newStub(t, "u1", respond500First()), newStub(t, "u2", respond500First())
+	b := newTestBox(t, u1, u2)
 	left := func() int {
 		b.relay.mu.Lock()
 		defer b.relay.mu.Unlock()
@@ -192,10 +192,10 @@
 	is.Equal(before-left(), 1)
 }
 
-func TestWhereNobodyElseIsLeftTheFailureIsPassedOn(t *testing.T) {
+func TestFailureIsForwardedWhenNoUpstreamIsLeft(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", failFirst())
-	b := newBench(t, u)
+	u := newStub(t, "u1", respond500First())
+	b := newTestBox(t, u)
 	a := b.do(b.request("GET", "/safe/x", ""))
 	is.Equal(a.status, 500)
 	is.Equal(a.body, "no")
--- a/relay/said_test.go
+++ b/relay/said_test.go
@@ -29,7 +29,7 @@
 	for i := range 3 {
 		a.list = append(a.list, newStub(t, fmt.Sprint("u", i), func(c net.Conn, r stubRequest) bool {
 			if i > 0 {
-				return answerOK("well")(c, r)
+				return respondOK("well")(c, r)
 			}
 			a.mu.Lock()
 			status, says := a.status, a.says
@@ -44,14 +44,14 @@
 func (a *announcer) arrivals() int { return len(a.list[0].requests()) }
 
 // send sends requests by a box, one after the other.
-func (a *announcer) send(b *bench, name string, count int) {
+func (a *announcer) send(b *testBox, name string, count int) {
 	for i := range count {
 		b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", fmt.Sprint(name, "-", i)))
 	}
 }
 
 // untilSaid sends requests by a box until one has reached the first.
-func (a *announcer) untilSaid(b *bench) {
+func (a *announcer) untilSaid(b *testBox) {
 	for i := 0; a.arrivals() == 0; i++ {
 		a.send(b, fmt.Sprint("first-", i), 1)
 	}
@@ -61,14 +61,14 @@
 func TestAnUpstreamThatSaysItIsLeavingGetsNothingNew(t *testing.T) {
 	is := is.New(t)
 	a := newAnnouncer(t, "200 OK", "X-Leaving: 1")
-	b := newBench(t, a.list...)
+	b := newTestBox(t, a.list...)
 	a.untilSaid(b)
 	a.send(b, "more", 60)
 	is.Equal(a.arrivals(), 1)
 }
 
 // isLeaving reports whether a box takes an upstream for one that is leaving.
-func (b *bench) isLeaving(id string) bool {
+func (b *testBox) isLeaving(id string) bool {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	return b.relay.fleet.Get(id).Leaving
@@ -88,21 +88,21 @@
 		{"too many", answerNaming("429 Many", "X-Not-Run: 1", "X-Leaving: 1"), true},
 		{"the same with a pause", answerNaming("503 Full", "X-Not-Run: 1", "Retry-After: 1", "X-Leaving: 1"), true},
 		{"an answer to another request", func(c net.Conn, r stubRequest) bool {
-			say(c, "HTTP/1.1 200 OK\nX-Id: before\nX-Leaving: 1\nContent-Length: 0\n\n")
-			return answerOK("well")(c, r)
+			writeWire(c, "HTTP/1.1 200 OK\nX-Id: before\nX-Leaving: 1\nContent-Length: 0\n\n")
+			return respondOK("well")(c, r)
 		}, true},
 		{"another start of it", answerNaming("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Leaving: 1"), false},
 		{"it does not", answerNaming("200 OK", "X-Leaving: 0"), false},
-		{"the caller's own", answerOK("well"), false},
+		{"the caller's own", respondOK("well"), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			u, v := newStub(t, "u", c.script), newStub(t, "v", answerOK("well"))
-			b := newBench(t, u)
+			u, v := newStub(t, "u", c.script), newStub(t, "v", respondOK("well"))
+			b := newTestBox(t, u)
 			b.do(b.request(http.MethodPost, "/once/x", "x", "X-Leaving", "1"))
 			is.Equal(len(u.requests()), 1)
-			b.list(v, false)
-			b.until(func() bool { return b.known() == 2 })
+			b.listUpstream(v, false)
+			b.waitFor(func() bool { return b.upstreamCount() == 2 })
 			is.Equal(b.relay.stats.counted(leavingSaid) == 1, c.want)
 			is.True(b.isLeaving("u") || !c.want)
 		})
@@ -113,7 +113,7 @@
 func TestAnAnswerToACallSaysThatItsUpstreamIsLeaving(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerNaming("200 OK", "X-Leaving: 1"))
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 	is.NoErr(err)
 	is.True(b.isLeaving("u"))
@@ -126,30 +126,30 @@
 			is := is.New(t)
 			said, goOn := make(chan struct{}), make(chan struct{})
 			u := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
-				say(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nX-Leaving: 1\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n", r.Header.Get("X-Id")))
-				chunk(c, event(1))
+				writeWire(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nX-Leaving: 1\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n", r.Header.Get("X-Id")))
+				writeChunk(c, event(1))
 				close(said)
 				<-goOn
 				if breaks {
 					return false
 				}
-				chunk(c, event(2))
-				chunk(c, "")
+				writeChunk(c, event(2))
+				writeChunk(c, "")
 				return true
 			})
 			v := newStub(t, "v", func(c net.Conn, r stubRequest) bool {
 				startStream(c, r)
-				chunk(c, event(2))
-				chunk(c, "")
+				writeChunk(c, event(2))
+				writeChunk(c, "")
 				return true
 			})
-			b := newBench(t, u)
-			done := make(chan answered, 1)
+			b := newTestBox(t, u)
+			done := make(chan callerResponse, 1)
 			go func() { done <- b.do(b.request(http.MethodPost, "/flow/x", "")) }()
 			<-said
-			b.until(func() bool { return b.isLeaving("u") })
-			b.list(v, false)
-			b.until(func() bool { return b.known() == 2 })
+			b.waitFor(func() bool { return b.isLeaving("u") })
+			b.listUpstream(v, false)
+			b.waitFor(func() bool { return b.upstreamCount() == 2 })
 			close(goOn)
 			is.Equal((<-done).body, event(1)+event(2))
 			is.Equal(len(u.requests()), 1)
@@ -162,7 +162,7 @@
 func TestWhereTheLastUpstreamIsLeavingCallersHearItAtOnce(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerNaming("200 OK", "X-Leaving: 1"))
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	is.Equal(b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "first")).status, http.StatusOK)
 	got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "second"))
 	is.Equal(got.status, http.StatusServiceUnavailable)
@@ -179,8 +179,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			u, v := newStub(t, "u", answerOK("u")), newStub(t, "v", answerOK("v"))
-			b := newBench(t, u, v)
+			u, v := newStub(t, "u", respondOK("u")), newStub(t, "v", respondOK("v"))
+			b := newTestBox(t, u, v)
 			r := b.relay
 			var once sync.Once
 			var first string
@@ -205,7 +205,7 @@
 func TestAnUpstreamThatAsksForAPauseIsLeftAlone(t *testing.T) {
 	is := is.New(t)
 	a := newAnnouncer(t, "503 No", "X-Not-Run: 1\nRetry-After: 30")
-	b := newBench(t, a.list...)
+	b := newTestBox(t, a.list...)
 	a.untilSaid(b)
 	for range 20 {
 		a.send(b, "more", 5)
@@ -223,7 +223,7 @@
 	is := is.New(t)
 	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return tell(c, r, Report{Leaving: true}) })
 	p := tellingProtocol()
-	b := newBenchOf(t, p, u)
+	b := newTestBoxWithProtocol(t, p, u)
 	_, err := b.relay.ask(t.Context(), suspect{exchange: &exchange{request: &request{id: "r"}}, upstream: *b.relay.fleet.Get("u"), service: "s"})
 	is.NoErr(err)
 	is.True(b.isLeaving("u"))
@@ -242,7 +242,7 @@
 				defer mu.Unlock()
 				return answerNaming("200 OK", headers)(c, r)
 			})
-			b := newBenchOf(t, tellingProtocol(), u)
+			b := newTestBoxWithProtocol(t, tellingProtocol(), u)
 			b.listBorn(u, 100, false)
 			b.await("u", 100)
 			b.do(b.request(http.MethodPost, "/safe/x", "x"))
@@ -254,8 +254,8 @@
 			}
 			b.listBorn(u, 200, false)
 			b.await("u", 200)
-			b.until(func() bool { return b.log.contains("upstream: asked whether it is leaving") })
-			b.until(func() bool {
+			b.waitFor(func() bool { return b.log.contains("upstream: asked whether it is leaving") })
+			b.waitFor(func() bool {
 				b.relay.mu.Lock()
 				defer b.relay.mu.Unlock()
 				return !b.relay.fleet.Unproven(balance.Incarnation{ID: "u", StartedAt: 200})
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return false
 	}
-	return answerOK(string(body))(c, r)
+	return respondOK(string(body))(c, r)
 }
 
 func TestWhenAnUpstreamIsAsked(t *testing.T) {
@@ -108,7 +108,7 @@
 						return tell(conn, r, Report{Known: true, Events: 9})
 					}
 					if r.URL.Path == "/once/first" {
-						return answerOK("ok")(conn, r)
+						return respondOK("ok")(conn, r)
 					}
 					first := false
 					once.Do(func() { first = true; quiet.Store(id) })
@@ -121,14 +121,14 @@
 							<-silence
 							return false
 						}
-						chunk(conn, event(i))
+						writeChunk(conn, event(i))
 					}
-					chunk(conn, "")
+					writeChunk(conn, "")
 					return true
 				}
 			}
 			u1, u2 := newStub(t, "u1", script("u1")), newStub(t, "u2", script("u2"))
-			b := newBenchWith(t, func(c *Config) { c.Protocol = tellingProtocol() }, u1, u2)
+			b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = tellingProtocol() }, u1, u2)
 			a := b.do(b.request("POST", c.path, "body", "X-Parts", "1:1000"))
 			is.Equal(a.status, c.state)
 			is.Equal(a.err != nil, c.fail)
@@ -137,11 +137,11 @@
 			} else {
 				is.True(strings.Contains(a.body, `"ran":"unknown"`))
 			}
-			b.until(func() bool { return b.log.contains(`"msg":"run: silent"`) })
+			b.waitFor(func() bool { return b.log.contains(`"msg":"run: silent"`) })
 			is.True(!b.log.contains(`"msg":"upstream: out of reach"`))
 			asked := b.relay.stats.counted("upstreams_asked")
 			is.True(asked >= proofs && asked <= proofs+2) // before the answer it may be too early at first
-			b.until(func() bool { return b.relay.stats.open.Load() == 0 })
+			b.waitFor(func() bool { return b.relay.stats.open.Load() == 0 })
 			b.relay.conns.mu.Lock()
 			is.Equal(len(b.relay.conns.idle[quiet.Load().(string)]), 0)
 			b.relay.conns.mu.Unlock()
@@ -167,14 +167,14 @@
 					return tell(conn, r, c.report)
 				}
 				startStream(conn, r)
-				chunk(conn, event(1))
+				writeChunk(conn, event(1))
 				<-asked
 				<-asked // after more than a second
-				chunk(conn, event(2))
-				chunk(conn, "")
+				writeChunk(conn, event(2))
+				writeChunk(conn, "")
 				return true
 			})
-			b := newBenchWith(t, func(c *Config) { c.Protocol = tellingProtocol() }, u)
+			b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = tellingProtocol() }, u)
 			a := b.do(b.request("POST", "/flow/x", "", "X-Parts", "1:1000"))
 			is.NoErr(a.err)
 			is.Equal(a.body, event(1)+event(2))
@@ -193,16 +193,16 @@
 		startStream(conn, r)
 		text := strings.Repeat("x", 1000)
 		for i := 1; i <= 1500; i++ {
-			chunk(conn, "id: "+strconv.Itoa(i)+"\ndata: "+text+"\n\n")
+			writeChunk(conn, "id: "+strconv.Itoa(i)+"\ndata: "+text+"\n\n")
 		}
-		chunk(conn, "")
+		writeChunk(conn, "")
 		return true
 	})
-	b := newBenchWith(t, func(c *Config) { c.Protocol = tellingProtocol() }, u)
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = tellingProtocol() }, u)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
-	_, err = io.WriteString(conn, lines("/flow/x", "", "X-Parts: 1:1000"))
+	_, err = io.WriteString(conn, rawRequest("/flow/x", "", "X-Parts: 1:1000"))
 	is.NoErr(err)
 	time.Sleep(1500 * time.Millisecond) // less than what a caller may take nothing for
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -307,13 +307,13 @@
 					}
 				}
 				startStream(c, q)
-				chunk(c, event(1))
-				chunk(c, "")
+				writeChunk(c, event(1))
+				writeChunk(c, "")
 			}()
 		}
 	}()
 	u := &stub{id: "u1", listener: l}
-	b := newBenchWith(t, func(c *Config) { c.Protocol = tellingProtocol() }, u)
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = tellingProtocol() }, u)
 	a := b.do(b.request("POST", "/fixed/x", body, "X-Parts", "1:1000"))
 	is.NoErr(a.err)
 	is.Equal(a.status, 200)
@@ -331,16 +331,16 @@
 			return tell(conn, r, Report{Known: true, Events: 9})
 		}
 		startStream(conn, r)
-		chunk(conn, event(1))
+		writeChunk(conn, event(1))
 		<-full
-		chunk(conn, large+event(3))
-		chunk(conn, "")
+		writeChunk(conn, large+event(3))
+		writeChunk(conn, "")
 		return true
 	})
-	b := newBenchWith(t, func(c *Config) { c.Protocol = tellingProtocol(); c.Memory = 8 << 20 }, u)
-	done := make(chan answered, 1)
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = tellingProtocol(); c.Memory = 8 << 20 }, u)
+	done := make(chan callerResponse, 1)
 	go func() { done <- b.do(b.request("POST", "/fixed/x", "", "X-Parts", "1:1000")) }()
-	b.until(func() bool { return b.relay.stats.open.Load() == 1 && len(u.requests()) == 1 })
+	b.waitFor(func() bool { return b.relay.stats.open.Load() == 1 && len(u.requests()) == 1 })
 	others := b.relay.account.Lease()
 	is.True(others.Grow(b.relay.account.Bound()-b.relay.account.Used(), 1))
 	close(full)
@@ -355,7 +355,7 @@
 // A run whose connection has shown to be silent is ended once, also where it is slow to end.
 func TestASilentRunIsEndedOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBenchWith(t, func(c *Config) { c.Protocol = tellingProtocol() })
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = tellingProtocol() })
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
 	x := &exchange{relay: b.relay, request: &request{prompt: Prompt{Parts: []balance.Part{{}}}}, route: &route.Route{}}
--- a/relay/stop_test.go
+++ b/relay/stop_test.go
@@ -8,22 +8,22 @@
 	"github.com/matryer/is"
 )
 
-func TestAPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopCompletesRunningRequests(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	started := make(chan struct{})
 	u := newStub(t, "u1", func(c net.Conn, r stubRequest) bool {
 		close(started)
 		<-release
-		return answerOK("whole")(c, r)
+		return respondOK("whole")(c, r)
 	})
-	b := newBench(t, u)
-	result := make(chan answered, 1)
+	b := newTestBox(t, u)
+	result := make(chan callerResponse, 1)
 	go func() { result <- b.do(b.request("POST", "/once/x", "")) }()
 	<-started
 	stopped := make(chan struct{})
 	go func() { b.relay.Stop(); close(stopped) }()
-	b.until(func() bool { return !b.relay.Ready() })
+	b.waitFor(func() bool { return !b.relay.Ready() })
 	close(release)
 	a := <-result
 	is.Equal(a.body, "whole")
@@ -33,10 +33,10 @@
 
 // After the grace of a planned stop, a connection that was busy until then may bring
 // another request: it is told that it has not run, instead of being taken and lost.
-func TestNothingIsTakenAfterTheGrace(t *testing.T) {
+func TestRequestsAreRefusedAfterGracePeriod(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBench(t, u)
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBox(t, u)
 	b.relay.graceOver.Store(true)
 	a := b.do(b.request("POST", "/once/x", ""))
 	is.Equal(a.status, 503)
@@ -46,21 +46,21 @@
 
 // What is still under way when the grace is over is cut by the process's end: a line tells
 // of each such request.
-func TestALineTellsOfEachRequestThatTheStopCuts(t *testing.T) {
+func TestStopLogsEachRequestItCuts(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	started := make(chan struct{})
 	u := newStub(t, "u1", func(c net.Conn, r stubRequest) bool {
 		close(started)
 		<-release
-		return answerOK("late")(c, r)
+		return respondOK("late")(c, r)
 	})
-	b := newBench(t, u)
-	result := make(chan answered, 1)
+	b := newTestBox(t, u)
+	result := make(chan callerResponse, 1)
 	go func() { result <- b.do(b.request("POST", "/once/x", "")) }()
 	<-started
 	b.relay.Stop()
-	b.until(func() bool { return b.log.contains(`"msg":"request: cut by the stop"`) })
+	b.waitFor(func() bool { return b.log.contains(`"msg":"request: cut by the stop"`) })
 	is.True(b.log.contains(`"upstream":"u1"`))
 	close(release)
 	<-result
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -11,19 +11,19 @@
 	"github.com/matryer/is"
 )
 
-func TestStreamsArePassedOnEventByEvent(t *testing.T) {
+func TestStreamIsForwardedEventByEvent(t *testing.T) {
 	is := is.New(t)
 	next := make(chan struct{})
 	u := newStub(t, "u1", func(c net.Conn, r stubRequest) bool {
 		startStream(c, r)
 		for i := 1; i <= 3; i++ {
-			chunk(c, event(i))
+			writeChunk(c, event(i))
 			<-next
 		}
-		chunk(c, "")
+		writeChunk(c, "")
 		return true
 	})
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	resp, err := http.DefaultClient.Do(b.request("POST", "/flow/x", ""))
 	is.NoErr(err)
 	defer func() { _ = resp.Body.Close() }()
@@ -39,7 +39,7 @@
 }
 
 // A stream breaks off in several ways; the caller sees each event once, or no end.
-func TestABrokenStreamGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamResumesOnAnotherUpstream(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		tail string // what the first upstream sends behind two events
@@ -57,19 +57,19 @@
 				startStream(conn, r)
 				if last := r.Header.Get("X-Last"); last != "" {
 					from, _ := strconv.Atoi(last)
-					chunk(conn, event(from)) // once more: it must not come twice
+					writeChunk(conn, event(from)) // once more: it must not come twice
 					for i := from + 1; i <= 4; i++ {
-						chunk(conn, event(i))
+						writeChunk(conn, event(i))
 					}
-					chunk(conn, "")
+					writeChunk(conn, "")
 					return true
 				}
-				chunk(conn, event(1))
-				chunk(conn, event(2)+c.tail)
+				writeChunk(conn, event(1))
+				writeChunk(conn, event(2)+c.tail)
 				return false
 			}
 			u1, u2 := newStub(t, "u1", script), newStub(t, "u2", script)
-			b := newBench(t, u1, u2)
+			b := newTestBox(t, u1, u2)
 			a := b.do(b.request("POST", c.path, "body"))
 			is.Equal(a.status, 200)
 			is.Equal(a.body, c.want)
@@ -83,23 +83,23 @@
 	}
 }
 
-func TestAStreamLeavesAnUpstreamThatIsOutOfReach(t *testing.T) {
+func TestStreamLeavesUnreachableUpstream(t *testing.T) {
 	is := is.New(t)
 	silent := make(chan struct{})
 	defer close(silent)
 	script := func(c net.Conn, r stubRequest) bool {
 		startStream(c, r)
 		if r.Header.Get("X-Last") == "" {
-			chunk(c, event(1))
+			writeChunk(c, event(1))
 			<-silent // cut off: neither an event nor an end
 			return false
 		}
-		chunk(c, event(2))
-		chunk(c, "")
+		writeChunk(c, event(2))
+		writeChunk(c, "")
 		return true
 	}
 	u1, u2 := newStub(t, "u1", script), newStub(t, "u2", script)
-	b := newBench(t, u1, u2)
+	b := newTestBox(t, u1, u2)
 	resp, err := http.DefaultClient.Do(b.request("POST", "/flow/x", ""))
 	is.NoErr(err)
 	defer func() { _ = resp.Body.Close() }()
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -54,9 +54,9 @@
 	listener net.Listener
 	script   func(c net.Conn, r stubRequest) bool // false: the connection is closed
 
-	mu    sync.Mutex
-	got   []stubRequest
-	ended chan struct{} // gets an entry for each connection that its other side closed
+	mu       sync.Mutex
+	received []stubRequest
+	closed   chan struct{} // gets an entry for each connection that its other side closed
 }
 
 func newStub(t testing.TB, id string, script func(net.Conn, stubRequest) bool) *stub {
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &stub{id: id, listener: l, script: script, ended: make(chan struct{}, 100)}
+	s := &stub{id: id, listener: l, script: script, closed: make(chan struct{}, 100)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -85,7 +85,7 @@
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			s.ended <- struct{}{}
+			s.closed <- struct{}{}
 			return
 		}
 		body, err := io.ReadAll(r.Body)
@@ -94,7 +94,7 @@
 		}
 		q := stubRequest{r, string(body)}
 		s.mu.Lock()
-		s.got = append(s.got, q)
+		s.received = append(s.received, q)
 		s.mu.Unlock()
 		if !s.script(c, q) {
 			return
@@ -105,59 +105,59 @@
 func (s *stub) requests() []stubRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]stubRequest(nil), s.got...)
+	return append([]stubRequest(nil), s.received...)
 }
 
-// say writes an answer's lines; a line break stands for one on the wire.
-func say(c net.Conn, text string) {
+// writeWire writes an answer's lines; a line break stands for one on the wire.
+func writeWire(c net.Conn, text string) {
 	_, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
 }
 
-// answerOK answers with a whole body.
-func answerOK(body string) func(net.Conn, stubRequest) bool {
+// respondOK answers with a whole body.
+func respondOK(body string) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
-		say(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nContent-Length: %d\n\n%s", r.Header.Get("X-Id"), len(body), body))
+		writeWire(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nContent-Length: %d\n\n%s", r.Header.Get("X-Id"), len(body), body))
 		return true
 	}
 }
 
-// refuseRun answers that it did not run the request.
-func refuseRun(status int) func(net.Conn, stubRequest) bool {
+// respondNotRun answers that it did not run the request.
+func respondNotRun(status int) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
-		say(c, fmt.Sprintf("HTTP/1.1 %d No\nX-Id: %s\nX-Not-Run: 1\nContent-Length: 0\n\n", status, r.Header.Get("X-Id")))
+		writeWire(c, fmt.Sprintf("HTTP/1.1 %d No\nX-Id: %s\nX-Not-Run: 1\nContent-Length: 0\n\n", status, r.Header.Get("X-Id")))
 		return true
 	}
 }
 
 // startStream begins a stream of events.
 func startStream(c net.Conn, r stubRequest) {
-	say(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n", r.Header.Get("X-Id")))
+	writeWire(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n", r.Header.Get("X-Id")))
 }
 
-// chunk sends bytes of a stream.
-func chunk(c net.Conn, text string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
+// writeChunk sends bytes of a stream.
+func writeChunk(c net.Conn, text string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: d%d\n\n", id, id) }
 
-// board is a publisher whose items the test sets.
-type board struct {
-	mu      sync.Mutex
-	copy    *mirror.Mirror
-	changed chan struct{}
-	down    bool
+// fakePublisher is a publisher whose items the test sets.
+type fakePublisher struct {
+	mu          sync.Mutex
+	copy        *mirror.Mirror
+	changed     chan struct{}
+	unavailable bool
 }
 
-var _ mirror.Publisher = (*board)(nil)
+var _ mirror.Publisher = (*fakePublisher)(nil)
 
-var errDown = errors.New("down")
+var errUnavailable = errors.New("down")
 
-func newBoard() *board {
-	b := &board{copy: mirror.New(), changed: make(chan struct{})}
+func newFakePublisher() *fakePublisher {
+	b := &fakePublisher{copy: mirror.New(), changed: make(chan struct{})}
 	b.copy.Load(nil, 1)
 	return b
 }
 
-func (b *board) set(key string, v any, gone bool) {
+func (b *fakePublisher) set(key string, v any, gone bool) {
 	value, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -170,16 +170,16 @@
 	b.changed = make(chan struct{})
 }
 
-func (b *board) Everything(context.Context) ([]mirror.Item, uint64, error) {
+func (b *fakePublisher) Everything(context.Context) ([]mirror.Item, uint64, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.down {
-		return nil, 0, errDown
+	if b.unavailable {
+		return nil, 0, errUnavailable
 	}
 	return b.copy.Items(), b.copy.Revision(), nil
 }
 
-func (b *board) Changes(ctx context.Context, after uint64, wait time.Duration) ([]mirror.Item, uint64, error) {
+func (b *fakePublisher) Changes(ctx context.Context, after uint64, wait time.Duration) ([]mirror.Item, uint64, error) {
 	b.mu.Lock()
 	changed := b.changed
 	now := b.copy.Revision()
@@ -194,8 +194,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.down {
-		return nil, 0, errDown
+	if b.unavailable {
+		return nil, 0, errUnavailable
 	}
 	items, ok := b.copy.Since(after)
 	if !ok {
@@ -204,9 +204,9 @@
 	return items, b.copy.Revision(), nil
 }
 
-// decode reads the board's items: a document, that a domain is evacuated, or upstreams by
+// decodeItem reads the board's items: a document, that a domain is evacuated, or upstreams by
 // their ids.
-func decode(it mirror.Item) (Update, error) {
+func decodeItem(it mirror.Item) (Update, error) {
 	if it.Key == "document" {
 		var d route.Document
 		if err := json.Unmarshal(it.Value, &d); err != nil {
@@ -231,32 +231,32 @@
 	return Update{Upstream: u}, nil
 }
 
-// bench is a relay with what surrounds it.
-type bench struct {
-	t     testing.TB
-	relay *Relay
-	board *board
-	url   string
-	ready string
-	log   lockedText // what the relay wrote to its log
+// testBox is a relay with what surrounds it.
+type testBox struct {
+	t         testing.TB
+	relay     *Relay
+	publisher *fakePublisher
+	url       string
+	ready     string
+	log       lockedBuffer // what the relay wrote to its log
 }
 
-// lockedText is text that one goroutine writes and another reads.
-type lockedText struct {
+// lockedBuffer is text that one goroutine writes and another reads.
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-var _ io.Writer = (*lockedText)(nil)
+var _ io.Writer = (*lockedBuffer)(nil)
 
 // Write implements io.Writer.
-func (l *lockedText) Write(p []byte) (int, error) {
+func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lockedText) contains(s string) bool {
+func (l *lockedBuffer) contains(s string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.text.String(), s)
@@ -280,34 +280,34 @@
 	}
 }
 
-// newBench starts a relay before the stubs; none of them listed and no document
+// newTestBox starts a relay before the stubs; none of them listed and no document
 // published where stubs is nil.
-func newBench(t *testing.T, stubs ...*stub) *bench {
+func newTestBox(t *testing.T, stubs ...*stub) *testBox {
 	t.Helper()
-	return newBenchOf(t, testProtocol, stubs...)
+	return newTestBoxWithProtocol(t, testProtocol, stubs...)
 }
 
-// newBenchOf is the same with a deployment's words.
-func newBenchOf(t *testing.T, words Protocol, stubs ...*stub) *bench {
+// newTestBoxWithProtocol is the same with a deployment's words.
+func newTestBoxWithProtocol(t *testing.T, words Protocol, stubs ...*stub) *testBox {
 	t.Helper()
-	return newBenchWith(t, func(c *Config) { c.Protocol = words }, stubs...)
+	return newTestBoxWithConfig(t, func(c *Config) { c.Protocol = words }, stubs...)
 }
 
-// newBenchWith is the same with a configuration that differs.
-func newBenchWith(t testing.TB, change func(*Config), stubs ...*stub) *bench {
+// newTestBoxWithConfig is the same with a configuration that differs.
+func newTestBoxWithConfig(t testing.TB, change func(*Config), stubs ...*stub) *testBox {
 	t.Helper()
-	b := &bench{t: t, board: newBoard()}
+	b := &testBox{t: t, publisher: newFakePublisher()}
 	if stubs != nil {
-		b.board.set("document", testDocument(1), false)
+		b.publisher.set("document", testDocument(1), false)
 	}
 	for _, s := range stubs {
-		b.list(s, false)
+		b.listUpstream(s, false)
 	}
 	callers, ready := listen(t), listen(t)
 	log := NewLog("box", &b.log)
 	var err error
 	cfg := Config{Box: "box", Domain: "d", Callers: callers, Ready: ready, Self: &wire.GroupBox{Name: "box", Domain: "d", Boot: 1},
-		Timing: group.DefaultTiming, Protocol: testProtocol, Publisher: b.board, Decode: decode, Log: log,
+		Timing: group.DefaultTiming, Protocol: testProtocol, Publisher: b.publisher, Decode: decodeItem, Log: log,
 		Budget: balance.BudgetConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, Limits: balance.LimitBounds{Span: allowedSpan, Overshoot: allowedTimes, Slack: allowedSlack}, Tuning: balance.DefaultTuning,
 		FirstStart: true, Boxes: 1, Grace: time.Second}
 	change(&cfg)
@@ -318,7 +318,7 @@
 	b.url, b.ready = "http://"+callers.Addr().String(), "http://"+ready.Addr().String()
 	t.Cleanup(func() { b.relay.Stop(); _ = log.Close() })
 	if stubs != nil {
-		b.until(func() bool { return b.relay.Ready() && b.known() == len(stubs) })
+		b.waitFor(func() bool { return b.relay.Ready() && b.upstreamCount() == len(stubs) })
 	}
 	return b
 }
@@ -332,18 +332,18 @@
 	return l
 }
 
-func (b *bench) list(s *stub, leaving bool) {
-	b.board.set(s.id, balance.Upstream{ID: s.id, Service: "s", Address: s.listener.Addr().String(), Domain: "d", Slots: 8, Leaving: leaving}, false)
+func (b *testBox) listUpstream(s *stub, leaving bool) {
+	b.publisher.set(s.id, balance.Upstream{ID: s.id, Service: "s", Address: s.listener.Addr().String(), Domain: "d", Slots: 8, Leaving: leaving}, false)
 }
 
-func (b *bench) known() int {
+func (b *testBox) upstreamCount() int {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	return len(b.relay.fleet.IDs())
 }
 
-// until waits for something that is bound to come.
-func (b *bench) until(done func() bool) {
+// waitFor waits for something that is bound to come.
+func (b *testBox) waitFor(done func() bool) {
 	b.t.Helper()
 	for range 2000 {
 		if done() {
@@ -354,15 +354,15 @@
 	b.t.Fatal("it did not come")
 }
 
-// answered is a caller's answer.
-type answered struct {
+// callerResponse is a caller's answer.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 	err    error // of the body
 }
 
-func (b *bench) request(method, path, body string, header ...string) *http.Request {
+func (b *testBox) request(method, path, body string, header ...string) *http.Request {
 	b.t.Helper()
 	r, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
 	if err != nil {
@@ -378,16 +378,16 @@
 	return r
 }
 
-func (b *bench) do(r *http.Request) answered {
+func (b *testBox) do(r *http.Request) callerResponse {
 	b.t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 	resp, err := client.Do(r)
 	if err != nil {
-		return answered{err: err}
+		return callerResponse{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return answered{resp.StatusCode, resp.Header, string(body), err}
+	return callerResponse{resp.StatusCode, resp.Header, string(body), err}
 }
 
 func newEmptyFleet() *balance.Fleet { return balance.NewFleet(balance.Config{Domain: "d"}) }
--- a/relay/suspended_test.go
+++ b/relay/suspension_test.go
@@ -13,26 +13,26 @@
 	"github.com/doormast/doormast/internal/timer"
 )
 
-// bootClock is a machine's clock that also counts the time for which it was suspended.
-type bootClock struct {
+// suspendableClock is a machine's clock that also counts the time for which it was suspended.
+type suspendableClock struct {
 	timer.SystemClock
 	suspended atomic.Int64 // time.Duration
 }
 
-var _ timer.Clock = (*bootClock)(nil)
+var _ timer.Clock = (*suspendableClock)(nil)
 
-func (c *bootClock) Boot() time.Duration {
+func (c *suspendableClock) Boot() time.Duration {
 	return c.SystemClock.Boot() + time.Duration(c.suspended.Load())
 }
 
 // suspend has the machine suspended for a time, of which the steady clock knows nothing.
-func (c *bootClock) suspend(d time.Duration) { c.suspended.Add(int64(d)) }
+func (c *suspendableClock) suspend(d time.Duration) { c.suspended.Add(int64(d)) }
 
 // A machine was suspended for some seconds. The steady clock stood still, and so did all that went by it: a
 // request under way was held beyond its time by as long, and sent on with as much more than its caller waited.
-func TestRequestsEndInTimeThoughTheMachineWasSuspended(t *testing.T) {
+func TestSuspensionCountsTowardsRequestTimeout(t *testing.T) {
 	is := is.New(t)
-	clock := new(bootClock)
+	clock := new(suspendableClock)
 	began, ended := make(chan struct{}, 1), make(chan struct{})
 	defer close(ended)
 	hang := func(net.Conn, stubRequest) bool {
@@ -40,25 +40,25 @@
 		<-ended // it does not answer
 		return false
 	}
-	b := newBenchWith(t, func(c *Config) { c.Clock = clock }, newStub(t, "u", hang))
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Clock = clock }, newStub(t, "u", hang))
 	long := testDocument(2)
 	for i := range long.Routes {
 		long.Routes[i].Timeout = time.Hour
 	}
-	b.board.set("document", long, false)
-	b.until(func() bool { return b.relay.version() == 2 })
-	got := make(chan answered, 1)
+	b.publisher.set("document", long, false)
+	b.waitFor(func() bool { return b.relay.version() == 2 })
+	got := make(chan callerResponse, 1)
 	go func() { got <- b.do(b.request(http.MethodPost, "/once/x", "", "X-Left", "3600000")) }()
 	<-began
 	clock.suspend(2 * time.Hour)
-	b.until(func() bool { return len(got) > 0 })
+	b.waitFor(func() bool { return len(got) > 0 })
 	is.Equal((<-got).status, http.StatusGatewayTimeout)
 	is.True(b.log.contains("box: was suspended"))
 }
 
-func TestWhatIsSentAgainHasTheTimeThatIsLeft(t *testing.T) {
+func TestRetryAfterSuspensionGetsRemainingTime(t *testing.T) {
 	is := is.New(t)
-	clock := new(bootClock)
+	clock := new(suspendableClock)
 	began, goOn := make(chan struct{}, 2), make(chan struct{})
 	var first atomic.Bool
 	left := make(chan string, 1)
@@ -69,14 +69,14 @@
 			return false
 		}
 		left <- r.Header.Get("X-Left")
-		return answerOK("well")(c, r)
+		return respondOK("well")(c, r)
 	}
-	b := newBenchWith(t, func(c *Config) { c.Clock = clock }, newStub(t, "u1", script), newStub(t, "u2", script))
-	got := make(chan answered, 1)
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Clock = clock }, newStub(t, "u1", script), newStub(t, "u2", script))
+	got := make(chan callerResponse, 1)
 	go func() { got <- b.do(b.request(http.MethodPost, "/safe/x", "", "X-Left", "4000")) }()
 	<-began
 	clock.suspend(2 * time.Second)
-	b.until(func() bool { return b.log.contains("box: was suspended") })
+	b.waitFor(func() bool { return b.log.contains("box: was suspended") })
 	close(goOn)
 	is.Equal((<-got).status, http.StatusOK)
 	ms, err := strconv.Atoi(<-left)
@@ -85,23 +85,23 @@
 }
 
 // Ages count what the machine was suspended for: what is known is not taken for new.
-func TestAgesCountASuspension(t *testing.T) {
+func TestSuspensionCountsTowardsAges(t *testing.T) {
 	is := is.New(t)
-	clock := new(bootClock)
-	b := newBenchWith(t, func(c *Config) { c.Clock = clock }, newStub(t, "u", answerOK("")))
-	b.board.mu.Lock()
-	b.board.down = true // nothing confirms what is known
-	b.board.mu.Unlock()
+	clock := new(suspendableClock)
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Clock = clock }, newStub(t, "u", respondOK("")))
+	b.publisher.mu.Lock()
+	b.publisher.unavailable = true // nothing confirms what is known
+	b.publisher.mu.Unlock()
 	clock.suspend(time.Hour)
-	b.until(func() bool { return b.relay.age() >= time.Hour })
+	b.waitFor(func() bool { return b.relay.age() >= time.Hour })
 	is.True(b.relay.now() >= time.Hour)
 }
 
 // A request that comes after its machine was suspended, before the box has noticed, keeps its time.
-func TestARequestThatComesAfterASuspensionKeepsItsTime(t *testing.T) {
+func TestRequestAfterSuspensionKeepsItsTime(t *testing.T) {
 	is := is.New(t)
-	clock := new(bootClock)
-	b := newBenchWith(t, func(c *Config) { c.Clock = clock }, newStub(t, "u", answerOK("well")))
+	clock := new(suspendableClock)
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Clock = clock }, newStub(t, "u", respondOK("well")))
 	clock.suspend(time.Hour)
 	b.relay.startWall.Add(-int64(time.Hour)) // the time of day has gone on
 	x, no := b.relay.admit(&request{method: http.MethodGet, host: "h.example", uri: "/safe/x", customerKey: "secret", timeLeft: time.Minute}, nil)
--- a/relay/take_bench_test.go
+++ b/relay/take_bench_test.go
@@ -15,7 +15,7 @@
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				x := newBenchWith(b, func(*Config) {})
+				x := newTestBoxWithConfig(b, func(*Config) {})
 				doc, _ := route.New(testDocument(1))
 				b.StartTimer()
 				for i := range n {
--- a/relay/way_test.go
+++ b/relay/way_test.go
@@ -17,9 +17,9 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 		return false // each request takes a new connection
 	})
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	b.listIn(u, "far")
-	b.until(func() bool {
+	b.waitFor(func() bool {
 		b.relay.mu.Lock()
 		defer b.relay.mu.Unlock()
 		return b.relay.fleet.Get("u1").Domain == "far"
