--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -62,7 +62,7 @@
 	recentBreaks  int           // number of connections that broke around lastBreakAt
 	back          time.Duration // when it last became reachable again
 	unsure        bool          // counts as cold, because nothing published describes it since it became reachable again
-	superseded    bool          // another upstream has taken over its address
+	replaced      bool          // another upstream has taken over its address
 	suspect       bool          // there was a sign that it may have restarted
 	distrustUntil time.Duration // until then, cache news from other boxes may predate the suspected restart
 }
--- a/balance/incarnation.go
+++ b/balance/incarnation.go
@@ -43,7 +43,7 @@
 	// needsLeavingCheck says that the previous incarnation reported leaving. The report may have
 	// come from this one, before its entry was known.
 	needsLeavingCheck bool
-	superseded        bool // another upstream has taken over its address
+	replaced          bool // another upstream has taken over its address
 	// distrustUntil is the time until which cache news from other boxes may predate a suspected
 	// restart. The entry may be removed and listed again in the meantime.
 	distrustUntil time.Duration
@@ -59,7 +59,7 @@
 	if last := f.incarnations[m.ID]; m.StartedAt != 0 && last.entry.StartedAt == m.StartedAt {
 		m.distrustUntil = last.distrustUntil
 		m.suspect = m.distrustUntil > 0
-		m.superseded = last.superseded
+		m.replaced = last.replaced
 	}
 }
 
@@ -265,11 +265,11 @@
 	}
 }
 
-// rememberSuperseded stores that an incarnation has been superseded, so that it holds when the
+// rememberReplaced stores that an incarnation has been replaced, so that it holds when the
 // entry is removed and listed again.
-func (f *Fleet) rememberSuperseded(m *member) {
+func (f *Fleet) rememberReplaced(m *member) {
 	if last, known := f.incarnations[m.ID]; known && last.entry.StartedAt == m.StartedAt {
-		last.superseded = true
+		last.replaced = true
 		f.incarnations[m.ID] = last
 	}
 }
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -129,7 +129,7 @@
 	is.Equal(behind.byID["u"].remoteWork.upTo(Levels-1).Open, 1)
 }
 
-func TestSupersededIncarnationIsNotUsedAgain(t *testing.T) {
+func TestReplacedIncarnationIsNotUsedAgain(t *testing.T) {
 	is := is.New(t)
 	f := newInformedFleet(3)
 	f.Put(0, entryOf("u", 100, 1))
@@ -288,7 +288,7 @@
 			if name == "the entry is removed" {
 				return
 			}
-			f.Put(time.Second, entryOf("false", 900, 5)) // a superseded incarnation takes no address
+			f.Put(time.Second, entryOf("false", 900, 5)) // a replaced incarnation takes no address
 			is.Equal(f.IDs(), []string{"true"})
 			f.Remove("true")
 			f.Named(time.Second, Incarnation{"none", 1}, "true")
--- a/balance/list.go
+++ b/balance/list.go
@@ -68,10 +68,10 @@
 }
 
 // takesAddressFrom reports whether an entry takes its address from the present holder: it started
-// later, or the holder is known to have been superseded. A superseded incarnation takes no
+// later, or the holder is known to have been replaced. A replaced incarnation takes no
 // address, nor does an entry that is neither later nor newer.
 func (f *Fleet) takesAddressFrom(u Upstream, holder *member) bool {
-	if holder.superseded && !f.isLeaving(u) {
+	if holder.replaced && !f.isLeaving(u) {
 		return true
 	}
 	if f.knownLeaving(u.Incarnation()) && !holder.Leaving {
--- a/balance/tell.go
+++ b/balance/tell.go
@@ -66,7 +66,7 @@
 
 // ended notes that another start of an upstream has its address, and tells the other boxes.
 func (f *Fleet) ended(m *member) {
-	if m.superseded || !f.isListed(m) {
+	if m.replaced || !f.isListed(m) {
 		return
 	}
 	f.leaveEnded(m)
@@ -83,9 +83,9 @@
 // leaveEnded sends nothing more to an upstream that has ended. It stays in the list until its
 // entry goes or another one gets its address, so that a late entry does not bring it back.
 func (f *Fleet) leaveEnded(m *member) {
-	m.Leaving, m.superseded = true, true
+	m.Leaving, m.replaced = true, true
 	f.remember(m.Upstream)
-	f.rememberSuperseded(m)
+	f.rememberReplaced(m)
 	f.parts.forget(m)
 }
 
