--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -73,7 +73,7 @@
 func TestTheMeanOfWhatUpstreamsHaveToRead(t *testing.T) {
 	is := is.New(t)
 	f := newDividedFleet(4)
-	f.SetOthers(map[LoadKey]Load{{Key("u0"), 0}: {Unread: 3000, Open: 1}, {Key("u1"), 4}: {Unread: 5000, Open: 1}})
+	f.SetRemoteLoads(map[LoadKey]Load{{Key("u0"), 0}: {Unread: 3000, Open: 1}, {Key("u1"), 4}: {Unread: 5000, Open: 1}})
 	f.SizeLanes(0, nil)
 	is.Equal(f.serviceOf("s").meanUnread, 2000.0)
 }
@@ -111,7 +111,7 @@
 			level := rapid.IntRange(0, Levels-1).Draw(t, "level of the load")
 			loads[LoadKey{Key(id), level}] = Load{Unread: load[i], Open: open[i]}
 		}
-		f.SetOthers(loads)
+		f.SetRemoteLoads(loads)
 		setHoldTime(f, time.Duration(rapid.IntRange(0, 5000).Draw(t, "held"))*time.Millisecond)
 		admission := func(name string) Admission {
 			target := rapid.IntRange(1, 5000).Draw(t, "target of the "+name)
@@ -146,7 +146,7 @@
 	home, _ := f.Place(0, prompt(1), nil)
 	setHoldTime(f, 4*time.Second) // of 8 slots, one comes free each 500 ms
 	full := func(level, open int) {
-		f.SetOthers(map[LoadKey]Load{{Key(home.Upstream.ID), level}: {Open: open}})
+		f.SetRemoteLoads(map[LoadKey]Load{{Key(home.Upstream.ID), level}: {Open: open}})
 	}
 	r := prompt(1)
 	r.Urgency = 2
--- a/balance/apart_test.go
+++ b/balance/apart_test.go
@@ -108,7 +108,7 @@
 		for id := range tight {
 			loads[LoadKey{Key(id), 0}] = Load{Unread: tokens, Open: 1, Tight: 1}
 		}
-		f.SetOthers(loads)
+		f.SetRemoteLoads(loads)
 	}
 	cost := f.leaveCost("s")
 	is.True(cost > 0)
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -128,7 +128,7 @@
 		for key, l := range all {
 			others[key] = l.Minus(own[key])
 		}
-		f.SetOthers(others)
+		f.SetRemoteLoads(others)
 	}
 }
 
--- a/balance/cost_bench_test.go
+++ b/balance/cost_bench_test.go
@@ -32,7 +32,7 @@
 			}
 			for range b.N {
 				f.Loads()
-				f.SetOthers(others)
+				f.SetRemoteLoads(others)
 			}
 		})
 	}
--- a/balance/incarnation_property_test.go
+++ b/balance/incarnation_property_test.go
@@ -162,7 +162,7 @@
 	case 8:
 		other := w.boxes[rapid.IntRange(0, modelBoxes-1).Draw(w.t, "other")]
 		if other != w.boxes[box] {
-			w.boxes[box].SetOthers(other.Loads())
+			w.boxes[box].SetRemoteLoads(other.Loads())
 		}
 	default:
 		w.send(box)
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -79,7 +79,7 @@
 	}
 	f.Open(0, "u", prompt(7)).Close(0, Failed)
 	f.Open(0, "u", prompt(7)).Close(0, Failed)
-	f.SetOthers(map[LoadKey]Load{{old.key, 0}: {Open: 3, Unread: 100}})
+	f.SetRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Open: 3, Unread: 100}})
 	f.cool(0, old, time.Hour)
 	is.True(f.parts.holds(0, PartKey(7), old))
 	news := f.KeptNews()
@@ -118,14 +118,14 @@
 		sender, receiver := pair[0], pair[1]
 		sender.Open(0, "u", prompt(7))
 		receiver.NoteKept(0, sender.KeptNews())
-		receiver.SetOthers(sender.Loads())
+		receiver.SetRemoteLoads(sender.Loads())
 		m := receiver.byID["u"]
 		is.Equal(m.remoteWork, work{})
 	}
 	is.Equal(len(behind.parts.holders[PartKey(7)]), 1) // from its own request
 	behind.Put(0, entryOf("u", 200, 2))
 	is.Equal(len(behind.parts.holders), 0)
-	behind.SetOthers(ahead.Loads())
+	behind.SetRemoteLoads(ahead.Loads())
 	is.Equal(behind.byID["u"].remoteWork.upTo(Levels-1).Open, 1)
 }
 
--- a/balance/lane_test.go
+++ b/balance/lane_test.go
@@ -68,7 +68,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newDividedFleet(60)
-			f.SetOthers(underWay(60, tt.tight, tt.rest))
+			f.SetRemoteLoads(underWay(60, tt.tight, tt.rest))
 			for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
 				f.SizeLanes(now, nil)
 			}
@@ -83,7 +83,7 @@
 	f := newDividedFleet(60)
 	now := time.Duration(0)
 	settle := func(tight, rest int) int {
-		f.SetOthers(underWay(60, tight, rest))
+		f.SetRemoteLoads(underWay(60, tight, rest))
 		for range 100 {
 			now += 100 * time.Millisecond
 			f.SizeLanes(now, nil)
@@ -112,7 +112,7 @@
 					loads[LoadKey{Key(id), 0}] = l
 				}
 			}
-			f.SetOthers(loads)
+			f.SetRemoteLoads(loads)
 			f.SizeLanes(now, nil)
 		}
 		return len(tightPlaces(f))
@@ -159,7 +159,7 @@
 		u.Slots = 8 << i
 		f.Put(0, u)
 	}
-	f.SetOthers(underWay(4, 6, 3)) // 24 and 12 of 120 slots
+	f.SetRemoteLoads(underWay(4, 6, 3)) // 24 and 12 of 120 slots
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
 		f.SizeLanes(now, nil)
 	}
@@ -172,7 +172,7 @@
 func TestALaneThatIsToldIsTaken(t *testing.T) {
 	is := is.New(t)
 	f := newDividedFleet(20)
-	f.SetOthers(underWay(20, 20, 2))
+	f.SetRemoteLoads(underWay(20, 20, 2))
 	changes := f.SizeLanes(time.Second, LanePlan{Key("s"): {Places: 2}, Key("unknown"): {Places: 3}})
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Service, "s")
--- a/balance/load.go
+++ b/balance/load.go
@@ -122,9 +122,9 @@
 // may have reported loads for it before.
 func (f *Fleet) NeedsRemoteLoads() bool { return f.remoteLoadsStale }
 
-// SetOthers replaces the total loads of the other boxes. Its cost grows with the amount of work,
+// SetRemoteLoads replaces the total loads of the other boxes. Its cost grows with the amount of work,
 // not with the number of upstreams.
-func (f *Fleet) SetOthers(loads map[LoadKey]Load) {
+func (f *Fleet) SetRemoteLoads(loads map[LoadKey]Load) {
 	f.remoteLoadsStale = false
 	for _, s := range f.services {
 		for _, m := range s.active {
--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -18,7 +18,7 @@
 
 // Each mechanism decides something, and nothing when it is off.
 func TestAMechanismThatIsOffDecidesNothing(t *testing.T) {
-	busy := func(f *Fleet, id string, l Load) { f.SetOthers(map[LoadKey]Load{{Key(id), 0}: l}) }
+	busy := func(f *Fleet, id string, l Load) { f.SetRemoteLoads(map[LoadKey]Load{{Key(id), 0}: l}) }
 	tests := []struct {
 		mechanism Mechanism
 		decides   func(f *Fleet) bool
@@ -29,7 +29,7 @@
 			for id := range tightPlaces(f) {
 				loads[LoadKey{Key(id), 0}] = Load{Unread: 1e6, Open: 1}
 			}
-			f.SetOthers(loads)
+			f.SetRemoteLoads(loads)
 			c, _ := f.Place(0, chat(1), nil)
 			return !tightPlaces(f)[c.Upstream.ID]
 		}},
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -267,7 +267,7 @@
 				}
 			}
 		}
-		f.SetOthers(others)
+		f.SetRemoteLoads(others)
 	}
 	clear(w.unreported)
 }
@@ -358,7 +358,7 @@
 	is := is.New(t)
 	f := newDividedFleet(60)
 	f.SetMemory("s", testMemory)
-	f.SetOthers(underWay(60, 1, 2))
+	f.SetRemoteLoads(underWay(60, 1, 2))
 	f.SizeLanes(time.Second, nil)
 	is.Equal(len(tightPlaces(f)), 20)
 	long, stream := letter(1), chat(1)
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -80,7 +80,7 @@
 			loads[LoadKey{Key(id), 0}] = l
 		}
 	}
-	f.SetOthers(loads)
+	f.SetRemoteLoads(loads)
 }
 
 // Ninety boxes that see the same move to many upstreams, and only to those that read the least.
@@ -161,7 +161,7 @@
 	for j := range 6 {
 		loads[LoadKey{Key(fmt.Sprintf("u%d", j)), 0}] = Load{Unread: 20000, Open: 2}
 	}
-	f.SetOthers(loads)
+	f.SetRemoteLoads(loads)
 	for came := 1; now < whole; came++ {
 		if came == events {
 			return true, moved
--- a/balance/rtt_test.go
+++ b/balance/rtt_test.go
@@ -130,10 +130,10 @@
 			near[LoadKey{m.key, 0}] = Load{Unread: 20000, Open: 8}
 		}
 	}
-	f.SetOthers(near)
+	f.SetRemoteLoads(near)
 	c, _ := f.Place(time.Second, small(1), nil)
 	is.Equal(f.proximityOf("a0", c.Upstream.Domain), otherRegion)
-	f.SetOthers(nil)
+	f.SetRemoteLoads(nil)
 	c, _ = f.Place(time.Second, small(1), nil)
 	is.True(f.proximityOf("a0", c.Upstream.Domain) != otherRegion)
 }
@@ -154,7 +154,7 @@
 			f.Open(0, "far", r).Close(75*time.Millisecond, Answered)
 		}
 		is.Equal(f.workTime("p").Round(time.Millisecond), 15*time.Millisecond)
-		f.SetOthers(map[LoadKey]Load{{Key("near"), 0}: {Open: c.open}})
+		f.SetRemoteLoads(map[LoadKey]Load{{Key("near"), 0}: {Open: c.open}})
 		got, _ := f.Place(time.Second, r, nil)
 		is.Equal(got.Upstream.ID == "far", c.far)
 		got, _ = f.Place(time.Second, r, []string{"near"}) // a retry
@@ -175,13 +175,13 @@
 	}
 	open := 0
 	for ; open < 1000; open++ {
-		f.SetOthers(map[LoadKey]Load{{Key("near"), 0}: {Open: open}})
+		f.SetRemoteLoads(map[LoadKey]Load{{Key("near"), 0}: {Open: open}})
 		if c, _ := f.Place(time.Second, r, nil); c.Upstream.ID == "far" {
 			break
 		}
 	}
 	is.Equal(open, 6*maxDistancePenalty+1)
-	f.SetOthers(nil)
+	f.SetRemoteLoads(nil)
 	f.byID["near"].health.failing = 1
 	c, _ := f.Place(time.Second, r, nil)
 	is.Equal(c.Upstream.ID, "far")
@@ -193,7 +193,7 @@
 	is := is.New(t)
 	f := newRegionalFleet(30)
 	f.NoteKept(time.Second, []PartReport{{PartKey(7), Key("u2")}, {PartKey(7), Key("u7")}}) // u7 is in a1
-	f.SetOthers(map[LoadKey]Load{{Key("u7"), 0}: {Open: 5}})
+	f.SetRemoteLoads(map[LoadKey]Load{{Key("u7"), 0}: {Open: 5}})
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u0"]), "10.0.0.7:1")
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u8"]), "10.0.0.2:1")
 	f.cfg.Off = Off{Distance: true}
@@ -228,7 +228,7 @@
 			}
 			loads[LoadKey{Key(id), 0}] = Load{Unread: rapid.SampledFrom([]int{0, 0, 500, 30000}).Draw(t, "unread"), Open: rapid.IntRange(0, 9).Draw(t, "open")}
 		}
-		f.SetOthers(loads)
+		f.SetRemoteLoads(loads)
 		within := func(what, address string) {
 			if m := f.byAddress[address]; !f.mayRunIn(m.Domain, r) {
 				t.Fatalf("%s in %s, allowed regions %v", what, m.Domain, r.Homes.Regions)
--- a/balance/tick_bench_test.go
+++ b/balance/tick_bench_test.go
@@ -23,7 +23,7 @@
 			for b.Loop() {
 				now += 100 * time.Millisecond
 				f.Loads()
-				f.SetOthers(others)
+				f.SetRemoteLoads(others)
 				f.NoteClasses(f.Classes())
 				f.SizeLanes(now, nil)
 				f.Lanes()
--- a/experiment/placing/way.go
+++ b/experiment/placing/way.go
@@ -158,7 +158,7 @@
 			others = maps.Clone(all)
 			takeLoads(others, d.loads)
 		}
-		d.fleet.SetOthers(others)
+		d.fleet.SetRemoteLoads(others)
 	}
 	w.divide(now, list)
 	for _, d := range list {
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -18,7 +18,7 @@
 	m.relay.fleet.SetBoxes(m.node.BoxCount(), m.node.KnowsOtherLoads(m.relay.now()))
 	m.node.SetLoads(m.relay.fleet.Loads())
 	if m.relay.fleet.NeedsRemoteLoads() { // else changes have brought the fleet up to date
-		m.relay.fleet.SetOthers(m.node.OtherLoads())
+		m.relay.fleet.SetRemoteLoads(m.node.OtherLoads())
 	}
 	m.node.SetClasses(m.relay.fleet.Classes())
 	m.relay.fleet.NoteClasses(m.node.Classes(m.relay.now()))
