--- a/balance/incarnation.go
+++ b/balance/incarnation.go
@@ -136,9 +136,9 @@
 	return last.entry.StartedAt == l.StartedAt && last.leaving
 }
 
-// SaysLeaving records that an incarnation reported in an answer that it takes no new requests. It
+// NoteLeaving records that an incarnation reported in an answer that it takes no new requests. It
 // returns whether that is new. No entry reverts it: entries are older than answers.
-func (f *Fleet) SaysLeaving(l Incarnation) bool {
+func (f *Fleet) NoteLeaving(l Incarnation) bool {
 	last := f.incarnations[l.ID]
 	if l.StartedAt < last.entry.StartedAt || f.knownLeaving(l) {
 		return false
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -43,8 +43,8 @@
 			is := is.New(t)
 			f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 			f.Put(0, c.first)
-			is.True(f.SaysLeaving(c.first.Incarnation()))
-			is.True(!f.SaysLeaving(c.first.Incarnation())) // it is not new
+			is.True(f.NoteLeaving(c.first.Incarnation()))
+			is.True(!f.NoteLeaving(c.first.Incarnation())) // it is not new
 			is.True(!f.Accepts(2*time.Second, c.first.Incarnation()))
 			for _, do := range c.then {
 				do(f)
@@ -65,9 +65,9 @@
 	is := is.New(t)
 	f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 	f.Put(0, entryOf("u", 200, 1))
-	is.True(!f.SaysLeaving(Incarnation{"u", 100}))
+	is.True(!f.NoteLeaving(Incarnation{"u", 100}))
 	is.True(f.Accepts(2*time.Second, Incarnation{"u", 200}))
-	is.True(f.SaysLeaving(Incarnation{"v", 100}))
+	is.True(f.NoteLeaving(Incarnation{"v", 100}))
 	f.Put(0, Upstream{ID: "v", StartedAt: 100, Service: "s", Address: "10.1.0.2:1"})
 	is.True(f.Get("v").Leaving)
 }
@@ -76,7 +76,7 @@
 // domain has been evacuated, since it was placed.
 func TestAcceptsAfterPlacement(t *testing.T) {
 	for name, do := range map[string]func(*Fleet){
-		"it reports that it is leaving":     func(f *Fleet) { f.SaysLeaving(Incarnation{"u", 100}) },
+		"it reports that it is leaving":     func(f *Fleet) { f.NoteLeaving(Incarnation{"u", 100}) },
 		"its entry says that it is leaving": func(f *Fleet) { f.Put(0, leaving(entryOf("u", 100, 2))) },
 		"its domain is evacuated":           func(f *Fleet) { f.Evacuate("d1") },
 	} {
@@ -102,7 +102,7 @@
 		return f.LackedFor(now, "s")
 	}
 	is.Equal(unavailable(time.Second), time.Duration(0))
-	f.SaysLeaving(Incarnation{"u", 100})
+	f.NoteLeaving(Incarnation{"u", 100})
 	is.Equal(unavailable(2*time.Second), time.Duration(0)) // the first request that finds none
 	is.Equal(unavailable(4*time.Second), 2*time.Second)
 	f.Put(5*time.Second, entryOf("u", 200, 2))
@@ -129,13 +129,13 @@
 				is := is.New(t)
 				f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 				f.Put(0, entries[0])
-				f.SaysLeaving(entries[0].Incarnation())
+				f.NoteLeaving(entries[0].Incarnation())
 				f.Put(time.Second, entries[1])
 				next := entries[1].Incarnation()
 				is.True(f.Unproven(next))
 				is.True(!place(f))
 				if says {
-					f.SaysLeaving(next)
+					f.NoteLeaving(next)
 				}
 				f.Proved(next)
 				is.True(!f.Unproven(next))
--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -190,7 +190,7 @@
 	is.Equal(f.PauseLeft(0, plain, nil), time.Duration(0)) // u2 takes it
 	left := f.PauseLeft(0, plain, []string{"u2"})
 	is.True(left >= 5*time.Second && left < 10*time.Second)
-	f.SaysLeaving(Incarnation{ID: "u1"})
+	f.NoteLeaving(Incarnation{ID: "u1"})
 	is.True(f.PauseLeft(0, plain, []string{"u2"}) >= 10*time.Second)
 	is.Equal(f.PauseLeft(0, plain, []string{"u0", "u2"}), time.Duration(0)) // nothing is there
 }
--- a/relay/said.go
+++ b/relay/said.go
@@ -69,7 +69,7 @@
 // noteLeaving notes that a life says that it is leaving: from now on it is sent nothing.
 func (r *Relay) noteLeaving(life balance.Incarnation, request string) {
 	r.mu.Lock()
-	isNew := r.fleet.SaysLeaving(life)
+	isNew := r.fleet.NoteLeaving(life)
 	r.mu.Unlock()
 	if !isNew {
 		return
--- a/relay/said_test.go
+++ b/relay/said_test.go
@@ -174,7 +174,7 @@
 // An upstream came to leave, or asked for a pause, while a request waited for a connection to it: the request goes elsewhere.
 func TestARequestThatWaitedForAConnectionIsNotSentToWhatTakesNone(t *testing.T) {
 	for name, says := range map[string]func(r *Relay, l balance.Incarnation){
-		"it is leaving": func(r *Relay, l balance.Incarnation) { r.fleet.SaysLeaving(l) },
+		"it is leaving": func(r *Relay, l balance.Incarnation) { r.fleet.NoteLeaving(l) },
 		"it pauses":     func(r *Relay, l balance.Incarnation) { r.fleet.Pause(r.now(), l, time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
