--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -18,7 +18,7 @@
 
 // Each mechanism decides something, and nothing when it is off.
 func TestAMechanismThatIsOffDecidesNothing(t *testing.T) {
-	busy := func(f *Fleet, id string, l Load) { f.SetOthers(map[LoadKey]Load{{Key(id), 0}: l}) }
+	busy := func(f *Fleet, id string, l Load) { f.SetRemoteLoads(map[LoadKey]Load{{Key(id), 0}: l}) }
 	tests := []struct {
 		mechanism Mechanism
 		decides   func(f *Fleet) bool
@@ -29,13 +29,13 @@
 			for id := range tightPlaces(f) {
 				loads[LoadKey{Key(id), 0}] = Load{Unread: 1e6, Open: 1}
 			}
-			f.SetOthers(loads)
+			f.SetRemoteLoads(loads)
 			c, _ := f.Place(0, chat(1), nil)
 			return !tightPlaces(f)[c.Upstream.ID]
 		}},
 		{Slots, func(f *Fleet) bool {
 			home, _ := f.Place(0, letter(1), nil)
-			holdSlots(f, time.Second)
+			setHoldTime(f, time.Second)
 			busy(f, home.Upstream.ID, Load{Open: 40})
 			c, _ := f.Place(0, letter(1), nil)
 			return c.Upstream.ID != home.Upstream.ID
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -80,7 +80,7 @@
 			loads[LoadKey{Key(id), 0}] = l
 		}
 	}
-	f.SetOthers(loads)
+	f.SetRemoteLoads(loads)
 }
 
 // Ninety boxes that see the same move to many upstreams, and only to those that read the least.
@@ -115,7 +115,7 @@
 		ticket.Close(10*time.Second, Answered)
 	}
 	is.Equal(f.serviceOf("s").answers.betweenMoved().Round(time.Millisecond), time.Second)
-	is.Equal(f.byID["u1"].underWay(), Load{})
+	is.Equal(f.byID["u1"].totalLoad(), Load{})
 }
 
 // A burst is replayed: at six of nine upstreams prompts wait for 8 s, so that each event takes
@@ -161,13 +161,13 @@
 	for j := range 6 {
 		loads[LoadKey{Key(fmt.Sprintf("u%d", j)), 0}] = Load{Unread: 20000, Open: 2}
 	}
-	f.SetOthers(loads)
+	f.SetRemoteLoads(loads)
 	for came := 1; now < whole; came++ {
 		if came == events {
 			return true, moved
 		}
 		between := 30 * time.Millisecond
-		if f.byID[at].ahead(0) > 0 {
+		if f.byID[at].unreadAhead(0) > 0 {
 			between = 400 * time.Millisecond
 		}
 		now += between
