--- a/balance/incarnation.go
+++ b/balance/incarnation.go
@@ -154,9 +154,9 @@
 	return true
 }
 
-// Unproven reports whether an incarnation receives no requests until it has been asked whether it
+// NeedsLeavingCheck reports whether an incarnation receives no requests until it has been asked whether it
 // is leaving: the reports attributed to its predecessor may have been its own.
-func (f *Fleet) Unproven(l Incarnation) bool {
+func (f *Fleet) NeedsLeavingCheck(l Incarnation) bool {
 	last := f.incarnations[l.ID]
 	return last.entry.StartedAt == l.StartedAt && last.needsLeavingCheck
 }
@@ -164,7 +164,7 @@
 // Proved records that an incarnation has been asked whether it is leaving and that its answer has
 // been applied.
 func (f *Fleet) Proved(l Incarnation) {
-	if !f.Unproven(l) {
+	if !f.NeedsLeavingCheck(l) {
 		return
 	}
 	last := f.incarnations[l.ID]
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -132,13 +132,13 @@
 				f.NoteLeaving(entries[0].Incarnation())
 				f.Put(time.Second, entries[1])
 				next := entries[1].Incarnation()
-				is.True(f.Unproven(next))
+				is.True(f.NeedsLeavingCheck(next))
 				is.True(!place(f))
 				if says {
 					f.NoteLeaving(next)
 				}
 				f.Proved(next)
-				is.True(!f.Unproven(next))
+				is.True(!f.NeedsLeavingCheck(next))
 				is.Equal(place(f), !says)
 			})
 		}
@@ -152,6 +152,6 @@
 	f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 	f.Put(0, leaving(entryOf("u", 100, 1)))
 	f.Put(time.Second, entryOf("u", 200, 2))
-	is.True(!f.Unproven(Incarnation{"u", 200}))
+	is.True(!f.NeedsLeavingCheck(Incarnation{"u", 200}))
 	is.True(f.Accepts(2*time.Second, Incarnation{"u", 200}))
 }
--- a/balance/list.go
+++ b/balance/list.go
@@ -105,7 +105,7 @@
 	}
 	s := f.serviceOf(u.Service)
 	m := &member{Upstream: u, service: s, laneWeight: weight(u.ID, laneKey), listedAt: now, laneChangedAt: longAgo, lastBreakAt: longAgo, key: u.Incarnation().Key(), coldTill: longAgo, evacuated: f.evacuated[u.Domain]}
-	m.needsLeavingCheck = f.Unproven(u.Incarnation())
+	m.needsLeavingCheck = f.NeedsLeavingCheck(u.Incarnation())
 	m.history = f.historyOf(m.key)
 	f.restore(m)
 	f.takeOverWork(m)
--- a/relay/news.go
+++ b/relay/news.go
@@ -81,7 +81,7 @@
 	c.present, c.listed = r.listed(u.ID)
 	r.wakeReady(u.Service)
 	c.serves = r.fleet.Serves(u.ID)
-	c.asks = c.listed && r.fleet.Unproven(c.present.Incarnation())
+	c.asks = c.listed && r.fleet.NeedsLeavingCheck(c.present.Incarnation())
 	return c
 }
 
--- a/relay/said_test.go
+++ b/relay/said_test.go
@@ -258,7 +258,7 @@
 			b.until(func() bool {
 				b.relay.mu.Lock()
 				defer b.relay.mu.Unlock()
-				return !b.relay.fleet.Unproven(balance.Incarnation{ID: "u", StartedAt: 200})
+				return !b.relay.fleet.NeedsLeavingCheck(balance.Incarnation{ID: "u", StartedAt: 200})
 			})
 			got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "again"))
 			is.Equal(got.status == http.StatusOK, !says)
