--- a/balance/incarnation.go
+++ b/balance/incarnation.go
@@ -161,9 +161,9 @@
 	return last.entry.StartedAt == l.StartedAt && last.needsLeavingCheck
 }
 
-// Proved records that an incarnation has been asked whether it is leaving and that its answer has
+// NoteLeavingChecked records that an incarnation has been asked whether it is leaving and that its answer has
 // been applied.
-func (f *Fleet) Proved(l Incarnation) {
+func (f *Fleet) NoteLeavingChecked(l Incarnation) {
 	if !f.NeedsLeavingCheck(l) {
 		return
 	}
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -50,7 +50,7 @@
 				do(f)
 			}
 			if u, known := f.Present("u"); known {
-				f.Proved(u.Incarnation()) // asked, it does not report leaving again
+				f.NoteLeavingChecked(u.Incarnation()) // asked, it does not report leaving again
 			}
 			choice, used := f.Place(2*time.Second, Request{Service: "s"}, nil)
 			is.Equal(used, c.used)
@@ -137,7 +137,7 @@
 				if says {
 					f.NoteLeaving(next)
 				}
-				f.Proved(next)
+				f.NoteLeavingChecked(next)
 				is.True(!f.NeedsLeavingCheck(next))
 				is.Equal(place(f), !says)
 			})
--- a/relay/said.go
+++ b/relay/said.go
@@ -92,7 +92,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fleet.Proved(u.Incarnation())
+	r.fleet.NoteLeavingChecked(u.Incarnation())
 	r.wakeReady(u.Service)
 }
 
