--- a/relay/lives.go
+++ b/relay/lives.go
@@ -110,7 +110,7 @@
 }
 
 // liesAt is the upstream in whose memory a copy lies.
-func (m *move) liesAt(c Copy) balance.Upstream {
+func (m *move) liesAt(c RunCopy) balance.Upstream {
 	if c.Done {
 		return m.to
 	}
--- a/relay/move.go
+++ b/relay/move.go
@@ -23,8 +23,8 @@
 	moveTimeout = 1500 * time.Millisecond
 )
 
-// Copy names what is left of a run in an upstream's memory.
-type Copy struct {
+// RunCopy names what is left of a run in an upstream's memory.
+type RunCopy struct {
 	Name   string // as its upstream knows it; empty: there is none
 	Memory string // as the run that goes on from it names it
 	Done   bool   // it lies at the other upstream; else it lies where the run was
@@ -33,7 +33,7 @@
 // move is an answer on its way to another upstream.
 type move struct {
 	from, to    balance.Upstream
-	copied      chan Copy       // gets one entry
+	copied      chan RunCopy    // gets one entry
 	reservation *balance.Ticket // what the copy takes, until it is used or given up
 }
 
@@ -75,7 +75,7 @@
 	}
 	r.cfg.Log.Event("run", "moves", Fields{"id": x.request.id, "upstream": x.upstream.ID, "to": m.To.ID, "events": p.Events,
 		"here_ms": m.Here.Milliseconds(), "there_ms": m.There.Milliseconds(), "left_ms": p.Left.Milliseconds()})
-	x.move = &move{from: x.upstream, to: m.To, copied: make(chan Copy, 1), reservation: aside}
+	x.move = &move{from: x.upstream, to: m.To, copied: make(chan RunCopy, 1), reservation: aside}
 	go r.copyRun(x.move, x.request.id, x.service)
 }
 
@@ -107,7 +107,7 @@
 	status, body, err := r.callUpstream(ctx, m.from, service, r.cfg.Protocol.MoveCall(id, m.to.Address))
 	if err != nil {
 		r.cfg.Log.Event("run", "not moved", Fields{"id": id, "upstream": m.from.ID, "error": err.Error()})
-		m.copied <- Copy{}
+		m.copied <- RunCopy{}
 		return
 	}
 	m.copied <- r.cfg.Protocol.ParseMove(m.from.Address, status, body)
@@ -169,16 +169,16 @@
 
 // awaitCopy waits for the copy; false means that ctx ended first, or has ended by now. The copy
 // stays where it is then, for whoever gives it up.
-func (m *move) awaitCopy(ctx context.Context) (Copy, bool) {
+func (m *move) awaitCopy(ctx context.Context) (RunCopy, bool) {
 	select {
 	case c := <-m.copied:
 		if ctx.Err() != nil {
 			m.copied <- c
-			return Copy{}, false
+			return RunCopy{}, false
 		}
 		return c, true
 	case <-ctx.Done():
-		return Copy{}, false
+		return RunCopy{}, false
 	}
 }
 
@@ -193,7 +193,7 @@
 }
 
 // discardCopy frees a copy that was made and is not used.
-func (r *Relay) discardCopy(m *move, c Copy, x *exchange) {
+func (r *Relay) discardCopy(m *move, c RunCopy, x *exchange) {
 	m.copied <- c
 	r.freeCopy(m, x.request.id, x.service)
 }
--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -21,8 +21,8 @@
 	p.MoveCall = func(request, to string) UpstreamCall {
 		return UpstreamCall{Method: http.MethodPost, Path: "/copy", Body: []byte(`"` + request + " " + to + `"`)}
 	}
-	p.ParseMove = func(from string, status int, body []byte) Copy {
-		return Copy{Name: string(body), Memory: from + "/" + string(body), Done: status == http.StatusOK}
+	p.ParseMove = func(from string, status int, body []byte) RunCopy {
+		return RunCopy{Name: string(body), Memory: from + "/" + string(body), Done: status == http.StatusOK}
 	}
 	p.DropCall = func(name string) UpstreamCall { return UpstreamCall{Method: http.MethodDelete, Path: "/copy/" + name} }
 	return p
@@ -193,14 +193,14 @@
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 100 {
-		m := &move{copied: make(chan Copy, 1)}
-		m.copied <- Copy{Name: "h7"}
+		m := &move{copied: make(chan RunCopy, 1)}
+		m.copied <- RunCopy{Name: "h7"}
 		_, ok := m.awaitCopy(ended)
 		is.True(!ok)
 		is.Equal((<-m.copied).Name, "h7")
 	}
-	m := &move{copied: make(chan Copy, 1)}
-	m.copied <- Copy{Name: "h7"}
+	m := &move{copied: make(chan RunCopy, 1)}
+	m.copied <- RunCopy{Name: "h7"}
 	c, ok := m.awaitCopy(context.Background())
 	is.True(ok)
 	is.Equal(c.Name, "h7")
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -36,7 +36,7 @@
 	// MoveCall has an upstream copy the memory of a request's run to another one's address, IP:port,
 	// and stop the run; Moved reads its answer, which came from IP:port. DropCall frees a copy. Nil where runs cannot move.
 	MoveCall  func(request, to string) UpstreamCall
-	ParseMove func(from string, status int, body []byte) Copy
+	ParseMove func(from string, status int, body []byte) RunCopy
 	DropCall  func(name string) UpstreamCall
 
 	// ReportCall asks an upstream what runs there; Reported reads of the answer what it tells of a
