--- a/relay/lives.go
+++ b/relay/lives.go
@@ -111,7 +111,7 @@
 
 // liesAt is the upstream in whose memory a copy lies.
 func (m *move) liesAt(c RunCopy) balance.Upstream {
-	if c.Done {
+	if c.Transferred {
 		return m.to
 	}
 	return m.from
--- a/relay/move.go
+++ b/relay/move.go
@@ -25,9 +25,9 @@
 
 // RunCopy names what is left of a run in an upstream's memory.
 type RunCopy struct {
-	Name   string // as its upstream knows it; empty: there is none
-	Memory string // as the run that goes on from it names it
-	Done   bool   // it lies at the other upstream; else it lies where the run was
+	Name        string // as its upstream knows it; empty: there is none
+	Memory      string // as the run that goes on from it names it
+	Transferred bool   // it lies at the other upstream; else it lies where the run was
 }
 
 // move is an answer on its way to another upstream.
--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -22,7 +22,7 @@
 		return UpstreamCall{Method: http.MethodPost, Path: "/copy", Body: []byte(`"` + request + " " + to + `"`)}
 	}
 	p.ParseMove = func(from string, status int, body []byte) RunCopy {
-		return RunCopy{Name: string(body), Memory: from + "/" + string(body), Done: status == http.StatusOK}
+		return RunCopy{Name: string(body), Memory: from + "/" + string(body), Transferred: status == http.StatusOK}
 	}
 	p.DropCall = func(name string) UpstreamCall { return UpstreamCall{Method: http.MethodDelete, Path: "/copy/" + name} }
 	return p
