--- a/cmd/doormastd/relay.go
+++ b/cmd/doormastd/relay.go
@@ -141,7 +141,7 @@
 		Cold:       relay.ColdBounds{Overshoot: s.Bounds.ColdOvershoot, Slack: s.Bounds.ColdSlack},
 		Limits:     s.Bounds.Limits(),
 		Tuning:     s.Links.Tuning(),
-		Off:        off,
+		Disabled:   off,
 		FirstStart: s.FirstStart,
 		Boxes:      boxesAssumed,
 		Grace:      s.Bounds.Grace(),
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -41,7 +41,7 @@
 	Cold      ColdBounds
 	Limits    balance.LimitBounds // of the limits that upstreams name
 	Tuning    balance.Tuning
-	Off       balance.Off // the mechanisms that are switched off
+	Disabled  balance.Off // the mechanisms that are switched off
 	// FirstStart says that no box ran before, so that nothing is left of an
 	// earlier one's budget.
 	FirstStart bool
@@ -126,7 +126,7 @@
 		stats:       newStats(),
 	}
 	r.startWall.Store(r.startedAt.UnixNano())
-	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, Named: cfg.Limits, Off: cfg.Off, FirstStart: cfg.FirstStart})
+	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, Named: cfg.Limits, Off: cfg.Disabled, FirstStart: cfg.FirstStart})
 	r.budgets = balance.NewBudgets(cfg.Budget, r.now(), cfg.FirstStart)
 	r.conns = newConns(r.connectionCap)
 	r.conns.cameUp = r.noteWay
@@ -137,7 +137,7 @@
 		return nil, &Error{Op: "listen to other boxes", Kind: KindListen, Err: err}
 	}
 	r.startTasks(ctx)
-	r.cfg.Log.Event("box", "start", Fields{"box": cfg.Box, "domain": cfg.Domain, "off": cfg.Off.Names()})
+	r.cfg.Log.Event("box", "start", Fields{"box": cfg.Box, "domain": cfg.Domain, "off": cfg.Disabled.Names()})
 	return r, nil
 }
 
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -179,7 +179,7 @@
 	if state == runUnsent {
 		return x.unreachable < maxUnreachable && (x.runsSent == 0 || x.runsSent < x.route.MaxAttempts && x.hasRetry())
 	}
-	if x.events == nil && x.relay.cfg.Off[balance.Repeating] {
+	if x.events == nil && x.relay.cfg.Disabled[balance.Repeating] {
 		return false
 	}
 	if x.runsSent >= x.route.MaxAttempts || state == runUnknown && !x.route.Again() {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -116,7 +116,7 @@
 	}
 	x.endRun(false, x.outcomeOfDisconnect(cause))
 	x.recordFailure(runUnknown, cause)
-	for x.route.Resumable && x.events.hasEvents && !x.relay.cfg.Off[balance.Resuming] && x.mayRetry(runUnknown) {
+	for x.route.Resumable && x.events.hasEvents && !x.relay.cfg.Disabled[balance.Resuming] && x.mayRetry(runUnknown) {
 		choice, ok := x.place()
 		if !ok {
 			return false
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -35,7 +35,7 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.crashSuspects.Any() || r.cfg.Off[balance.Withholding] {
+	if !r.crashSuspects.Any() || r.cfg.Disabled[balance.Withholding] {
 		return 0
 	}
 	return r.crashSuspects.Left(r.now(), x.contentOf())
@@ -56,7 +56,7 @@
 // the next upstream is not to end before this one is known to have.
 func (x *exchange) noteCutOff() {
 	r := x.relay
-	if r.cfg.Off[balance.Withholding] {
+	if r.cfg.Disabled[balance.Withholding] {
 		return
 	}
 	content, u := x.contentOf(), x.upstream
@@ -113,7 +113,7 @@
 
 // holdAgainst holds the end of an upstream that nobody told of against what was cut off there.
 func (r *Relay) holdAgainst(life balance.Incarnation) {
-	if r.cfg.Off[balance.Withholding] {
+	if r.cfg.Disabled[balance.Withholding] {
 		return
 	}
 	r.mu.Lock()
@@ -162,7 +162,7 @@
 func (m *members) shareSuspects() {
 	r := m.relay
 	heard := m.node.DrainSuspects()
-	if r.cfg.Off[balance.Withholding] {
+	if r.cfg.Disabled[balance.Withholding] {
 		return
 	}
 	now := r.now()
