--- a/balance/incarnation.go
+++ b/balance/incarnation.go
@@ -43,7 +43,7 @@
 	// needsLeavingCheck says that the previous incarnation reported leaving. The report may have
 	// come from this one, before its entry was known.
 	needsLeavingCheck bool
-	superseded        bool // another upstream has taken over its address
+	replaced          bool // another upstream has taken over its address
 	// distrustUntil is the time until which cache news from other boxes may predate a suspected
 	// restart. The entry may be removed and listed again in the meantime.
 	distrustUntil time.Duration
@@ -59,7 +59,7 @@
 	if last := f.incarnations[m.ID]; m.StartedAt != 0 && last.entry.StartedAt == m.StartedAt {
 		m.distrustUntil = last.distrustUntil
 		m.suspect = m.distrustUntil > 0
-		m.superseded = last.superseded
+		m.replaced = last.replaced
 	}
 }
 
@@ -136,9 +136,9 @@
 	return last.entry.StartedAt == l.StartedAt && last.leaving
 }
 
-// SaysLeaving records that an incarnation reported in an answer that it takes no new requests. It
+// NoteLeaving records that an incarnation reported in an answer that it takes no new requests. It
 // returns whether that is new. No entry reverts it: entries are older than answers.
-func (f *Fleet) SaysLeaving(l Incarnation) bool {
+func (f *Fleet) NoteLeaving(l Incarnation) bool {
 	last := f.incarnations[l.ID]
 	if l.StartedAt < last.entry.StartedAt || f.knownLeaving(l) {
 		return false
@@ -154,17 +154,17 @@
 	return true
 }
 
-// Unproven reports whether an incarnation receives no requests until it has been asked whether it
+// NeedsLeavingCheck reports whether an incarnation receives no requests until it has been asked whether it
 // is leaving: the reports attributed to its predecessor may have been its own.
-func (f *Fleet) Unproven(l Incarnation) bool {
+func (f *Fleet) NeedsLeavingCheck(l Incarnation) bool {
 	last := f.incarnations[l.ID]
 	return last.entry.StartedAt == l.StartedAt && last.needsLeavingCheck
 }
 
-// Proved records that an incarnation has been asked whether it is leaving and that its answer has
+// NoteLeavingChecked records that an incarnation has been asked whether it is leaving and that its answer has
 // been applied.
-func (f *Fleet) Proved(l Incarnation) {
-	if !f.Unproven(l) {
+func (f *Fleet) NoteLeavingChecked(l Incarnation) {
+	if !f.NeedsLeavingCheck(l) {
 		return
 	}
 	last := f.incarnations[l.ID]
@@ -265,11 +265,11 @@
 	}
 }
 
-// rememberSuperseded stores that an incarnation has been superseded, so that it holds when the
+// rememberReplaced stores that an incarnation has been replaced, so that it holds when the
 // entry is removed and listed again.
-func (f *Fleet) rememberSuperseded(m *member) {
+func (f *Fleet) rememberReplaced(m *member) {
 	if last, known := f.incarnations[m.ID]; known && last.entry.StartedAt == m.StartedAt {
-		last.superseded = true
+		last.replaced = true
 		f.incarnations[m.ID] = last
 	}
 }
--- a/balance/list.go
+++ b/balance/list.go
@@ -68,10 +68,10 @@
 }
 
 // takesAddressFrom reports whether an entry takes its address from the present holder: it started
-// later, or the holder is known to have been superseded. A superseded incarnation takes no
+// later, or the holder is known to have been replaced. A replaced incarnation takes no
 // address, nor does an entry that is neither later nor newer.
 func (f *Fleet) takesAddressFrom(u Upstream, holder *member) bool {
-	if holder.superseded && !f.isLeaving(u) {
+	if holder.replaced && !f.isLeaving(u) {
 		return true
 	}
 	if f.knownLeaving(u.Incarnation()) && !holder.Leaving {
@@ -105,7 +105,7 @@
 	}
 	s := f.serviceOf(u.Service)
 	m := &member{Upstream: u, service: s, laneWeight: weight(u.ID, laneKey), listedAt: now, laneChangedAt: longAgo, lastBreakAt: longAgo, key: u.Incarnation().Key(), coldTill: longAgo, evacuated: f.evacuated[u.Domain]}
-	m.needsLeavingCheck = f.Unproven(u.Incarnation())
+	m.needsLeavingCheck = f.NeedsLeavingCheck(u.Incarnation())
 	m.history = f.historyOf(m.key)
 	f.restore(m)
 	f.takeOverWork(m)
