--- a/balance/active.go
+++ b/balance/active.go
@@ -8,7 +8,7 @@
 import "slices"
 
 // minReading is the share of its time below which an upstream counts as reading nothing. The
-// steps of calmStep are much coarser.
+// steps of prefillLevel are much coarser.
 const minReading = 0.01
 
 // activate adds an upstream to its service's active ones.
--- a/balance/active_test.go
+++ b/balance/active_test.go
@@ -180,6 +180,6 @@
 func BenchmarkDivide(b *testing.B) {
 	f := newTestFleet(6000)
 	for b.Loop() {
-		f.divide(0, f.serviceOf("s"))
+		f.assignLanes(0, f.serviceOf("s"))
 	}
 }
--- a/balance/admit.go
+++ b/balance/admit.go
@@ -1,85 +1,87 @@
 package balance
 
-// This file defines which requests are refused because they would come too late. The
-// invariant: of two requests at the same upstream, the less urgent one is not taken
-// where the more urgent one was refused within orderMemory, unless less is read for it: all
-// that goes before the latter goes before the former.
+// This file implements admission control: a placed request is refused when its expected wait
+// exceeds the bound for its latency target. The invariant: a request whose prompt takes at least
+// as long to prefill is never admitted at an upstream where a more urgent one was refused within
+// the last refusalHold; everything queued ahead of the more urgent request is also ahead of the
+// less urgent one.
 
 import "time"
 
 const (
-	// The bounds of the time after which a refused caller shall come back.
-	comeBackMin = 300 * time.Millisecond
-	comeBackMax = 3 * time.Second
-	// orderMemory is how long a refusal holds less urgent requests to its own bound: as
-	// long as it takes until a caller that was refused has come back, as a rule.
-	orderMemory = time.Second
+	// retryAfterMin and retryAfterMax bound the delay after which a refused caller is told to
+	// retry.
+	retryAfterMin = 300 * time.Millisecond
+	retryAfterMax = 3 * time.Second
+	// refusalHold is how long a refusal limits less urgent requests to the bound of the refused
+	// one: about the time until a refused caller has retried.
+	refusalHold = time.Second
 )
 
-// Admission is what is to be decided about a request that found a place.
+// Admission holds the caller's side of an admission decision.
 type Admission struct {
-	Target  time.Duration // its latency target; 0: none
-	Retried bool          // it has come back after a refusal
+	Target  time.Duration // latency target; 0: none
+	Retried bool          // the caller retries after a refusal
 }
 
-// refusals is when requests of a service were last refused, and their latency target, by
-// urgency.
+// refusals holds, by urgency, when a request of a service was last refused and that request's
+// latency target.
 type refusals [Levels]struct {
 	at     time.Duration
 	target time.Duration // 0: none was refused
 }
 
-// Admit decides whether a request that was placed will be served in time. If not, it
-// also says when its caller should come back: once half of what may go before it has
-// been read.
-func (f *Fleet) Admit(now time.Duration, r Request, a Admission, c Choice) (after time.Duration, ok bool) {
+// Admit reports whether a placed request is expected to be served within its latency target. If
+// it is not, retryAfter is when the caller should try again: the time until the backlog has
+// shrunk to half of what the request may wait for.
+func (f *Fleet) Admit(now time.Duration, r Request, a Admission, c Choice) (retryAfter time.Duration, ok bool) {
 	if a.Target == 0 || f.cfg.Off[AdmissionControl] {
 		return 0, true
 	}
 	s := f.serviceOf(r.Service)
-	s.classes.noteTarget(r.Class, a.Target)
-	wait := f.readTime(c.Backlog)
-	own := f.boundOf(s, a, c)
-	if wait <= min(own, f.boundOf(s, s.refusals.hold(now, r.urgencyLevel(), a), c)) {
+	s.classes.setTarget(r.Class, a.Target)
+	wait := f.prefillTime(c.Backlog)
+	own := f.waitBound(s, a, c)
+	if wait <= min(own, f.waitBound(s, s.refusals.constrain(now, r.urgencyLevel(), a), c)) {
 		return 0, true
 	}
-	if !f.cfg.Off[Order] {
-		s.refusals.note(now, r.urgencyLevel(), a.Target)
+	if !f.cfg.Off[RefusalOrder] {
+		s.refusals.record(now, r.urgencyLevel(), a.Target)
 	}
-	return min(max(wait-own/2, comeBackMin), comeBackMax), false
+	return min(max(wait-own/2, retryAfterMin), retryAfterMax), false
 }
 
-// boundOf is how long a request may wait for what is before it. As long as upstreams have
-// little to read on the mean, that is a share of its target. The more they have, the
-// narrower it becomes, and the more counts how long the request is read itself: then those
-// are taken first whose prompt lies there already and who hold others up the least.
-// However long that is, it may wait for a little, so that long prompts are served as well.
-func (f *Fleet) boundOf(s *service, a Admission, c Choice) time.Duration {
+// waitBound returns how long a request may wait for the backlog ahead of it. While the upstreams
+// have little to prefill on average, the bound is a fixed share of the latency target. It shrinks
+// as their mean backlog grows, and the prefill time of the request itself then counts against it,
+// which favors requests whose prompt is already cached and which delay others the least. A
+// minimum wait always remains, so that long prompts are served too.
+func (f *Fleet) waitBound(s *service, a Admission, c Choice) time.Duration {
 	t := &f.cfg.Tuning
-	calm := part(a.Target, t.Admit)
+	calm := fraction(a.Target, t.AdmitShare)
 	if a.Retried {
-		calm = part(a.Target, t.AdmitAgain)
+		calm = fraction(a.Target, t.AdmitRetryShare)
 	}
-	loaded := max(part(a.Target, t.AdmitLoaded)-f.readTime(c.Unread), part(a.Target, t.AdmitLeast))
-	load := min(float64(f.readTime(int(s.meanUnread)))/float64(part(a.Target, t.Loaded)), 1)
-	return calm + part(loaded-calm, load)
+	loaded := max(fraction(a.Target, t.AdmitLoadedShare)-f.prefillTime(c.Unread), fraction(a.Target, t.AdmitMinShare))
+	load := min(float64(f.prefillTime(int(s.meanUnread)))/float64(fraction(a.Target, t.LoadedShare)), 1)
+	return calm + fraction(loaded-calm, load)
 }
 
-// part is a share of a time.
-func part(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
+// fraction returns the given share of a duration.
+func fraction(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
 
-// hold is what a request is admitted by while more urgent ones are refused: by their
-// target, as if it came for the first time.
-func (r *refusals) hold(now time.Duration, level int, a Admission) Admission {
+// constrain returns the terms on which a request is admitted while more urgent ones are being
+// refused: the smallest latency target among them and its own, as on a first attempt.
+func (r *refusals) constrain(now time.Duration, level int, a Admission) Admission {
 	for _, x := range r[:level] {
-		if x.target > 0 && now-x.at < orderMemory {
+		if x.target > 0 && now-x.at < refusalHold {
 			a = Admission{Target: min(a.Target, x.target)}
 		}
 	}
 	return a
 }
 
-// note takes in a refusal.
-func (r *refusals) note(now time.Duration, level int, target time.Duration) {
+// record notes a refusal.
+func (r *refusals) record(now time.Duration, level int, target time.Duration) {
 	r[level].at, r[level].target = now, target
 }
--- a/balance/budget_replay_test.go
+++ b/balance/budget_replay_test.go
@@ -9,21 +9,23 @@
 	"pgregory.net/rapid"
 )
 
-// The bound as operators state it: in each window, the retries that reach a service are at most the ratio
-// times its requests, and the slack, summed over all boxes. The requests are those of that window, of the one
-// before, or of the one half a window earlier, whichever has the most.
+// These tests check the bound as operators state it: in each window, the retries that reach a
+// service are at most the ratio times its requests, plus the slack, summed over all boxes. The
+// number of requests is that of the window, of the previous one, or of the one half a window
+// earlier, whichever is greatest.
 
-// replayStep is how finely time passes in replays; all that happens falls on a step.
+// replayStep is the time step of replays.
 const replayStep = 50 * time.Millisecond
 
-// budgetReplay is boxes whose upstreams fail, with what reached the service.
+// budgetReplay simulates boxes whose upstreams fail, and records the requests and retries that
+// reach the service.
 type budgetReplay struct {
-	cfg     BudgetConfig
-	now     time.Duration
-	random  *rand.Rand
-	budgets []*Budget
-	taken   []int // by step
-	spent   []int
+	cfg      BudgetConfig
+	now      time.Duration
+	random   *rand.Rand
+	budgets  []*Budget
+	requests []int // by step
+	retries  []int
 }
 
 func newBudgetReplay(cfg BudgetConfig, boxes int, seed uint64) *budgetReplay {
@@ -34,18 +36,18 @@
 	return r
 }
 
-// budgetPhase is a span of a replay in which nothing changes.
+// budgetPhase is a period of a replay with constant conditions.
 type budgetPhase struct {
 	Steps   int
-	Rate    int     // requests a step
-	From    int     // the boxes that get them: the first of them
-	Boxes   int     // and how many
-	Fail    float64 // the share of runs that fail
-	Restart int     // so many boxes, of those that get requests, start again before it
+	Rate    int     // requests per step
+	From    int     // first of the boxes that get requests
+	Boxes   int     // number of boxes that get requests
+	Fail    float64 // share of runs that fail
+	Restart int     // number of the boxes with requests that restart before the phase
 }
 
-// pass plays a phase.
-func (r *budgetReplay) pass(p budgetPhase) {
+// run simulates a phase.
+func (r *budgetReplay) run(p budgetPhase) {
 	for i := range p.Restart {
 		r.budgets[(p.From+i)%len(r.budgets)] = NewBudget(r.cfg, r.now, false)
 	}
@@ -60,24 +62,25 @@
 				spent++
 			}
 		}
-		r.taken, r.spent = append(r.taken, taken), append(r.spent, spent)
+		r.requests, r.retries = append(r.requests, taken), append(r.retries, spent)
 	}
 }
 
-// excess describes the first window with more retries than the bound; empty: there is none.
+// excess describes the first window with more retries than the bound; it is empty if there is
+// none.
 func (r *budgetReplay) excess() string {
 	window := int(r.cfg.Window / replayStep)
-	for from := range r.spent {
-		requests := max(sumOf(r.taken, from, window), sumOf(r.taken, from-window/2, window), sumOf(r.taken, from-window, window))
+	for from := range r.retries {
+		requests := max(sumOf(r.requests, from, window), sumOf(r.requests, from-window/2, window), sumOf(r.requests, from-window, window))
 		allowed := r.cfg.Ratio*float64(requests) + r.cfg.Slack
-		if n := sumOf(r.spent, from, window); float64(n) > allowed+1e-9 {
+		if n := sumOf(r.retries, from, window); float64(n) > allowed+1e-9 {
 			return fmt.Sprintf("%d retries in the window from %v on, for %d requests; %.1f are allowed", n, time.Duration(from)*replayStep, requests, allowed)
 		}
 	}
 	return ""
 }
 
-// sumOf adds up so many entries from an index on, as far as they are there.
+// sumOf adds up to count existing entries of list, starting at index from.
 func sumOf(list []int, from, count int) int {
 	sum := 0
 	for i := max(from, 0); i < min(from+count, len(list)); i++ {
@@ -86,7 +89,7 @@
 	return sum
 }
 
-// drawPhases draws spans in which upstreams fail enough for budgets to be used up, between others.
+// drawPhases draws a sequence of phases, some with enough failures to use up the budgets.
 func drawPhases(t *rapid.T, boxes int, restarts bool) []budgetPhase {
 	var phases []budgetPhase
 	for range rapid.IntRange(1, 8).Draw(t, "phases") {
@@ -106,13 +109,13 @@
 	return phases
 }
 
-// checkRetries plays drawn phases and fails where a window has more retries than the bound.
+// checkRetries simulates drawn phases and fails if a window has more retries than the bound.
 func checkRetries(t *testing.T, restarts bool) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := rapid.IntRange(1, 12).Draw(t, "boxes")
 		r := newBudgetReplay(budgetConfig, boxes, rapid.Uint64().Draw(t, "seed"))
 		for _, p := range drawPhases(t, boxes, restarts) {
-			r.pass(p)
+			r.run(p)
 		}
 		if e := r.excess(); e != "" {
 			t.Fatal(e)
@@ -120,12 +123,13 @@
 	})
 }
 
-// On a day on which upstreams failed without end, boxes that kept running sent a tenth more retries in a window
-// than the ratio allows: what was taken was summed over the window and the bucket before it, as was right only for what was spent.
-// Lines "run: not retried" with spent above retry_ratio times taken settled it.
-func TestRetriesKeepToTheBudgetInEveryWindow(t *testing.T) { checkRetries(t, false) }
+// With upstreams that failed permanently, continuously running boxes sent a tenth more retries in
+// a window than the ratio allows: requests were summed over the window and the bucket before it,
+// as is right only for retries.
+func TestRetriesStayWithinBudgetInEveryWindow(t *testing.T) { checkRetries(t, false) }
 
-// After all boxes were killed while upstreams failed, the ratio's part was spent twice in a window: by the processes
-// before for the requests of the window before, and by those that followed for their own. The same where load moves
-// from some boxes to others. Arrivals of a day on which all boxes are killed 9 s after the failures began settled it.
-func TestRetriesKeepToTheBudgetAcrossRestartsAndMovesOfLoad(t *testing.T) { checkRetries(t, true) }
+// When all boxes were killed while upstreams failed, the ratio was spent twice in a window: by
+// the processes before the restart for the requests of the previous window, and by their
+// successors for their own. The same happened when load moved between boxes. It occurred with all
+// boxes killed 9 s after the failures began.
+func TestRetriesStayWithinBudgetAcrossRestartsAndLoadShifts(t *testing.T) { checkRetries(t, true) }
--- a/balance/budget_test.go
+++ b/balance/budget_test.go
@@ -9,7 +9,7 @@
 
 var budgetConfig = BudgetConfig{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 
-func TestABoxThatStartedHasNoSlackForAWindow(t *testing.T) {
+func TestRestartedBoxHasNoSlackForOneWindow(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(budgetConfig, 0, false)
 	is.True(!b.Spend(time.Second, 1))
@@ -17,18 +17,18 @@
 	is.True(b.Spend(10*time.Second, 1))
 }
 
-func TestTheFirstStartHasItsSlackAtOnce(t *testing.T) {
+func TestFirstStartHasSlackAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(budgetConfig, 0, true)
 	for range 5 {
 		is.True(b.Spend(0, 10))
 	}
-	is.True(!b.Spend(0, 10)) // 54 over 10 boxes
+	is.True(!b.Spend(0, 10)) // 54 divided among 10 boxes
 	is.Equal(b.Left(0, 10), 0)
 	is.True(b.Spend(12*time.Second, 10))
 }
 
-func TestBudgetsOfServicesThatAreGoneAreForgotten(t *testing.T) {
+func TestIdleBudgetsAreDropped(t *testing.T) {
 	is := is.New(t)
 	b := NewBudgets(budgetConfig, 0, true)
 	b.Of("gone").Take(time.Second)
@@ -39,18 +39,19 @@
 	is.Equal(b.Of("gone").Use(55*time.Second, 1).Taken, 0)
 }
 
-// After a calm time a burst of failures finds what the requests of the window before allow, beside the slack.
-func TestABurstOfFailuresAfterACalmTimeFindsRetries(t *testing.T) {
+// After a quiet period a burst of failures can use the retries granted for the requests of the
+// previous window, in addition to the slack.
+func TestPreviousWindowAllowsRetries(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(budgetConfig, 0, false)
 	for now := time.Duration(0); now < 30*time.Second; now += 10 * time.Millisecond {
 		b.Take(now)
 	}
-	is.Equal(b.Left(30*time.Second, 54), 49) // the share of one, and a quarter of a fifth of 1,000 but for the bucket in which the window begins
+	is.Equal(b.Left(30*time.Second, 54), 49) // slack share of 1, and a quarter of a fifth of 1,000 requests, less those in the bucket in which the window begins
 }
 
-// A box that has just started has three quarters of the ratio at once.
-func TestABoxThatStartedHasItsPartOfTheRatio(t *testing.T) {
+// A box that has just started can use three quarters of the ratio at once.
+func TestRestartedBoxHasCurrentWindowShare(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(budgetConfig, 0, false)
 	spent := 0
--- a/balance/budgets.go
+++ b/balance/budgets.go
@@ -1,7 +1,7 @@
 package balance
 
-// This file defines the retry budgets of a box, one for each service. The invariant: what is taken for one service
-// allows no retry at another.
+// This file defines the retry budgets of a box, one per service. The invariant: requests for one
+// service never allow a retry for another.
 
 import (
 	"maps"
@@ -9,33 +9,34 @@
 	"time"
 )
 
-// Budgets are the retry budgets of a box. They are not safe for several goroutines.
+// Budgets holds the retry budgets of a box. It is not safe for concurrent use.
 type Budgets struct {
-	cfg       BudgetConfig
-	started   time.Duration
-	first     bool
-	byService map[string]*Budget
+	cfg        BudgetConfig
+	started    time.Duration
+	firstStart bool
+	byService  map[string]*Budget
 }
 
-// NewBudgets returns the budgets of a box that starts now; first as for NewBudget.
+// NewBudgets returns the budgets of a box that starts now; firstStart is as for NewBudget.
 func NewBudgets(cfg BudgetConfig, now time.Duration, first bool) *Budgets {
-	return &Budgets{cfg: cfg, started: now, first: first, byService: make(map[string]*Budget)}
+	return &Budgets{cfg: cfg, started: now, firstStart: first, byService: make(map[string]*Budget)}
 }
 
-// Of returns the budget of a service.
+// ForService returns the budget of a service and creates it if needed.
 func (b *Budgets) Of(service string) *Budget {
 	budget := b.byService[service]
 	if budget == nil {
-		budget = NewBudget(b.cfg, b.started, b.first)
+		budget = NewBudget(b.cfg, b.started, b.firstStart)
 		b.byService[service] = budget
 	}
 	return budget
 }
 
-// Services lists, in order, the services whose budgets are in use.
+// Services returns the sorted names of the services that have a budget.
 func (b *Budgets) Services() []string { return slices.Sorted(maps.Keys(b.byService)) }
 
-// Forget drops budgets that nothing counts in any more, as of services that documents no longer name.
+// Forget drops the budgets whose counts have all expired, such as those of services that no
+// settings document names any more.
 func (b *Budgets) Forget(now time.Duration) {
 	maps.DeleteFunc(b.byService, func(_ string, budget *Budget) bool { return budget.idle(now) })
 }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -18,26 +18,26 @@
 	return names
 }
 
-// Whatever boxes there are, those that know of each other send what they share at the most, and
-// some of it.
-func TestTheRationsOfBoxesThatKnowEachOtherAreWhatTheyShare(t *testing.T) {
+// For any set of boxes, those that know of each other send at most the shared number of requests,
+// and at least one.
+func TestColdQuotasOfKnownBoxesStayWithinShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := boxNames(rapid.IntRange(1, 60).Draw(t, "boxes"))
 		shared := rapid.IntRange(0, 40).Draw(t, "shared")
 		upstream := rapid.StringN(1, 12, -1).Draw(t, "upstream")
 		sum := 0
 		for _, box := range boxes {
-			sum += QuotaPeers{Box: box, Boxes: boxes}.ration(upstream, shared)
+			sum += QuotaPeers{Box: box, Boxes: boxes}.quota(upstream, shared)
 		}
 		if sum > shared || shared > 0 && sum == 0 {
-			t.Fatalf("%d of %d", sum, shared)
+			t.Fatalf("quotas add up to %d, shared %d", sum, shared)
 		}
 	})
 }
 
-// After a cut within a domain either side knows of its own boxes only, and both together
-// stay within the bound.
-func TestTheRationsOfTwoSidesOfACutStayWithinTheBound(t *testing.T) {
+// When a domain is partitioned, each side knows only its own boxes, and both sides together stay
+// within the limit.
+func TestColdQuotasStayWithinLimitDuringPartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := boxNames(rapid.IntRange(2, 60).Draw(t, "boxes"))
 		cut := rapid.IntRange(1, len(boxes)-1).Draw(t, "cut")
@@ -45,18 +45,18 @@
 		sum := 0
 		for _, side := range [][]string{boxes[:cut], boxes[cut:]} {
 			for _, box := range side {
-				sum += QuotaPeers{Box: box, Boxes: side}.ration("u", most/coldHalf)
+				sum += QuotaPeers{Box: box, Boxes: side}.quota("u", most/coldReserveDivisor)
 			}
 		}
 		if sum > most {
-			t.Fatalf("%d of %d", sum, most)
+			t.Fatalf("quotas add up to %d, limit %d", sum, most)
 		}
 	})
 }
 
-// However many domains there are, with upstreams of the service or without, all boxes together
-// send half of the bound at the most, and some of it.
-func TestTheRationsOfAllDomainsAreHalfOfTheBound(t *testing.T) {
+// For any number of domains, with upstreams of the service or without, all boxes together send at
+// most half of the limit, and at least one request.
+func TestColdQuotasOfAllDomainsAreHalfOfLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 30).Draw(t, "domains")
 		with := rapid.IntRange(1, domains).Draw(t, "with upstreams")
@@ -74,24 +74,24 @@
 				u := *f.Get("u0")
 				u.ColdFor = time.Minute
 				f.Put(0, u)
-				f.shareCold(0)
+				f.refreshColdQuotas(0)
 				sum += f.byID["u0"].ration
 			}
 		}
 		if sum > most/2 || sum == 0 {
-			t.Fatalf("%d of %d", sum, most)
+			t.Fatalf("quotas add up to %d, limit %d", sum, most)
 		}
 	})
 }
 
-func TestABoxThatDoesNotKnowTheOthersSendsNothing(t *testing.T) {
+func TestNoColdQuotaWithoutKnownBoxes(t *testing.T) {
 	is := is.New(t)
-	is.Equal(QuotaPeers{Box: "box"}.ration("u", 12), 0)
+	is.Equal(QuotaPeers{Box: "box"}.quota("u", 12), 0)
 }
 
-// returning is ninety boxes of three domains before ninety upstreams, of which the thirty of
-// one domain have come back cold at this moment.
-func returning(most int) []*Fleet {
+// returningFleets returns the fleets of ninety boxes in three domains with ninety upstreams, of
+// which the thirty of one domain have just come back cold.
+func returningFleets(most int) []*Fleet {
 	boxes := make([]*Fleet, 90)
 	for i := range boxes {
 		domain := fmt.Sprintf("d%d", i%3)
@@ -114,8 +114,8 @@
 	return boxes
 }
 
-// tellLoads tells each box what the others have under way.
-func tellLoads(boxes []*Fleet) {
+// exchangeLoads reports to each box the load of the others.
+func exchangeLoads(boxes []*Fleet) {
 	all := make(map[LoadKey]Load)
 	for _, f := range boxes {
 		for key, l := range f.Loads() {
@@ -132,22 +132,22 @@
 	}
 }
 
-// Ninety boxes meet thirty upstreams that come back together, in a burst: no cold one is sent
-// more than it bears in any second, and they are used.
-func TestUpstreamsThatComeBackTogetherAreSentWhatTheyBear(t *testing.T) {
+// Ninety boxes in a burst use thirty upstreams that come back together: no cold upstream is sent
+// more than its limit in any second, and the cold upstreams do get requests.
+func TestReturningUpstreamsGetAtMostTheirLimit(t *testing.T) {
 	const most = 12
 	is := is.New(t)
-	boxes := returning(most)
+	boxes := returningFleets(most)
 	sent := make(map[string][]time.Duration)
-	for i := range 1800 { // 600 a second for 3 s
+	for i := range 1800 { // 600 per second for 3 s
 		now := time.Duration(i) * time.Second / 600
 		if i%60 == 0 {
-			tellLoads(boxes)
+			exchangeLoads(boxes)
 		}
 		f := boxes[(i*37)%90]
 		r := prompt(uint64(i) + 1)
 		if i%10 == 0 {
-			r = prompt(1) // many want the same part
+			r = prompt(1) // several requests share a part
 		}
 		choice, ok := f.Place(now, r, nil)
 		is.True(ok)
@@ -162,12 +162,12 @@
 			is.True(list[k]-list[k-most] >= time.Second)
 		}
 	}
-	is.True(cold >= 300) // of 1800, and of 540 that they bear from boxes that know each other
+	is.True(cold >= 300) // of 1800 requests, where 540 are allowed from boxes that know of each other
 }
 
-// Each box alone keeps to its ration whatever the pauses between its requests, and has all
-// of it again after the window.
-func TestABoxKeepsToItsRation(t *testing.T) {
+// A single box stays within its quota for any intervals between its requests, and has the whole
+// quota again after the window.
+func TestBoxStaysWithinColdQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(2, 20).Draw(t, "most")
 		f := NewFleet(Config{Domain: "d", Tuning: DefaultTuning})
@@ -185,26 +185,26 @@
 		}
 		for i := most / 2; i < len(sent); i++ {
 			if sent[i]-sent[i-most/2] < coldWindow {
-				t.Fatalf("%d within %v: %v", most/2+1, sent[i]-sent[i-most/2], sent)
+				t.Fatalf("%d requests within %v: %v", most/2+1, sent[i]-sent[i-most/2], sent)
 			}
 		}
 	})
 }
 
-func TestHowLongAnUpstreamIsCold(t *testing.T) {
+func TestColdDuration(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
-	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 1}) // half of which is nothing
+	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 1}) // half of which rounds down to 0
 	placed := func(now time.Duration) bool {
 		_, ok := f.Place(now, Request{Service: "s"}, nil)
 		return ok
 	}
 	u := *f.Get("u0")
 	is.True(placed(time.Second))
-	u.ColdFor = 2 * time.Second // it has turned cold while it ran
+	u.ColdFor = 2 * time.Second // became cold while running
 	f.Put(10*time.Second, u)
 	is.True(!placed(11 * time.Second))
-	u.ColdFor = 500 * time.Millisecond // told later: nothing new
+	u.ColdFor = 500 * time.Millisecond // reported later: no change
 	f.Put(11500*time.Millisecond, u)
 	is.True(!placed(11900 * time.Millisecond))
 	is.True(placed(12 * time.Second))
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -34,7 +34,7 @@
 	if p.homes.first == nil {
 		return false
 	}
-	return !part.told() || !p.fleet.heldWithin(p.request, part) && !p.fleet.sure(p.now)
+	return !part.isReported() || !p.fleet.heldWithin(p.request, part) && !p.fleet.knowsAllParts(p.now)
 }
 
 // holds reports whether an upstream is known or assumed to hold a shared part.
@@ -47,7 +47,7 @@
 
 // total returns the cost at an upstream in tokens: the backlog, the network cost and the last
 // shared part. The part counts once if no upstream holds it, since it has to be read somewhere,
-// and AgainWeight times if it would be read or copied again. Counting the earlier shared parts
+// and RereadWeight times if it would be read or copied again. Counting the earlier shared parts
 // too drew the prompts that share them to a few upstreams and made them late.
 func (p *promptCost) total(m *member) int {
 	cost := p.fleet.backlog(p.now, m, p.request.urgencyLevel())
@@ -60,7 +60,7 @@
 	case p.holds(m, last):
 		return cost
 	case kept:
-		return cost + int(p.fleet.cfg.Tuning.AgainWeight*float64(last.Tokens))
+		return cost + int(p.fleet.cfg.Tuning.RereadWeight*float64(last.Tokens))
 	}
 	return cost + last.Tokens // it has to be read somewhere, and most requests can use it at the near home
 }
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -22,10 +22,10 @@
 //   - where a request goes: place.go, with cost.go, rendezvous.go, partindex.go, fetch.go, rtt.go, slots.go,
 //     memory.go, request.go
 //   - who is refused: admit.go; what is sent again: budget.go; what moves: move.go, answers.go
-//   - which upstreams are avoided: health.go, reach.go, back.go, evacuate.go
-//   - how much an upstream is sent: cold.go, limitpart.go, allowed.go, named.go, pause.go
-//   - which upstreams are reserved for tight streams: apart.go, lane.go, laneneed.go, lanesize.go, rate.go
+//   - which upstreams are avoided: health.go, reach.go, recovery.go, evacuate.go
+//   - how much an upstream is sent: cold.go, limitquota.go, limitgate.go, limitstate.go, pause.go
+//   - which upstreams are reserved for tight streams: separation.go, lane.go, laneneed.go, lanesize.go, rate.go
 //   - which requests are withheld: suspects.go
-//   - what boxes report to each other: tell.go, classnews.go, namednews.go, suspectnews.go
+//   - what boxes report to each other: partreport.go, classreport.go, limitreport.go, suspectreport.go
 //   - configuration and switches: tuning.go, mechanism.go
 package balance
--- a/balance/evacuate.go
+++ b/balance/evacuate.go
@@ -1,9 +1,9 @@
 package balance
 
-// This file defines which failure domains are evacuated: operators want nothing more sent
-// to their upstreams until they take the domain back. The invariant: while a domain is
-// evacuated none of its upstreams is chosen or tried, even where no other is left: the
-// request is refused then, since operators are about to take the machines away.
+// This file tracks which failure domains operators have evacuated: their upstreams get no
+// requests until the evacuation ends. The invariant: no upstream of an evacuated domain is chosen
+// or tried, even if no other is left. The request is refused in that case, since the machines are
+// about to be taken away.
 
 import (
 	"maps"
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Evacuate notes that nothing more is to be sent to the upstreams of a failure domain, and
-// reports whether that is new.
+// Evacuate stops sending requests to the upstreams of a failure domain, and reports whether it
+// was not evacuated before.
 func (f *Fleet) Evacuate(domain string) bool {
 	if f.evacuated[domain] {
 		return false
@@ -22,10 +22,9 @@
 	return true
 }
 
-// TakeBack notes that the upstreams of a failure domain may be used again, and reports
-// whether that is new. They count as cold from then on for as long as their service's
-// upstreams stay so after a start: they may have turned cold shortly before, and their
-// entries tell that up to a heartbeat later.
+// EndEvacuation allows requests to the upstreams of a failure domain again, and reports whether
+// it was evacuated. The upstreams count as cold from now on, for as long as after a start: they
+// may have restarted shortly before, and their entries report that up to one heartbeat later.
 func (f *Fleet) TakeBack(now time.Duration, domain string) bool {
 	if !f.evacuated[domain] {
 		return false
@@ -34,13 +33,13 @@
 	f.markEvacuated(domain, false)
 	for _, m := range f.byID {
 		if m.Domain == domain {
-			f.cool(now, m, f.serviceOf(m.Service).cold.Lasts)
+			f.markCold(now, m, f.serviceOf(m.Service).cold.Lasts)
 		}
 	}
 	return true
 }
 
-// Evacuated lists the failure domains that are evacuated, in order.
+// Evacuated returns the sorted names of the evacuated failure domains.
 func (f *Fleet) Evacuated() []string { return slices.Sorted(maps.Keys(f.evacuated)) }
 
 func (f *Fleet) markEvacuated(domain string, evacuated bool) {
@@ -51,5 +50,5 @@
 	}
 }
 
-// closed reports whether an upstream takes no new requests.
+// closed reports whether an upstream accepts no new requests.
 func (m *member) closed() bool { return m.Leaving || m.evacuated || m.needsLeavingCheck }
--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -8,34 +8,33 @@
 	"github.com/matryer/is"
 )
 
-// Nothing is sent to a failure domain that is evacuated, whatever kind of request it is and
-// whatever became of the other upstreams. The fleet's upstreams lie in d0, d1 and d2 in turn;
-// d0 is the box's own.
-func TestNothingIsSentToADomainThatIsEvacuated(t *testing.T) {
+// Nothing is sent to an evacuated failure domain, for any kind of request and any state of the
+// other upstreams. The upstreams are in d0, d1 and d2 in turn; d0 is the domain of the box.
+func TestNothingIsSentToEvacuatedDomain(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		evacuated []string
-		tried     []string // sent there before: a second run, or a stream that goes on
-		out       []string // out of reach
-		want      []string // domains that may be chosen; none: the request finds no place
+		tried     []string // tried before, as for a retry or a resumed stream
+		out       []string // unreachable upstreams
+		want      []string // domains that may be chosen; none: the request is not placed
 	}{
-		{"another one", []string{"d1"}, nil, nil, []string{"d0", "d2"}},
+		{"another domain", []string{"d1"}, nil, nil, []string{"d0", "d2"}},
 		{"the box's own", []string{"d0"}, nil, nil, []string{"d1", "d2"}},
-		{"two at once", []string{"d0", "d1"}, nil, nil, []string{"d2"}},
-		{"all of a service", []string{"d0", "d1", "d2"}, nil, nil, nil},
-		{"a second run", []string{"d1"}, []string{"u0", "u3", "u2"}, nil, []string{"d2"}},
-		{"a second run with nobody else left", []string{"d1"}, []string{"u0", "u3", "u2", "u5"}, nil, nil},
-		{"all others out of reach", []string{"d1", "d2"}, nil, []string{"u0", "u3"}, []string{"d0"}},
+		{"two domains", []string{"d0", "d1"}, nil, nil, []string{"d2"}},
+		{"all domains", []string{"d0", "d1", "d2"}, nil, nil, nil},
+		{"retry", []string{"d1"}, []string{"u0", "u3", "u2"}, nil, []string{"d2"}},
+		{"retry with no other upstream left", []string{"d1"}, []string{"u0", "u3", "u2", "u5"}, nil, nil},
+		{"all others unreachable", []string{"d1", "d2"}, nil, []string{"u0", "u3"}, []string{"d0"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newTestFleet(6)
 			for _, d := range c.evacuated {
 				is.True(f.Evacuate(d))
-				is.True(!f.Evacuate(d)) // told again
+				is.True(!f.Evacuate(d)) // repeated
 			}
 			for _, id := range c.out {
-				f.markOut(f.byID[id], false)
+				f.markUnreachable(f.byID[id], false)
 			}
 			allowed := make(map[string]bool)
 			for _, d := range c.want {
@@ -52,9 +51,9 @@
 	}
 }
 
-// What lies in a domain that is evacuated is fetched out of it instead of read again, and from
-// nowhere that cannot be reached.
-func TestWhatAnEvacuatedDomainKeepsIsFetched(t *testing.T) {
+// Prompt parts cached in an evacuated domain are fetched instead of prefilled again, but not from
+// an upstream that is unreachable.
+func TestPartsAreFetchedFromEvacuatedDomain(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6)
 	f.cfg.FirstStart = true
@@ -66,21 +65,21 @@
 	is.True(ok)
 	is.True(second.Upstream.Domain != first.Upstream.Domain)
 	is.Equal(second.Fetch, first.Upstream.Address)
-	f.markOut(f.byID[first.Upstream.ID], false)
+	f.markUnreachable(f.byID[first.Upstream.ID], false)
 	third, ok := f.Place(2*time.Second, r, nil)
 	is.True(ok)
 	is.Equal(third.Fetch, "")
 }
 
-func TestUpstreamsThatAreListedLaterAreEvacuatedWithTheirDomain(t *testing.T) {
+func TestUpstreamsListedLaterAreEvacuated(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(Config{Domain: "d0", Tuning: DefaultTuning})
 	f.Evacuate("d1")
 	f.Put(0, Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", Domain: "d1", Slots: 8})
 	_, ok := f.Place(time.Second, Request{Service: "s"}, nil)
 	is.True(!ok)
-	f.markOut(f.byID["u"], false)
-	is.Equal(len(f.Unreached()), 0) // no trial either
+	f.markUnreachable(f.byID["u"], false)
+	is.Equal(len(f.Unreached()), 0) // no probes either
 	is.Equal(f.Evacuated(), []string{"d1"})
 
 	is.True(f.TakeBack(2*time.Second, "d1"))
@@ -90,9 +89,9 @@
 	is.True(ok)
 }
 
-// The upstreams of a domain that is taken back may have turned cold just before: they are
-// sent no more than cold ones bear.
-func TestADomainThatIsTakenBackIsCold(t *testing.T) {
+// The upstreams of a domain may have become cold just before its evacuation ends: they are sent
+// no more than the limit for cold upstreams.
+func TestDomainIsColdAfterEvacuation(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6)
 	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
@@ -110,14 +109,14 @@
 			sent++
 		}
 	}
-	is.Equal(sent, 2*2) // two upstreams, each a third of half of the bound: there are three domains
+	is.Equal(sent, 2*2) // two upstreams, each with a third of half of the limit, since there are three domains
 	is.Equal(f.ColdLeft(11*time.Second, "s"), 2*time.Second)
 	_, ok := f.Place(13*time.Second, prompt(1), nil)
 	is.True(ok)
 	is.Equal(f.ColdLeft(13*time.Second, "s"), time.Duration(0))
 }
 
-func TestAnUpstreamThatTookAnothersAddressReplacesIt(t *testing.T) {
+func TestUpstreamReplacesPreviousHolderOfAddress(t *testing.T) {
 	put := func(id string, revision uint64) Upstream {
 		return Upstream{ID: id, Service: "s", Address: "10.0.0.1:1", Slots: 8, Revision: revision}
 	}
@@ -127,9 +126,9 @@
 		want     string
 		replaced []string
 	}{
-		{"the new one's entry comes later", []Upstream{put("old", 3), put("new", 7)}, "new", []string{"", "old"}},
-		{"the old one's entry comes later", []Upstream{put("new", 7), put("old", 3)}, "new", []string{"", ""}},
-		{"an entry is renewed", []Upstream{put("old", 3), put("old", 9)}, "old", []string{"", ""}},
+		{"entry of the new one arrives later", []Upstream{put("old", 3), put("new", 7)}, "new", []string{"", "old"}},
+		{"entry of the old one arrives later", []Upstream{put("new", 7), put("old", 3)}, "new", []string{"", ""}},
+		{"entry is renewed", []Upstream{put("old", 3), put("old", 9)}, "old", []string{"", ""}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -144,10 +143,10 @@
 	}
 }
 
-// Thirty upstreams have returned under their old addresses, and their entries have not come
-// yet: each is found out by one request of one of ninety boxes, and no other box sends a second.
-// The route allows one run only, so that each request that finds out gets no answer.
-func TestOneRequestFindsOutAnUpstreamThatReturned(t *testing.T) {
+// Thirty upstreams have restarted under their old addresses, and their entries have not arrived
+// yet. For each, one request of one of ninety boxes finds out, and no other box sends a second
+// one. The route allows a single run, so each request that finds out gets no answer.
+func TestOneRequestDetectsReplacedUpstream(t *testing.T) {
 	is := is.New(t)
 	boxes := make([]*Fleet, 90)
 	for i := range boxes {
@@ -172,7 +171,7 @@
 		lost++
 		ticket.Close(now, Replaced)
 		news := f.KeptNews()
-		for _, other := range boxes { // as the group tells them
+		for _, other := range boxes { // as the group reports it
 			other.NoteKept(now, news)
 		}
 	}
--- a/balance/fetch.go
+++ b/balance/fetch.go
@@ -33,7 +33,7 @@
 // is to be fetched. known is false if the index is not complete enough to decide.
 func (f *Fleet) knownHolder(now time.Duration, r Request, chosen *member) (from *member, known bool) {
 	last := r.lastShared()
-	if !last.told() {
+	if !last.isReported() {
 		return nil, false
 	}
 	if f.parts.holds(now, PartKey(last.ID), chosen) {
@@ -47,7 +47,7 @@
 			return from, true
 		}
 	}
-	return nil, f.sure(now)
+	return nil, f.knowsAllParts(now)
 }
 
 // likelyHolder returns the upstream that is more likely than the chosen one to hold the prompt,
@@ -58,11 +58,11 @@
 	key := sharedKey(r)
 	ownWeight := chosen.weightFor(key)
 	recent := f.isNew(now, chosen) || f.changedLane(now, chosen)
-	incomplete := r.lastShared().told() && !f.sure(now)
+	incomplete := r.lastShared().isReported() && !f.knowsAllParts(now)
 	tight := f.tight(r)
 	var c ranking
 	for _, m := range f.byService[r.Service] {
-		if m != chosen && !m.unreachable && !m.health.rests(now) && f.mayHold(now, m, tight) && f.mayRunIn(m.Domain, r) {
+		if m != chosen && !m.unreachable && !m.health.backingOff(now) && f.mayHold(now, m, tight) && f.mayRunIn(m.Domain, r) {
 			f.addToRanking(&c, m, key)
 		}
 	}
@@ -102,10 +102,12 @@
 }
 
 // isNew reports whether an upstream was listed too recently to hold many parts.
-func (f *Fleet) isNew(now time.Duration, m *member) bool { return now-m.listedAt < f.cfg.Tuning.NewFor }
+func (f *Fleet) isNew(now time.Duration, m *member) bool {
+	return now-m.listedAt < f.cfg.Tuning.NewUpstreamPeriod
+}
 
 // changedLane reports whether an upstream changed its lane too recently to hold many parts of its
 // present lane's prompts.
 func (f *Fleet) changedLane(now time.Duration, m *member) bool {
-	return now-m.laneChangedAt < f.cfg.Tuning.NewFor
+	return now-m.laneChangedAt < f.cfg.Tuning.NewUpstreamPeriod
 }
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -94,7 +94,7 @@
 	lastPutAt        time.Duration              // when an entry was last put
 	services         map[string]*service        // by name
 	parts            partIndex
-	lost             []Lost                  // became unreachable, and not yet returned by NewlyLost
+	lost             []UnreachableUpstream   // became unreachable, and not yet returned by NewlyLost
 	remoteLoadsStale bool                    // an upstream was listed after the last SetOthers; other boxes may have reported loads for it
 	domains          map[string]*domainReach // by name
 	toldCutOff       []string                // failure domains that another box reports as cut off
@@ -108,7 +108,7 @@
 	memoryShare      float64             // share of an upstream's memory that this box may fill; 1 while it knows the loads of the other boxes
 	boxCount         int                 // number of all boxes, as far as known
 	sharers          QuotaPeers
-	limits           limits            // that upstreams state in their answers
+	limits           limitTable        // that upstreams state in their answers
 	pauses           map[uint32]*pause // that upstreams requested, by incarnation key
 	pausesOver       []uint32          // pauses that ended and were not yet returned by PausesOver
 	cold             []*member         // upstreams that are cold, and some that were
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -50,7 +50,7 @@
 	c, _ = f.Place(0, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
 	is.Equal(c.Fetch, next) // the box may not have received all reports of parts yet
-	c, _ = f.Place(2*retellAfter, prompt(7), nil)
+	c, _ = f.Place(2*rereportInterval, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
 	is.Equal(c.Fetch, "")
 }
@@ -83,7 +83,7 @@
 	}
 	seen := false
 	for shared := range uint64(50) {
-		c, _ := f.Place(time.Second+restMax, prompt(shared), nil)
+		c, _ := f.Place(time.Second+backoffMax, prompt(shared), nil)
 		seen = seen || c.Upstream.ID == "u0"
 	}
 	is.True(seen) // it is tried again
@@ -175,7 +175,7 @@
 		}
 		f.Remove(id)
 	}
-	c, _ := f.Place(now+DefaultTuning.NewFor, prompt(7), nil)
+	c, _ := f.Place(now+DefaultTuning.NewUpstreamPeriod, prompt(7), nil)
 	is.Equal(c.Fetch, "") // by then the new home holds what it needs
 }
 
@@ -230,7 +230,7 @@
 		c, _ := f.Place(time.Second, prompt(shared), nil)
 		is.True(c.Upstream.Domain != "d1")
 	}
-	f.Reached("u7")
+	f.NoteReachableByID("u7")
 	is.Equal(len(f.Unreached()), 2)
 	f.Open(0, "u0", prompt(1)).Close(0, Unreachable)
 	f.Open(0, "u3", prompt(1)).Close(0, Unreachable)
--- a/balance/health.go
+++ b/balance/health.go
@@ -1,64 +1,64 @@
 package balance
 
-// This file defines what the answers of an upstream say about it. The invariant:
-// an upstream is only held back for a bounded time, after which a request tries it.
+// This file tracks the health of an upstream from the outcomes of this box's requests. The
+// invariant: an upstream backs off only for a bounded time, after which a request is tried there.
 
 import "time"
 
-// Outcome is what became of a request on an upstream.
+// Outcome is how a request on an upstream ended.
 type Outcome uint8
 
-// What may become of a request.
+// The outcomes of a request.
 const (
 	Answered          Outcome = iota
-	Full                      // the upstream said that it has no room
+	Full                      // the upstream replied that it has no capacity
 	Failed                    // an error, a broken connection, or no answer
-	Unreachable               // no connection came up, or it went silent
-	Replaced                  // another start of the upstream has its address now
-	Neutral                   // ended for reasons that say nothing about the upstream
-	ConnectionRefused         // nobody listens at its address
-	ConnectionLost            // the connection was reset or closed under a run
+	Unreachable               // no connection was established, or it went silent
+	Replaced                  // another incarnation of the upstream has its address now
+	Neutral                   // ended for a reason that says nothing about the upstream
+	ConnectionRefused         // nothing listens at the upstream's address
+	ConnectionLost            // the connection was reset or closed during a run
 )
 
 const (
-	// failShare is the share of the past in the mean of failures, an answer.
-	failShare = 0.8
-	// restMin and restMax bound how long an upstream rests after failing.
-	restMin = 200 * time.Millisecond
-	restMax = 2 * time.Second
-	// restDoublings bounds how often restMin is doubled, beyond what restMax allows.
-	restDoublings = 8
-	// mostResting is the share of a service's upstreams, in 100, that may rest at once:
-	// where more fail, the cause is not theirs, and what is left would be overrun.
-	mostResting = 50
-	// percent is the whole that a share in 100 is taken of.
-	percent = 100
-	// fullRest is how long an upstream that had no room is passed over.
-	fullRest = 100 * time.Millisecond
+	// failureDecay is the weight that the failure rate keeps with each new outcome.
+	failureDecay = 0.8
+	// backoffMin and backoffMax bound how long an upstream backs off after consecutive failures.
+	backoffMin = 200 * time.Millisecond
+	backoffMax = 2 * time.Second
+	// maxBackoffDoublings limits the shift of backoffMin; backoffMax applies long before it.
+	maxBackoffDoublings = 8
+	// maxBackoffPercent is the share of a service's upstreams that may back off at once, in
+	// percent. If more fail, the cause is not in the upstreams, and the remaining ones would be
+	// overloaded.
+	maxBackoffPercent = 50
+	percent           = 100
+	// fullBackoff is how long an upstream that reported no capacity backs off.
+	fullBackoff = 100 * time.Millisecond
 )
 
-// health is what this box's own requests tell of an upstream.
+// health is the state of an upstream derived from this box's own requests.
 type health struct {
-	failing  float64 // mean of failures, 1 for a failure and 0 for an answer
-	inRow    int     // failures since the last answer
-	restTill time.Duration
+	failureRate         float64 // exponentially weighted mean: 1 per failure, 0 per answer
+	consecutiveFailures int     // failures since the last answer
+	backoffUntil        time.Duration
 }
 
-func (h *health) note(now time.Duration, o Outcome) {
+func (h *health) record(now time.Duration, o Outcome) {
 	switch o {
 	case Answered:
-		h.failing *= failShare
-		h.inRow = 0
+		h.failureRate *= failureDecay
+		h.consecutiveFailures = 0
 	case Failed, ConnectionLost:
-		h.failing = h.failing*failShare + (1 - failShare)
-		h.inRow++
-		if h.inRow > 1 {
-			h.restTill = now + min(restMin<<min(h.inRow, restDoublings), restMax)
+		h.failureRate = h.failureRate*failureDecay + (1 - failureDecay)
+		h.consecutiveFailures++
+		if h.consecutiveFailures > 1 {
+			h.backoffUntil = now + min(backoffMin<<min(h.consecutiveFailures, maxBackoffDoublings), backoffMax)
 		}
 	case Full:
-		h.restTill = max(h.restTill, now+fullRest)
+		h.backoffUntil = max(h.backoffUntil, now+fullBackoff)
 	}
 }
 
-// rests reports whether requests should go elsewhere for now.
-func (h *health) rests(now time.Duration) bool { return now < h.restTill }
+// backingOff reports whether requests should go elsewhere for now.
+func (h *health) backingOff(now time.Duration) bool { return now < h.backoffUntil }
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -8,15 +8,15 @@
 	"github.com/matryer/is"
 )
 
-// Where most upstreams of a service fail, half of them at the most are passed over, and
-// these are the ones that fail most.
-func TestNoMoreThanHalfOfTheUpstreamsRest(t *testing.T) {
+// If most upstreams of a service fail, at most half of them back off, and these are the ones with
+// the highest failure rates.
+func TestAtMostHalfOfUpstreamsBackOff(t *testing.T) {
 	for _, failing := range []int{1, 4, 5, 8, 10} {
 		t.Run(fmt.Sprint(failing), func(t *testing.T) {
 			is := is.New(t)
 			f := newTestFleet(10)
 			for i := range failing {
-				for range 3 + i { // the later ones fail more often
+				for range 3 + i { // later ones have more failures
 					f.Open(0, fmt.Sprintf("u%d", i), prompt(1)).Close(0, Failed)
 				}
 			}
@@ -28,13 +28,13 @@
 			for i := range failing {
 				is.Equal(usable[fmt.Sprintf("u%d", i)], i < failing-5)
 			}
-			is.Equal(len(f.usable(restMax, Request{Service: "s"}, nil)), 10) // and each is tried again
+			is.Equal(len(f.usable(backoffMax, Request{Service: "s"}, nil)), 10) // all are used again after the backoff
 		})
 	}
 }
 
-// One that cannot be reached is not taken as long as one can that fails.
-func TestOneThatFailsIsBetterThanOneOutOfReach(t *testing.T) {
+// A failing upstream is preferred to an unreachable one.
+func TestFailingUpstreamIsPreferredToUnreachable(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(2)
 	f.Open(0, "u0", prompt(1)).Close(0, Unreachable)
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -80,7 +80,7 @@
 	f.Open(0, "u", prompt(7)).Close(0, Failed)
 	f.Open(0, "u", prompt(7)).Close(0, Failed)
 	f.SetRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Open: 3, Unread: 100}})
-	f.cool(0, old, time.Hour)
+	f.markCold(0, old, time.Hour)
 	is.True(f.parts.holds(0, PartKey(7), old))
 	news := f.KeptNews()
 
@@ -100,7 +100,7 @@
 	}
 	is.True(!m.unreachable && !m.Leaving && !m.suspect)
 	is.Equal(m.health, health{})
-	is.Equal(f.domain("d1").inRow, 0) // these outcomes do not count towards a cut-off domain
+	is.Equal(f.domainReachOf("d1").consecutive, 0) // these outcomes do not count towards a cut-off domain
 	is.Equal(len(f.NewlyLost()), 0)
 	is.Equal(len(f.KeptNews()), 0)
 	f.Open(time.Second, "u", prompt(8)).Close(time.Second, Answered)
@@ -199,7 +199,7 @@
 			is.Equal(f.parts.holds(now, PartKey(7), m), c.keeps)
 			f.NoteKept(now+maxNewsAge-1, news) // may predate the sign
 			is.Equal(f.parts.holds(now+maxNewsAge-1, PartKey(7), m), true == c.keeps)
-			f.reached(now, m)
+			f.recordReachable(now, m)
 			f.NoteKept(now+2*maxNewsAge, news) // a later report is accepted
 			is.True(f.parts.holds(now+2*maxNewsAge, PartKey(7), m))
 		})
--- a/balance/lane.go
+++ b/balance/lane.go
@@ -1,10 +1,10 @@
 package balance
 
-// This file defines lanes: some upstreams of a service are kept for tight streams,
-// those whose events must follow each other closely, since an engine that reads a long
-// prompt holds up the tokens of everything that runs beside it. How many are kept stands
-// in lanesize.go. The invariant: the upstreams are kept in an order that
-// all boxes know, so that boxes which differ in the number differ in the last ones only.
+// This file defines lanes: some upstreams of a service are reserved for tight streams, those
+// whose events must follow each other closely, since an engine that prefills a long prompt delays
+// the tokens of everything else that it runs. lanesize.go computes how many are reserved. The
+// invariant: upstreams are reserved in an order that is the same on all boxes, so that boxes with
+// different lane sizes differ only in the last upstreams of that order.
 
 import (
 	"cmp"
@@ -13,28 +13,28 @@
 	"time"
 )
 
-// minLanes is from how many upstreams on a service has lanes: with fewer, the loss of
-// one would leave a lane empty too often.
-const minLanes = 4
+// minLaneUpstreams is the least number of upstreams for which a service has lanes. With fewer,
+// losing one would too often leave a lane empty.
+const minLaneUpstreams = 4
 
-// laneKey is the key by which rendezvous orders the upstreams.
+// laneKey is the rendezvous key for the order in which upstreams are reserved.
 const laneKey = 1
 
-// lanes is how the upstreams of one service are divided.
+// lanes is how the upstreams of one service are assigned to lanes.
 type lanes struct {
-	stale   bool          // the list has changed since they were
-	divided bool          // they were once
-	share   float64       // of the upstreams that tight streams should have
-	places  int           // upstreams that are kept for them
-	open    Need          // requests under way on each side, lately
-	spare   int           // slots of its upstreams, but for those that name limits
-	reading Need          // upstreams of each lane that read, as a share of all, lately
-	counted time.Duration // when these were last brought up to date
+	stale    bool          // the list has changed since the last assignment
+	divided  bool          // an assignment has been made
+	share    float64       // share of the upstreams reserved for tight streams
+	reserved int           // number of upstreams reserved for tight streams
+	open     Need          // recent requests in progress on each side
+	spare    int           // slots of the upstreams that advertise no limit
+	prefill  Need          // recent share of upstreams that prefill, by lane
+	updated  time.Duration // when open and reading were last updated
 }
 
-// lane divides a list into the upstreams of the request's lane and those beyond it; all
-// are in the lane where none would be.
-func (f *Fleet) lane(now time.Duration, r Request, list []*member) (within, beyond []*member) {
+// splitByLane splits a list into the upstreams of the request's lane and the others. If no
+// upstream would be in the lane, all are returned as within it.
+func (f *Fleet) splitByLane(now time.Duration, r Request, list []*member) (within, beyond []*member) {
 	tight := f.tight(r)
 	within = make([]*member, 0, len(list))
 	for _, m := range list {
@@ -50,30 +50,30 @@
 	return within, beyond
 }
 
-// tight reports whether a request belongs to the lane for tight streams.
+// tight reports whether a request belongs in the lane for tight streams.
 func (f *Fleet) tight(r Request) bool { return f.serviceOf(r.Service).classes.tight(r.Class) }
 
-// inLane reports whether an upstream is in the lane for tight streams, or in the one
-// for the others.
+// inLane reports whether an upstream is in the lane for tight streams (tight) or in the other
+// one.
 func (f *Fleet) inLane(now time.Duration, m *member, tight bool) bool {
 	s := m.service
-	if s.listed < minLanes {
+	if s.listed < minLaneUpstreams {
 		return true
 	}
 	if s.stale {
-		f.divide(now, s)
+		f.assignLanes(now, s)
 	}
-	return s.places == 0 || m.tight == tight
+	return s.reserved == 0 || m.tight == tight
 }
 
-// divide puts a service's upstreams into their lanes, once after each change of its
-// list or of the number kept: doing so for each request would cost the square of the list.
-func (f *Fleet) divide(now time.Duration, s *service) {
+// assignLanes assigns a service's upstreams to lanes, once after each change of the list or of
+// the number reserved. Doing so for each request would cost the square of the list's length.
+func (f *Fleet) assignLanes(now time.Duration, s *service) {
 	all := slices.Clone(f.byService[s.name])
 	slices.SortFunc(all, func(a, b *member) int { return cmp.Compare(b.laneWeight, a.laneWeight) })
-	s.places = int(math.Round(s.share * float64(len(all))))
+	s.reserved = int(math.Round(s.share * float64(len(all))))
 	for i, m := range all {
-		if tight := i < s.places; tight != m.tight {
+		if tight := i < s.reserved; tight != m.tight {
 			m.tight = tight
 			if s.divided && !f.isNew(now, m) {
 				m.laneChangedAt = now
--- a/balance/laneneed.go
+++ b/balance/laneneed.go
@@ -1,50 +1,52 @@
 package balance
 
-// This file defines how many upstreams tight streams and the others need: slots for what is
-// under way, and time to read what is to be read. The loads that it answers: a burst of tight
-// streams that read little and hold all slots of their lane while the others' stand empty, and
-// a burst of long prompts that read all the time and hold few slots. The invariant: upstreams
-// are divided in the proportion of the two needs, whichever of slots and reading makes each.
+// This file estimates how many upstreams tight streams and other requests need: slots for
+// requests in progress, and time to prefill prompts. It addresses two loads: a burst of tight
+// streams with short prompts that occupies all slots of its lane while those of the other one are
+// free, and a burst of long prompts that prefills all the time and occupies few slots. The
+// invariant: upstreams are divided in proportion to the needs of the two sides, where the greater
+// of the needs for slots and for prefill counts on each side.
 
 import "time"
 
-// readingAhead is the time that an upstream counts as reading for when it has as much to read
-// as takes so long, and for its part of it when it has less: a prompt counts as unread until
-// its first event has come back, which takes longer than the reading of a short one.
-const readingAhead = 100 * time.Millisecond
+// prefillHorizon is the backlog from which on an upstream counts as busy with prefill; a smaller
+// backlog counts in proportion. A prompt counts as unread until its first event has arrived,
+// which takes longer than the prefill of a short one.
+const prefillHorizon = 100 * time.Millisecond
 
-// mostReadingWeight bounds what an upstream that reads all the time counts.
-const mostReadingWeight = 1.5
+// maxPrefillWeight bounds the weight of an upstream that prefills all the time.
+const maxPrefillWeight = 1.5
 
-// Need is what tight streams and the others need of a service's upstreams, as shares of them
-// all.
+// Need is what tight streams and the other requests need of a service's upstreams, as shares of
+// all upstreams.
 type Need struct{ Tight, Rest float64 }
 
-// add counts a share of one upstream on the side that it is kept for.
-func (n *Need) add(tight bool, share float64) {
+// add adds a share of one upstream to the side that it is assigned to.
+func (n *Need) add(tight bool, tightShare float64) {
 	if tight {
-		n.Tight += share
+		n.Tight += tightShare
 	} else {
-		n.Rest += share
+		n.Rest += tightShare
 	}
 }
 
 func (n Need) sum() float64 { return n.Tight + n.Rest }
 
-// by is each side's need by a weight of its own.
-func (n Need) by(o Need) Need { return Need{n.Tight * o.Tight, n.Rest * o.Rest} }
+// weighted multiplies each side by its own weight.
+func (n Need) weighted(o Need) Need { return Need{n.Tight * o.Tight, n.Rest * o.Rest} }
 
-func (n Need) times(x float64) Need { return Need{n.Tight * x, n.Rest * x} }
+func (n Need) scaled(x float64) Need { return Need{n.Tight * x, n.Rest * x} }
 
-// follow is what it becomes when it is now: a rise counts at once, and what has fallen counts
-// less and less, by what is left of it. With a mean the lane would be too large for as long after a burst
-// of tight streams, and too small as one begins.
+// follow returns the need after an update to now: an increase applies at once, and a decrease
+// with exponential decay, where left is the remaining part of the old value. A plain mean would
+// keep the lane too large for as long after a burst of tight streams, and too small when one
+// begins.
 func (n Need) follow(now Need, left float64) Need {
 	return Need{max(now.Tight, now.Tight+(n.Tight-now.Tight)*left), max(now.Rest, now.Rest+(n.Rest-now.Rest)*left)}
 }
 
-// share is the share of the upstreams that tight streams should have; at least so much is left
-// to either side.
+// tightShare returns the share of the upstreams that tight streams should have; at least the
+// share least remains for either side.
 func (n Need) share(least float64) float64 {
 	if n.sum() == 0 {
 		return least
@@ -52,46 +54,48 @@
 	return min(max(n.Tight/n.sum(), least), 1-least)
 }
 
-// readingWeight is how many upstreams whose slots are all held count as much as one that reads
-// all the time, on either side: the more, the fewer prompts an upstream can read in the time that
-// one may wait. Where three can be, it has to rest half of its time for another to find it free;
-// where nine can be, it hardly has to. One weight for all would suit one kind of prompts only.
-func (f *Fleet) readingWeight(s *service) Need {
-	var tight, rest mean // how long prompts are read, by how long they may wait
-	for _, c := range s.classes.counted() {
+// prefillWeights returns, for each side, how many upstreams with all slots occupied weigh as much
+// as one that prefills all the time. The weight is greater the fewer prompts an upstream can
+// prefill within the time that a prompt may wait: with three, it has to be idle half of the time
+// for a prompt to find it free; with nine, hardly ever. A single weight would suit only one kind
+// of prompt.
+func (f *Fleet) prefillWeights(s *service) Need {
+	var tight, rest mean // prefill time of prompts, relative to the time that they may wait
+	for _, c := range s.classes.significant() {
 		if c.target == 0 {
 			continue
 		}
 		side := &rest
-		if s.classes.tightKey(c.key) {
+		if s.classes.isTightKey(c.key) {
 			side = &tight
 		}
-		wait := part(c.target, f.cfg.Tuning.Admit)
-		side.add(float64(f.readTime(int(c.read())))/float64(wait), c.read()*c.seen())
+		wait := fraction(c.target, f.cfg.Tuning.AdmitShare)
+		side.add(float64(f.prefillTime(int(c.meanPrefill())))/float64(wait), c.meanPrefill()*c.requests())
 	}
-	return Need{f.weightOf(tight), f.weightOf(rest)}
+	return Need{f.prefillWeight(tight), f.prefillWeight(rest)}
 }
 
-// weightOf is the weight of a side; that of held slots where no target is known.
-func (f *Fleet) weightOf(readByWait mean) float64 {
+// prefillWeight returns the weight of one side; 1, as for occupied slots, if no latency target is
+// known.
+func (f *Fleet) prefillWeight(readByWait mean) float64 {
 	if readByWait.weight == 0 {
 		return 1
 	}
-	return min(f.cfg.Tuning.LaneQueue*readByWait.value(), mostReadingWeight)
+	return min(f.cfg.Tuning.LaneQueuePrompts*readByWait.value(), maxPrefillWeight)
 }
 
-// readingShare is for how much of the time to come an upstream reads.
-func (f *Fleet) readingShare(unread int) float64 {
-	return min(float64(f.readTime(unread))/float64(readingAhead), 1)
+// prefillShare returns the share of the coming prefillHorizon during which an upstream prefills.
+func (f *Fleet) prefillShare(unread int) float64 {
+	return min(float64(f.prefillTime(unread))/float64(prefillHorizon), 1)
 }
 
-// needOf is what the sides of a service need. Of slots and of reading counts that of which a
-// side needs more: it may be short of one while it has the other to spare.
-func (f *Fleet) needOf(s *service) Need {
-	reading := s.reading.by(f.readingWeight(s))
+// laneNeed returns what the two sides of a service need. The greater of the needs for slots and
+// for prefill counts: a side may be short of one while it has enough of the other.
+func (f *Fleet) laneNeed(s *service) Need {
+	reading := s.prefill.weighted(f.prefillWeights(s))
 	if s.spare == 0 {
 		return reading
 	}
-	held := s.open.times(1 / float64(s.spare))
+	held := s.open.scaled(1 / float64(s.spare))
 	return Need{max(reading.Tight, held.Tight), max(reading.Rest, held.Rest)}
 }
--- /dev/null
+++ b/balance/limitquota.go
@@ -0,0 +1,87 @@
+package balance
+
+// This file divides the rate limits that upstreams advertise among the boxes. A limit applies to
+// all boxes together and may be far less than one request per second and box, so it is divided
+// without coordination, like the limit of cold upstreams: each failure domain has a part that
+// does not depend on which boxes are heard from, and within the domain the first few boxes by
+// rendezvous rank may send one or more requests each in any time span. The invariant: boxes that
+// know of each other together send what the limit allows in any span, and at most half of the
+// bound; the other half covers boxes that know a different set, as after a partition within a
+// domain.
+
+import "time"
+
+// LimitBounds is how far the limits that upstreams advertise may be exceeded.
+type LimitBounds struct {
+	Span      time.Duration // time span over which requests are counted
+	Overshoot float64       // factor of what the limit allows in the span
+	Slack     float64       // additional requests in the span
+}
+
+const (
+	// maxTransit is the longest time from placing a request until it reaches its upstream:
+	// DialWait, plus the delays of a busy box and upstream. Boxes count requests over a span that
+	// is longer than that of the bound by this time.
+	maxTransit = time.Second
+	// probeInterval is how often a request is sent to an upstream whose limit allows none, or
+	// fewer than that: otherwise the end of the limit would go unnoticed. One request in 10 s is
+	// far within any bound.
+	probeInterval = 10 * time.Second
+	// imbalanceFactor is how many times the mean of its service an upstream may be sent; a limit
+	// above that is taken not to bind.
+	imbalanceFactor = 2
+)
+
+// allowance returns how many requests all boxes together may send under a limit, and within which
+// time span.
+func (b LimitBounds) allowance(perSecond float64) (requests int, span time.Duration) {
+	span = b.Span + maxTransit
+	bound := max(b.Overshoot, 1)*perSecond*b.Span.Seconds() + b.Slack
+	requests = int(min(perSecond*span.Seconds(), bound/2))
+	if requests > 0 {
+		return requests, span
+	}
+	return 1, time.Duration(min(float64(time.Second)/perSecond, float64(probeInterval)))
+}
+
+// refreshLimitQuotas recomputes the quota of this box for each limit.
+func (f *Fleet) refreshLimitQuotas() {
+	for incarnation, x := range f.limits.byLife {
+		if m := f.byKey[incarnation]; m != nil && x.inForce() {
+			requests, _ := f.cfg.Named.allowance(x.perSecond)
+			x.quota = f.sharers.quota(m.ID, f.domainLimitShare(m, requests))
+		}
+	}
+}
+
+// domainLimitShare returns how many of the requests that a limit allows the boxes of this domain
+// have together. All domains get the same part, since each of them carries a part of the
+// requests. The upstream's own domain also gets the remainder, and all of it if there is less
+// than one request per domain.
+func (f *Fleet) domainLimitShare(m *member, requests int) int {
+	domains := map[string]bool{f.cfg.Domain: true}
+	for domain := range f.cfg.Regions {
+		domains[domain] = true
+	}
+	for _, other := range f.byService[m.Service] {
+		domains[other.Domain] = true
+	}
+	each := requests / len(domains)
+	if m.Domain != f.cfg.Domain {
+		return each
+	}
+	return requests - each*(len(domains)-1)
+}
+
+// mayBind reports whether a limit may be lower than what an upstream is sent without it, judged
+// by what this box sent recently to all upstreams of the service. Only in that case do earlier
+// requests exceed the limit.
+func (f *Fleet) mayBind(now time.Duration, m *member, perSecond float64) bool {
+	requests, span := f.cfg.Named.allowance(perSecond)
+	sum := 0
+	for _, other := range f.byService[m.Service] {
+		sum += other.history.within(now, span)
+	}
+	usual := float64(sum*max(f.boxCount, 1)) / float64(max(len(f.byService[m.Service]), 1))
+	return imbalanceFactor*usual >= float64(requests)
+}
--- a/balance/list.go
+++ b/balance/list.go
@@ -97,7 +97,7 @@
 		m.service.slots += u.Slots - m.Slots
 		m.Upstream, m.evacuated = u, f.evacuated[u.Domain]
 		f.claimAddress(m)
-		f.cool(now, m, u.ColdFor)
+		f.markCold(now, m, u.ColdFor)
 		return
 	}
 	if len(f.byID) == 0 {
@@ -110,9 +110,9 @@
 	f.restore(m)
 	f.takeOverWork(m)
 	f.claimAddress(m)
-	f.cool(now, m, u.ColdFor)
+	f.markCold(now, m, u.ColdFor)
 	if now-f.firstListedAt < initialListSpan {
-		m.listedAt = now - f.cfg.Tuning.NewFor // it was running before this box started
+		m.listedAt = now - f.cfg.Tuning.NewUpstreamPeriod // it was running before this box started
 	}
 	f.byID[u.ID], f.byKey[m.key] = m, m
 	f.limits.listed = len(f.byID)
@@ -153,8 +153,8 @@
 	m.service.listed--
 	m.service.slots -= m.Slots
 	f.parts.forget(m)
-	f.markIn(m) // remove it from the count of its cut-off domain
-	m.setLost(false, false)
+	f.markReachable(m) // remove it from the count of its cut-off domain
+	m.setReachability(false, false)
 	isIt := func(other *member) bool { return other == m }
 	f.byService[m.Service] = slices.DeleteFunc(f.byService[m.Service], isIt)
 	f.cold = slices.DeleteFunc(f.cold, isIt)
@@ -203,7 +203,7 @@
 		return
 	}
 	u := *waits
-	f.ended(m)
+	f.noteReplaced(m)
 	f.awaitAddress(m.Upstream)
 	f.Put(now, u)
 }
--- a/balance/mechanism.go
+++ b/balance/mechanism.go
@@ -1,8 +1,8 @@
 package balance
 
-// This file defines the mechanisms that can be switched off one by one, to measure what
-// each is worth on a deployment. The invariant: a mechanism that is off decides nothing;
-// what it learned and told before makes no difference either.
+// This file defines the mechanisms that can be switched off one by one, to measure the effect of
+// each on a deployment. The invariant: a mechanism that is off has no influence on decisions,
+// neither by what it learned nor by what it reported before.
 
 import (
 	"fmt"
@@ -11,45 +11,45 @@
 	"strings"
 )
 
-// Mechanism names something that boxes decide by.
+// Mechanism names a mechanism that boxes use in their decisions.
 type Mechanism string
 
 // The mechanisms.
 const (
-	Lanes            Mechanism = "lanes"       // upstreams are kept for tight streams
-	Leaving          Mechanism = "leaving"     // tight streams may leave their lane
-	Slots            Mechanism = "slots"       // the wait for a slot counts as work before a request
-	AdmissionControl Mechanism = "admission"   // what would come too late is refused
-	Order            Mechanism = "order"       // a refusal holds less urgent requests to its bound
-	Loads            Mechanism = "loads"       // work of other boxes counts
-	Parts            Mechanism = "parts"       // who was sent which part of a prompt decides
-	Fetching         Mechanism = "fetching"    // upstreams fetch what others keep
-	Memory           Mechanism = "memory"      // an upstream gets no more than its memory holds
-	Domains          Mechanism = "domains"     // a failure domain is left as a whole
-	Moving           Mechanism = "moving"      // an answer that would end late goes on elsewhere
-	Rests            Mechanism = "rests"       // an upstream that fails is passed over for a while
-	Resuming         Mechanism = "resuming"    // a stream goes on at another upstream
-	Repeating        Mechanism = "repeating"   // a request whose run failed is run elsewhere
-	Distance         Mechanism = "distance"    // how far upstreams are counts
-	Limits           Mechanism = "limits"      // upstreams get no more than they name
-	Pauses           Mechanism = "pauses"      // upstreams that ask for a pause get nothing until its end
-	Withholding      Mechanism = "withholding" // a request under which upstreams end is refused
+	Lanes            Mechanism = "lanes"       // upstreams are reserved for tight streams
+	LaneExit         Mechanism = "leaving"     // tight streams may leave their lane
+	Slots            Mechanism = "slots"       // waiting for a slot counts as backlog
+	AdmissionControl Mechanism = "admission"   // requests that would be served too late are refused
+	RefusalOrder     Mechanism = "order"       // a refusal limits less urgent requests to its bound
+	Loads            Mechanism = "loads"       // the load from other boxes is considered
+	Parts            Mechanism = "parts"       // the prompt parts that upstreams were sent are considered
+	Fetching         Mechanism = "fetching"    // upstreams fetch cached prompts from each other
+	Memory           Mechanism = "memory"      // upstreams get no more than fits in their memory
+	DomainCutOff     Mechanism = "domains"     // failure domains are marked as cut off as a whole
+	Moving           Mechanism = "moving"      // answers that would end late move to another upstream
+	FailureBackoff   Mechanism = "rests"       // upstreams that fail are avoided for a while
+	Resuming         Mechanism = "resuming"    // streams resume at another upstream
+	Repeating        Mechanism = "repeating"   // requests whose run failed are run elsewhere
+	Distance         Mechanism = "distance"    // the distance to upstreams is considered
+	Limits           Mechanism = "limits"      // upstreams get no more than the limits they advertise
+	Pauses           Mechanism = "pauses"      // upstreams that request a pause get nothing until its end
+	Withholding      Mechanism = "withholding" // requests that make upstreams crash are refused
 )
 
-// purposes says what each mechanism is for.
+// purposes holds the purpose of each mechanism.
 var purposes = map[Mechanism]string{
 	Lanes:            "keeps long prompts from holding up streams whose events must follow each other closely",
-	Leaving:          "lets such streams use other upstreams when theirs are overrun",
+	LaneExit:         "lets such streams use other upstreams when theirs are overrun",
 	Slots:            "finds upstreams whose slots are free when streams fill them",
 	AdmissionControl: "refuses at once what would come too late, before it makes others late",
-	Order:            "keeps the less urgent from taking what the more urgent was refused",
+	RefusalOrder:     "keeps the less urgent from taking what the more urgent was refused",
 	Loads:            "avoids upstreams that other boxes keep busy",
 	Parts:            "sends prompts to where their shared parts lie",
 	Fetching:         "spares reading what another upstream keeps",
 	Memory:           "keeps upstreams from falling over, or putting requests back, under the longest requests",
-	Domains:          "finds out about a cut once, not upstream by upstream",
+	DomainCutOff:     "finds out about a cut once, not upstream by upstream",
 	Moving:           "ends long answers whose upstream has come to read all the time",
-	Rests:            "spares requests the upstreams that fail",
+	FailureBackoff:   "spares requests the upstreams that fail",
 	Resuming:         "ends streams whose upstream is lost",
 	Repeating:        "answers requests whose first run failed",
 	Limits:           "keeps upstreams in need from being sent more, by all boxes together, than they name in their answers",
@@ -58,11 +58,10 @@
 	Distance:         "saves the time that requests spend on the way, and bytes over dear links",
 }
 
-// Off is the mechanisms that are switched off.
+// Off is the set of mechanisms that are switched off.
 type Off map[Mechanism]bool
 
-// ParseOff reads the names of the mechanisms that are off; the error names one that there
-// is not.
+// ParseOff parses the names of mechanisms to switch off. The error names an unknown one.
 func ParseOff(names []string) (Off, error) {
 	off := make(Off)
 	for _, name := range names {
@@ -74,7 +73,7 @@
 	return off, nil
 }
 
-// MechanismNames lists all mechanisms, in order.
+// MechanismNames returns the sorted names of all mechanisms.
 func MechanismNames() []string {
 	var names []string
 	for _, m := range slices.Sorted(maps.Keys(purposes)) {
@@ -83,10 +82,10 @@
 	return names
 }
 
-// Purpose says what a mechanism is for.
+// Purpose returns what the mechanism is for.
 func (m Mechanism) Purpose() string { return purposes[m] }
 
-// Names lists the mechanisms that are off, in order.
+// Names returns the sorted names of the mechanisms that are off.
 func (o Off) Names() []string {
 	names := make([]string, 0, len(o))
 	for _, m := range slices.Sorted(maps.Keys(o)) {
--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// fleetWithout is a fleet of nine upstreams without a mechanism.
+// fleetWithout returns a fleet of nine upstreams with some mechanisms switched off.
 func fleetWithout(off Off) *Fleet {
 	f := newDividedFleet(9)
 	f.cfg.Off = off
@@ -16,22 +16,22 @@
 	return f
 }
 
-// Each mechanism decides something, and nothing when it is off.
-func TestAMechanismThatIsOffDecidesNothing(t *testing.T) {
+// Each mechanism influences a decision, and no longer does when it is off.
+func TestDisabledMechanismHasNoEffect(t *testing.T) {
 	busy := func(f *Fleet, id string, l Load) { f.SetRemoteLoads(map[LoadKey]Load{{Key(id), 0}: l}) }
 	tests := []struct {
 		mechanism Mechanism
 		decides   func(f *Fleet) bool
 	}{
-		{Lanes, func(f *Fleet) bool { return len(tightPlaces(f)) == 3 }},
-		{Leaving, func(f *Fleet) bool {
+		{Lanes, func(f *Fleet) bool { return len(tightUpstreams(f)) == 3 }},
+		{LaneExit, func(f *Fleet) bool {
 			loads := make(map[LoadKey]Load)
-			for id := range tightPlaces(f) {
+			for id := range tightUpstreams(f) {
 				loads[LoadKey{Key(id), 0}] = Load{Unread: 1e6, Open: 1}
 			}
 			f.SetRemoteLoads(loads)
 			c, _ := f.Place(0, chat(1), nil)
-			return !tightPlaces(f)[c.Upstream.ID]
+			return !tightUpstreams(f)[c.Upstream.ID]
 		}},
 		{Slots, func(f *Fleet) bool {
 			home, _ := f.Place(0, letter(1), nil)
@@ -41,14 +41,14 @@
 			return c.Upstream.ID != home.Upstream.ID
 		}},
 		{AdmissionControl, func(f *Fleet) bool {
-			_, ok := f.Admit(0, letter(1), Admission{Target: time.Second}, waitOf(time.Minute))
+			_, ok := f.Admit(0, letter(1), Admission{Target: time.Second}, choiceWithWait(time.Minute))
 			return !ok
 		}},
-		{Order, func(f *Fleet) bool {
-			f.Admit(0, chat(1), Admission{Target: time.Second}, waitOf(time.Minute))
+		{RefusalOrder, func(f *Fleet) bool {
+			f.Admit(0, chat(1), Admission{Target: time.Second}, choiceWithWait(time.Minute))
 			other := letter(1)
 			other.Urgency = 1
-			_, ok := f.Admit(0, other, Admission{Target: time.Hour}, waitOf(time.Minute))
+			_, ok := f.Admit(0, other, Admission{Target: time.Hour}, choiceWithWait(time.Minute))
 			return !ok
 		}},
 		{Loads, func(f *Fleet) bool {
@@ -60,7 +60,7 @@
 		{Parts, func(f *Fleet) bool {
 			home, _ := f.Place(0, letter(1), nil)
 			for id := range f.byID {
-				if id != home.Upstream.ID && !tightPlaces(f)[id] {
+				if id != home.Upstream.ID && !tightUpstreams(f)[id] {
 					f.NoteKept(0, []PartReport{{PartKey(1), Key(id)}})
 					c, _ := f.Place(0, letter(1), nil)
 					return c.Upstream.ID == id
@@ -74,12 +74,12 @@
 			c, _ := f.Place(0, letter(1), []string{home.Upstream.ID})
 			return c.Fetch != ""
 		}},
-		{Domains, func(f *Fleet) bool {
+		{DomainCutOff, func(f *Fleet) bool {
 			f.Open(0, "u1", letter(1)).Close(0, Unreachable)
 			f.Open(0, "u4", letter(1)).Close(0, Unreachable)
 			return len(f.Unreached()) == 3
 		}},
-		{Rests, func(f *Fleet) bool {
+		{FailureBackoff, func(f *Fleet) bool {
 			home, _ := f.Place(0, letter(1), nil)
 			for range 3 {
 				f.Open(0, home.Upstream.ID, letter(1)).Close(0, Failed)
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestMechanismsAreCheckedByName(t *testing.T) {
+func TestParseOff(t *testing.T) {
 	is := is.New(t)
 	off, err := ParseOff([]string{"slots", "lanes"})
 	is.NoErr(err)
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -184,7 +184,7 @@
 func (b memoryBound) waitFor(m *member, runs time.Duration) time.Duration {
 	held := m.held()
 	over := min(max(held+b.needs-b.limit, 0), held)
-	return part(runs, float64(over)/float64(max(held, 1)))
+	return fraction(runs, float64(over)/float64(max(held, 1)))
 }
 
 // Made records the number of events of the answer so far. An answer that outgrows the memory
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -84,7 +84,7 @@
 func TestLongAnswerTakesMoreMemory(t *testing.T) {
 	is := is.New(t)
 	f := newMemoryFleet(1)
-	f.serviceOf("s").answers.noteLength(100, 20) // one event per five tokens
+	f.serviceOf("s").answers.recordLength(100, 20) // one event per five tokens
 	ticket := f.Open(0, "u0", unsharedRequest(1, 1000, 100))
 	is.Equal(f.byID["u0"].held(), 1200)
 	ticket.Made(40) // 200 tokens, which are counted already
@@ -100,19 +100,19 @@
 // is reserved.
 func TestAnswerMovesOnlyToUpstreamsWithMemory(t *testing.T) {
 	is := is.New(t)
-	f := seenFleet(3)
+	f := fleetWithAnswers(3)
 	f.SetMemory("s", testMemory)
 	late := Progress{Events: 10, Between: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
 	setRemoteMemory(f, f.byID["u1"], 0, testMemory*9/10)
-	m, ok := f.MoveTo(time.Second, long(100, 360), "u0", late)
+	m, ok := f.MoveTo(time.Second, longRequest(100, 360), "u0", late)
 	is.True(ok)
 	is.Equal(m.To.ID, "u2")
-	reserved := f.SetAside("u2", long(100, 360))
+	reserved := f.SetAside("u2", longRequest(100, 360))
 	is.Equal(f.Loads()[LoadKey{Key("u2"), 0}], Load{Open: 1, Held: 1400 + 720})
 	reserved.Close(time.Second, Neutral)
 	is.Equal(f.byID["u2"].held(), 0)
 	setRemoteMemory(f, f.byID["u2"], 0, testMemory*9/10)
-	_, ok = f.MoveTo(time.Second, long(101, 360), "u0", late)
+	_, ok = f.MoveTo(time.Second, longRequest(101, 360), "u0", late)
 	is.True(!ok)
 }
 
@@ -134,7 +134,7 @@
 func TestCountedMemoryMatchesOpenTickets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newMemoryFleet(3)
-		f.serviceOf("s").answers.noteLength(100, 20)
+		f.serviceOf("s").answers.recordLength(100, 20)
 		var open []*Ticket
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now := time.Duration(i) * time.Millisecond
@@ -358,9 +358,9 @@
 	is := is.New(t)
 	f := newDividedFleet(60)
 	f.SetMemory("s", testMemory)
-	f.SetRemoteLoads(underWay(60, 1, 2))
+	f.SetRemoteLoads(loadPerUpstream(60, 1, 2))
 	f.SizeLanes(time.Second, nil)
-	is.Equal(len(tightPlaces(f)), 20)
+	is.Equal(len(tightUpstreams(f)), 20)
 	long, stream := letter(1), chat(1)
 	for _, m := range f.byService["s"] {
 		if !m.tight {
--- a/balance/move.go
+++ b/balance/move.go
@@ -1,11 +1,10 @@
 package balance
 
-// This file defines which answers move to another upstream while they run. The load that it
-// answers: a burst of prompts makes upstreams read without a pause, and a long answer that
-// began there gets a token between two pieces of what is read, some 15 a second, while others
-// that read nothing make 100 a second for each of theirs. The invariant: an answer moves
-// where it is expected to end too late at its upstream and in time at the other, and not
-// before it has to.
+// This file decides which running answers move to another upstream. It addresses this load: a
+// burst of prompts keeps upstreams in prefill all the time, and a long answer that runs there
+// gets one token between two prefill steps, about 15 a second, while idle upstreams produce 100 a
+// second for each of their answers. The invariant: an answer moves only if it is expected to
+// finish too late where it runs and in time at the target, and not before it has to.
 
 import (
 	"cmp"
@@ -13,109 +12,111 @@
 )
 
 const (
-	// moveSpare is how many times what it needs elsewhere is left when an answer moves. It waits
-	// until no more is left, since its upstream may come to read less meanwhile and the copy is
-	// paid for.
-	moveSpare = 2
-	// moveGain is how many times faster an answer must be expected to end elsewhere.
-	moveGain = 2
-	// moveCheck is about the time from one look at an answer to the next.
-	moveCheck = 400 * time.Millisecond
-	// moveTime is how long the copy and the first event behind it take: some 50 ms for
-	// 17,000 tokens, and what waits for the same link.
-	moveTime = 150 * time.Millisecond
-	// moveRoom is the share of its slots up to which an upstream takes answers from others.
-	moveRoom = 0.5
-	// longerThan is the least part of the events that came which are expected still to come,
-	// where more came than the caller expects.
-	longerThan = 0.25
-	// unmovedShare is the part of the time between two events of others that those of a moved
-	// answer are taken to have, until some have moved.
-	unmovedShare = 0.5
+	// moveSlackFactor is the ratio of the time left to the time needed at the target below which
+	// an answer moves. The move is delayed until then because the load of the present upstream
+	// may fall meanwhile, and because the copy has a cost.
+	moveSlackFactor = 2
+	// moveMinSpeedup is how many times faster an answer must be expected to finish at the target.
+	moveMinSpeedup = 2
+	// moveCheckInterval is the approximate interval between two checks of a running answer.
+	moveCheckInterval = 400 * time.Millisecond
+	// moveDuration is how long the copy and the first event after it take: about 50 ms for 17,000
+	// tokens, plus queueing for the same link.
+	moveDuration = 150 * time.Millisecond
+	// moveMaxOccupancy is the share of occupied slots up to which an upstream accepts moved
+	// answers.
+	moveMaxOccupancy = 0.5
+	// minRestShare is the least number of events still expected, as a share of those received,
+	// once an answer is longer than its caller expected.
+	minRestShare = 0.25
+	// movedIntervalShare estimates the event interval of moved answers, as a share of that of
+	// other answers, until enough moves have been observed.
+	movedIntervalShare = 0.5
 )
 
-// Progress is how far an answer has come.
+// Progress is the state of a running answer.
 type Progress struct {
-	Events  int           // that came so far
-	Between time.Duration // of late, from one event to the next
-	Left    time.Duration // until its caller's time is over
+	Events  int           // events received so far
+	Between time.Duration // recent time between two events
+	Left    time.Duration // time until the caller's deadline
 }
 
-// Move says where an answer goes on.
+// Move is a decision to move an answer.
 type Move struct {
 	To          Upstream
-	Here, There time.Duration // until its end is expected
+	Here, There time.Duration // expected time to the end of the answer, without and with the move
 }
 
-// MoveTo decides whether an answer moves; r is its request and from the id of the upstream
-// where it runs. False means that it stays, as far as can be said now.
+// MoveTo decides whether a running answer moves to another upstream; r is its request and from
+// the id of the upstream that runs it. It returns false if the answer stays for now.
 func (f *Fleet) MoveTo(now time.Duration, r Request, from string, p Progress) (Move, bool) {
 	source := f.byID[from]
 	if source == nil || source.evacuated || !f.mayRunIn(source.Domain, r) || !r.Moves || len(r.Parts) == 0 || f.cfg.Off[Moving] {
 		return Move{}, false
 	}
 	a := &f.serviceOf(r.Service).answers
-	rest := a.rest(r.Expected, p.Events)
+	rest := a.remainingEvents(r.Expected, p.Events)
 	here := time.Duration(rest * float64(p.Between))
-	there := time.Duration(rest * float64(a.betweenMoved()))
+	there := time.Duration(rest * float64(a.movedInterval()))
 	if there == 0 || here < p.Left {
 		return Move{}, false
 	}
-	there += moveTime
-	early := p.Left > moveSpare*there+moveCheck
-	if early || there > p.Left || here < moveGain*there {
+	there += moveDuration
+	early := p.Left > moveSlackFactor*there+moveCheckInterval
+	if early || there > p.Left || here < moveMinSpeedup*there {
 		return Move{}, false
 	}
-	to := f.calmest(now, r, source)
+	to := f.moveTarget(now, r, source)
 	if to == nil {
 		return Move{}, false
 	}
 	return Move{To: to.Upstream, Here: here, There: there}, true
 }
 
-// calmest is the upstream that takes an answer from another one, nil where none has room: of
-// those in its region, over whose links the copy goes, the ones that read the least, and of these
-// the first by rendezvous, so that boxes which see the same spread what they move. Its lane does
-// not matter, since nothing is read for the answer.
-func (f *Fleet) calmest(now time.Duration, r Request, from *member) *member {
+// moveTarget returns the upstream that a running answer moves to, or nil if none has room. It
+// prefers upstreams in the region of the source, whose links carry the copy, then those with the
+// least prefill work, then the highest rendezvous weight, so that boxes with the same view spread
+// their moves. The lane does not matter, since moved answers need no prefill.
+func (f *Fleet) moveTarget(now time.Duration, r Request, from *member) *member {
 	key := r.Parts[len(r.Parts)-1].ID
 	var best *member
 	memory := f.memoryBoundOf(r)
 	for _, m := range f.usable(now, r, []string{from.ID}) {
-		if !memory.fits(m) || !f.takesOver(now, m, r) {
+		if !memory.fits(m) || !f.canReceiveMove(now, m, r) {
 			continue
 		}
-		if best == nil || f.calmer(from, m, best, key) {
+		if best == nil || f.betterMoveTarget(from, m, best, key) {
 			best = m
 		}
 	}
 	return best
 }
 
-// calmer reports whether one upstream takes an answer before another: one in the region it
-// moves from before those beyond, then one that reads less, or as little and goes before it for
-// the key by rendezvous.
-func (f *Fleet) calmer(from *member, a, b *member, key uint64) bool {
-	byRegion := cmp.Compare(f.beyondRegion(from, a), f.beyondRegion(from, b))
+// betterMoveTarget reports whether a is a better target than b for an answer that moves away from
+// an upstream: one in the same region, then one with less prefill work, then one with the higher
+// rendezvous weight for key.
+func (f *Fleet) betterMoveTarget(from *member, a, b *member, key uint64) bool {
+	byRegion := cmp.Compare(f.crossesRegion(from, a), f.crossesRegion(from, b))
 	byWeight := cmp.Compare(weight(b.ID, key), weight(a.ID, key))
-	return cmp.Or(byRegion, cmp.Compare(a.calmStep(), b.calmStep()), byWeight) < 0
+	return cmp.Or(byRegion, cmp.Compare(a.prefillLevel(), b.prefillLevel()), byWeight) < 0
 }
 
-// beyondRegion is 1 where an upstream lies in another region, and 0 where it does not.
-func (f *Fleet) beyondRegion(from, m *member) int {
+// crossesRegion returns 1 if an upstream is in another region than from, and 0 otherwise.
+func (f *Fleet) crossesRegion(from, m *member) int {
 	if !f.cfg.Off[Distance] && f.proximityOf(from.Domain, m.Domain) == otherRegion {
 		return 1
 	}
 	return 0
 }
 
-// takesOver reports whether an upstream has room for an answer that moves, and nothing to read.
-func (f *Fleet) takesOver(now time.Duration, m *member, r Request) bool {
-	full := float64(m.open()+1) > moveRoom*float64(m.Slots)
+// canReceiveMove reports whether an upstream has free slots for a moved answer and no prefill
+// backlog.
+func (f *Fleet) canReceiveMove(now time.Duration, m *member, r Request) bool {
+	full := float64(m.open()+1) > moveMaxOccupancy*float64(m.Slots)
 	return !full && !m.unreachable && now >= m.coldTill && f.limitOf(m) == nil && f.pauseOf(m) == nil && f.backlog(now, m, r.urgencyLevel()) == 0
 }
 
-// OpenMoved counts an answer on the upstream that it has moved to, which has nothing to read
+// OpenMoved returns a ticket for an answer that has moved to an upstream, which needs no prefill
 // for it.
 func (f *Fleet) OpenMoved(now time.Duration, id string, r Request) *Ticket {
 	m := f.byID[id]
--- a/balance/partindex.go
+++ b/balance/partindex.go
@@ -2,7 +2,7 @@
 
 // This file defines the index of prompt parts that upstreams hold in their prefix caches. An
 // upstream is taken to hold a part if this box, or a box that reported it, sent the part there.
-// tell.go defines the reports. Invariant: an upstream that is removed holds nothing, and the size
+// partreport.go defines the reports. Invariant: an upstream that is removed holds nothing, and the size
 // of the index is bounded.
 
 import (
@@ -153,7 +153,7 @@
 	var best *member
 	for _, x := range f.parts.holders[PartKey(part.ID)] {
 		m := x.member
-		if m == to || m.unreachable || m.health.rests(now) || !x.recent(now) || !f.mayRunIn(m.Domain, r) {
+		if m == to || m.unreachable || m.health.backingOff(now) || !x.recent(now) || !f.mayRunIn(m.Domain, r) {
 			continue
 		}
 		if best == nil || f.fetchOrder(domain, m, best) < 0 {
--- a/balance/partindex_test.go
+++ b/balance/partindex_test.go
@@ -88,10 +88,10 @@
 	is.Equal(len(f.KeptNews()), 1)
 	serve(f, time.Second, prompt(7))
 	is.Equal(len(f.KeptNews()), 0)
-	serve(f, retellAfter, prompt(7))
+	serve(f, rereportInterval, prompt(7))
 	is.Equal(len(f.KeptNews()), 1)
-	f.NoteKept(2*retellAfter, []PartReport{{PartKey(7), f.holderOfPart(t, 7).key}})
-	serve(f, 2*retellAfter, prompt(7))
+	f.NoteKept(2*rereportInterval, []PartReport{{PartKey(7), f.holderOfPart(t, 7).key}})
+	serve(f, 2*rereportInterval, prompt(7))
 	is.Equal(len(f.KeptNews()), 0) // another box has just reported it
 }
 
@@ -151,8 +151,8 @@
 	is.Equal(f.parts.sweptAt, time.Duration(0))                        // all excess parts caused a single scan
 	f.NoteKept(cacheLifetime, []PartReport{{maxParts + 1, Key("u1")}}) // expired parts make room
 	is.Equal(len(f.parts.holders), 1)
-	for shared := range uint64(maxNews + 100) {
+	for shared := range uint64(maxReports + 100) {
 		f.Open(cacheLifetime, "u1", prompt(shared))
 	}
-	is.Equal(len(f.KeptNews()), maxNews)
+	is.Equal(len(f.KeptNews()), maxReports)
 }
--- a/balance/tell_test.go
+++ b/balance/partreport_test.go
@@ -7,22 +7,22 @@
 	"github.com/matryer/is"
 )
 
-// shortPrompt shares a part of so many tokens with others.
+// shortPrompt returns a request that shares a part of the given length with others.
 func shortPrompt(tokens int) Request {
 	return Request{Service: "s", Parts: []Part{{ID: 7, Tokens: tokens}, {ID: 8, Tokens: 600}}, Tokens: tokens + 600, Moves: true}
 }
 
-// Streams with short prompts go where another box has sent the part that they share, though
-// it is not their home; what is read in a step of an engine is not told.
-func TestShortPartsAreTold(t *testing.T) {
+// Streams with short prompts go to the upstream that another box has sent their shared part to,
+// although it is not their home. Parts that take a single engine step are not reported.
+func TestShortPartsAreReported(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		tokens int
-		told   bool
+		name     string
+		tokens   int
+		reported bool
 	}{
-		{"a subject of a chat", 79, true},
-		{"the least that is told", keptFrom, true},
-		{"less than is worth telling", keptFrom - 1, false},
+		{"system prompt of a chat", 79, true},
+		{"shortest reported part", minPartTokens, true},
+		{"too short to report", minPartTokens - 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
@@ -35,24 +35,24 @@
 			is.True(keeper.ID != home.Upstream.ID)
 			b.NoteKept(0, a.KeptNews())
 			c, _ := b.Place(time.Second, r, nil)
-			is.Equal(c.Upstream.ID == keeper.ID, test.told)
+			is.Equal(c.Upstream.ID == keeper.ID, test.reported)
 		})
 	}
 }
 
-// An upstream that is known to have ended gets nothing more however much waits to be told, and
-// that is told before all else.
-func TestAnEndIsNotedAndToldWhereMuchIsToBeTold(t *testing.T) {
+// An upstream that is known to have ended gets nothing more however many reports are queued, and
+// its end is reported first.
+func TestEndIsReportedFirstWhenQueueIsFull(t *testing.T) {
 	is := is.New(t)
 	f := newInformedFleet(0)
 	f.Put(0, entryOf("u", 100, 1))
-	for range maxNews {
+	for range maxReports {
 		f.parts.news = append(f.parts.news, PartReport{7, 8})
 	}
 	key := f.byID["u"].key
 	f.Open(0, "u", prompt(9)).Close(0, Replaced)
 	is.True(f.Get("u").Leaving)
 	news := f.KeptNews()
-	is.Equal(len(news), maxNews)
+	is.Equal(len(news), maxReports)
 	is.Equal(news[0], PartReport{endedMark, key})
 }
--- a/balance/pause.go
+++ b/balance/pause.go
@@ -1,8 +1,10 @@
 package balance
 
-// This file defines the pauses that upstreams ask this box for, and how requests return after one. The invariants: a life of an
-// upstream that asked for a pause is sent nothing until the latest end that it asked for; and after it requests return in growing
-// numbers, so that a queue does not arrive at once, those that wait before others and the more urgent before them.
+// This file tracks the pauses that upstreams request from this box, and how requests resume
+// afterwards. The invariants: an upstream incarnation that requested a pause gets no request
+// until the latest end that it asked for; after that requests resume with a window that grows
+// with each answer, so that a queue does not arrive at once, requests that waited go before
+// others, and more urgent ones go first.
 
 import (
 	"encoding/binary"
@@ -12,24 +14,26 @@
 )
 
 const (
-	// pauseSpread and pauseSpreadMost bound by how much later than its end, as a part of the pause, a box returns: an upstream
-	// that asks all boxes at once would have them all back at once.
-	pauseSpread     = 0.1
-	pauseSpreadMost = 500 * time.Millisecond
-	// forgetPause is how long after its end a pause is forgotten that no request has come back from.
-	forgetPause = time.Minute
-	// returnsSoon is after how long a request that waits looks again while others return.
-	returnsSoon = time.Second
+	// pauseJitter, as a part of the pause, and maxPauseJitter bound the extra delay after the end
+	// of a pause before this box resumes. An upstream that asks all boxes for a pause at once
+	// would otherwise get all of them back at the same moment.
+	pauseJitter    = 0.1
+	maxPauseJitter = 500 * time.Millisecond
+	// pauseRetention is how long after its end a pause is kept while no request has resumed.
+	pauseRetention = time.Minute
+	// resumeRecheck is when a waiting request checks again while others resume.
+	resumeRecheck = time.Second
 )
 
-// pause is what a life asked this box for.
+// pause is the pause that an upstream incarnation requested from this box.
 type pause struct {
-	till time.Duration // when requests may return
-	room int           // requests that may be on their way back at once
-	open int           // of those that were sent since, the ones that are not answered yet
+	until    time.Duration // when requests may resume
+	window   int           // requests that may be in flight at once
+	inFlight int           // requests sent since the end of the pause that are not answered yet
 }
 
-// Pause notes that a life asks this box for a pause from now on, and returns until when it lasts.
+// Pause records that an upstream incarnation requests a pause of the given length from now on,
+// and returns when it ends for this box.
 func (f *Fleet) Pause(now time.Duration, l Incarnation, length time.Duration) (till time.Duration) {
 	key := l.Key()
 	p := f.pauses[key]
@@ -37,20 +41,21 @@
 		p = new(pause)
 		f.pauses[key] = p
 	}
-	p.till = max(p.till, now+length+f.spreadOf(now, key, length))
-	p.room = 1
-	return p.till
+	p.until = max(p.until, now+length+f.jitter(now, key, length))
+	p.window = 1
+	return p.until
 }
 
-// spreadOf is by how much later than others this box returns: the same box differs from one pause to the next.
-func (f *Fleet) spreadOf(now time.Duration, key uint32, length time.Duration) time.Duration {
+// jitter returns the delay after the end of a pause; it differs between boxes and between pauses.
+func (f *Fleet) jitter(now time.Duration, key uint32, length time.Duration) time.Duration {
 	b := binary.LittleEndian.AppendUint32([]byte(f.sharers.Box), key)
 	b = binary.LittleEndian.AppendUint64(b, uint64(now))
 	share := float64(xxhash.Sum64(b)>>11) / (1 << 53)
-	return time.Duration(share * min(pauseSpread*float64(length), float64(pauseSpreadMost)))
+	return time.Duration(share * min(pauseJitter*float64(length), float64(maxPauseJitter)))
 }
 
-// pauseOf is the pause of an upstream, also while requests return after it; nil where there is none.
+// pauseOf returns the pause of an upstream, also while requests resume after it; nil if there is
+// none.
 func (f *Fleet) pauseOf(m *member) *pause {
 	if len(f.pauses) == 0 || f.cfg.Off[Pauses] {
 		return nil
@@ -58,16 +63,18 @@
 	return f.pauses[m.key]
 }
 
-// mayReturn reports whether a request may be sent to an upstream, as far as pauses go.
-func (f *Fleet) mayReturn(now time.Duration, m *member, r Request) bool {
+// allowedByPause reports whether a request may be sent to an upstream, considering only its
+// pause.
+func (f *Fleet) allowedByPause(now time.Duration, m *member, r Request) bool {
 	p := f.pauseOf(m)
 	if p == nil {
 		return true
 	}
-	return now >= p.till && p.open < p.room && !f.serviceOf(r.Service).waits.before(r)
+	return now >= p.until && p.inFlight < p.window && !f.serviceOf(r.Service).waiters.precede(r)
 }
 
-// PauseLeft is how long it takes until a request may have a place after a pause; 0 where an upstream is not paused, or none is there.
+// PauseLeft returns the time until a request may find capacity after a pause; 0 if an upstream is
+// not paused, or none is available.
 func (f *Fleet) PauseLeft(now time.Duration, r Request, tried []string) time.Duration {
 	if len(f.pauses) == 0 {
 		return 0
@@ -81,9 +88,9 @@
 		if p == nil {
 			return 0
 		}
-		left := p.till - now
+		left := p.until - now
 		if left <= 0 {
-			left = returnsSoon
+			left = resumeRecheck
 		}
 		if least == 0 || left < least {
 			least = left
@@ -92,16 +99,16 @@
 	return least
 }
 
-// PausedFor is how long an upstream wants nothing from this box; 0: it asked for no pause.
+// PausedFor returns the remaining pause of an upstream incarnation; 0 if it requested none.
 func (f *Fleet) PausedFor(now time.Duration, l Incarnation) time.Duration {
 	m := f.byID[l.ID]
 	if m == nil || m.Incarnation() != l || f.pauseOf(m) == nil {
 		return 0
 	}
-	return max(0, f.pauses[m.key].till-now)
+	return max(0, f.pauses[m.key].until-now)
 }
 
-// anyPaused reports whether an upstream of a service is paused or was lately.
+// anyPaused reports whether an upstream of a service is paused or still resumes after a pause.
 func (f *Fleet) anyPaused(service string) bool {
 	if len(f.pauses) == 0 {
 		return false
@@ -114,32 +121,33 @@
 	return false
 }
 
-// goBack counts a request among those that return after a pause.
-func (t *Ticket) goBack(now time.Duration) {
-	if p := t.fleet.pauseOf(t.member); p != nil && now >= p.till {
+// countResumed counts a request that is sent after a pause.
+func (t *Ticket) countResumed(now time.Duration) {
+	if p := t.fleet.pauseOf(t.member); p != nil && now >= p.until {
 		t.pause = p
-		p.open++
+		p.inFlight++
 	}
 }
 
-// cameBack notes what became of a request that returned after a pause. An answer lets two in its place, unless the upstream has asked for
-// another pause since the request was sent.
-func (t *Ticket) cameBack(answered bool) {
+// finishResumed records how a request that was sent after a pause ended. An answer grows the
+// window by one, so that two requests take its place, unless the upstream has requested another
+// pause since the request was sent.
+func (t *Ticket) finishResumed(answered bool) {
 	p := t.pause
 	if p == nil {
 		return
 	}
 	t.pause = nil
-	p.open--
-	if !answered || t.opened < p.till {
+	p.inFlight--
+	if !answered || t.opened < p.until {
 		return
 	}
-	if p.room++; p.room > t.member.Slots {
+	if p.window++; p.window > t.member.Slots {
 		t.fleet.endPause(t.member.key, p)
 	}
 }
 
-// endPause forgets a pause that all requests have returned after.
+// endPause drops a pause whose window covers all slots of the upstream.
 func (f *Fleet) endPause(key uint32, p *pause) {
 	if f.pauses[key] == p {
 		delete(f.pauses, key)
@@ -147,7 +155,8 @@
 	}
 }
 
-// PausesOver returns, once, the upstreams that are used as before their pauses, as far as they are listed.
+// PausesOver returns the listed upstreams that came back to normal use after a pause since the
+// last call.
 func (f *Fleet) PausesOver() []Upstream {
 	var list []Upstream
 	for _, key := range f.pausesOver {
@@ -159,20 +168,21 @@
 	return list
 }
 
-// ForgetPauses forgets pauses that ended long ago.
+// ForgetPauses drops pauses that ended long ago.
 func (f *Fleet) ForgetPauses(now time.Duration) {
 	for key, p := range f.pauses {
-		if now >= p.till+forgetPause && p.open == 0 {
+		if now >= p.until+pauseRetention && p.inFlight == 0 {
 			delete(f.pauses, key)
 		}
 	}
 }
 
-// waits counts the requests of a service that wait for the end of a pause, by urgency.
+// waiters counts, by urgency, the requests of a service that wait for the end of a pause.
 type waits [Levels]int
 
-// before reports whether requests wait that go before another one: the more urgent, and those as urgent where it has not waited.
-func (w *waits) before(r Request) bool {
+// precede reports whether waiting requests go before r: more urgent ones, and equally urgent ones
+// if r has not waited.
+func (w *waits) precede(r Request) bool {
 	for level := range r.urgencyLevel() {
 		if w[level] > 0 {
 			return true
@@ -181,13 +191,14 @@
 	return !r.Waited && w[r.urgencyLevel()] > 0
 }
 
-// Wait notes that a request begins to wait for the end of a pause; EndWait undoes it.
-func (f *Fleet) Wait(r Request) { f.serviceOf(r.Service).waits[r.urgencyLevel()]++ }
+// Wait counts a request that begins to wait for the end of a pause; EndWait reverses it.
+func (f *Fleet) Wait(r Request) { f.serviceOf(r.Service).waiters[r.urgencyLevel()]++ }
 
-// EndWait notes that a request waits no longer.
-func (f *Fleet) EndWait(r Request) { f.serviceOf(r.Service).waits[r.urgencyLevel()]-- }
+// EndWait counts down a request that no longer waits.
+func (f *Fleet) EndWait(r Request) { f.serviceOf(r.Service).waiters[r.urgencyLevel()]-- }
 
-// Room is how many requests of a service may return after pauses now; all where an upstream that is not paused takes them.
+// ReturnCapacity returns how many requests of a service may be sent now after pauses; upstreams
+// that are not paused count with all their slots.
 func (f *Fleet) Room(now time.Duration, service string) int {
 	room := 0
 	for _, m := range f.byService[service] {
@@ -197,8 +208,8 @@
 		switch p := f.pauseOf(m); {
 		case p == nil:
 			room += m.Slots
-		case now >= p.till:
-			room += max(0, p.room-p.open)
+		case now >= p.until:
+			room += max(0, p.window-p.inFlight)
 		}
 	}
 	return room
--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// pausing is a fleet of one service with upstreams that name no start.
-func pausing(upstreams int) *Fleet {
+// pauseFleet is a fleet of one service whose upstreams report no start time.
+func pauseFleet(upstreams int) *Fleet {
 	f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 	for i := range upstreams {
 		f.Put(0, Upstream{ID: fmt.Sprint("u", i), Service: "s", Address: fmt.Sprintf("10.1.0.%d:1", i), Domain: "d1", Slots: 8})
@@ -20,8 +20,9 @@
 
 var plain = Request{Service: "s"}
 
-// An upstream that asked for a pause is passed over, whatever becomes of its entry; the latest end counts.
-func TestAPauseIsThatOfALife(t *testing.T) {
+// An upstream that requested a pause is not used, whatever happens to its entry; the latest end
+// applies.
+func TestPauseBelongsToIncarnation(t *testing.T) {
 	put := func(u Upstream) func(*Fleet) { return func(f *Fleet) { f.Put(time.Second, u) } }
 	gone := func(f *Fleet) { f.Remove("u") }
 	for _, c := range []struct {
@@ -30,14 +31,14 @@
 		then  []func(*Fleet)
 		used  bool
 	}{
-		{"nothing else", entryOf("u", 100, 1), nil, false},
-		{"its entry written again", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 100, 2))}, false},
-		{"its entry lapses and returns", entryOf("u", 0, 1), []func(*Fleet){gone, put(entryOf("u", 0, 3))}, false},
-		{"a shorter one is asked for later", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Incarnation{"u", 100}, time.Second) }}, false},
-		{"an earlier life asks", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Incarnation{"u", 50}, time.Hour) }}, false},
-		{"a later life", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
-		{"orders fall", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){put(withCommandCount(entryOf("u", 0, 2), 1))}, true},
-		{"another one at its address", entryOf("u", 0, 1), []func(*Fleet){put(Upstream{ID: "v", Service: "s", Address: "10.1.0.1:1", Domain: "d1", Slots: 8, Revision: 9})}, true},
+		{"no further event", entryOf("u", 100, 1), nil, false},
+		{"entry is written again", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 100, 2))}, false},
+		{"entry lapses and returns", entryOf("u", 0, 1), []func(*Fleet){gone, put(entryOf("u", 0, 3))}, false},
+		{"shorter pause is requested later", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Incarnation{"u", 100}, time.Second) }}, false},
+		{"earlier incarnation requests a pause", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Incarnation{"u", 50}, time.Hour) }}, false},
+		{"later incarnation", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
+		{"order count falls", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){put(withCommandCount(entryOf("u", 0, 2), 1))}, true},
+		{"another upstream at its address", entryOf("u", 0, 1), []func(*Fleet){put(Upstream{ID: "v", Service: "s", Address: "10.1.0.1:1", Domain: "d1", Slots: 8, Revision: 9})}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -57,12 +58,13 @@
 	}
 }
 
-// Whatever is asked for and sent in whatever order, nothing is sent within a pause, and after one no more at once than answers have let in.
-func TestNothingIsSentWithinAPause(t *testing.T) {
+// For any sequence of pauses and requests, nothing is sent during a pause, and after it no more
+// than the window at once.
+func TestNothingIsSentDuringPause(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := pausing(2)
+		f := pauseFleet(2)
 		var now time.Duration
-		till := make(map[string]time.Duration) // as asked for
+		till := make(map[string]time.Duration) // end of the requested pause
 		var open []*Ticket
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
@@ -87,21 +89,22 @@
 					continue
 				}
 				if now < till[choice.Upstream.ID] {
-					t.Fatalf("%v: %s gets a request, it asked for none until %v", now, choice.Upstream.ID, till[choice.Upstream.ID])
+					t.Fatalf("%v: %s gets a request during its pause, which ends at %v", now, choice.Upstream.ID, till[choice.Upstream.ID])
 				}
 				open = append(open, f.Open(now, choice.Upstream.ID, plain))
-				if p := f.pauses[f.byID[choice.Upstream.ID].key]; p != nil && p.open > p.room {
-					t.Fatalf("%v: %d requests return, %d may", now, p.open, p.room)
+				if p := f.pauses[f.byID[choice.Upstream.ID].key]; p != nil && p.inFlight > p.window {
+					t.Fatalf("%v: %d requests in flight, window %d", now, p.inFlight, p.window)
 				}
 			}
 		}
 	})
 }
 
-// A queue that waited for the end of a pause does not arrive at once: one request goes first, and each answer lets two follow.
-func TestRequestsReturnInGrowingNumbersAfterAPause(t *testing.T) {
+// A queue that waited for the end of a pause does not arrive at once: one request goes first, and
+// each answer allows two more.
+func TestWindowGrowsAfterPause(t *testing.T) {
 	is := is.New(t)
-	f := pausing(1)
+	f := pauseFleet(1)
 	f.Pause(0, Incarnation{ID: "u0"}, time.Second)
 	now := 2 * time.Second
 	var waves []int
@@ -118,24 +121,24 @@
 			ticket.Close(now, Answered)
 		}
 	}
-	is.Equal(fmt.Sprint(waves), "[1 2 4 8 20]") // with more than its slots it is used as before
+	is.Equal(fmt.Sprint(waves), "[1 2 4 8 20]") // once the window exceeds its slots the upstream is used normally
 	is.Equal(len(f.PausesOver()), 1)
 	is.Equal(len(f.PausesOver()), 0)
 }
 
-// One that is turned away again, or is answered with nothing, lets no other follow.
-func TestARequestThatReturnsInVainLetsNoneFollow(t *testing.T) {
+// A request that is refused again, or fails, allows no further ones.
+func TestFailureDoesNotGrowWindow(t *testing.T) {
 	for _, outcome := range []Outcome{Full, Failed, ConnectionLost, Neutral} {
 		t.Run(fmt.Sprint(outcome), func(t *testing.T) {
 			is := is.New(t)
-			f := pausing(1)
+			f := pauseFleet(1)
 			f.Pause(0, Incarnation{ID: "u0"}, time.Second)
 			now := 2 * time.Second
 			first := f.Open(now, "u0", plain)
 			_, ok := f.Place(now, plain, nil)
 			is.True(!ok)
 			first.Close(now, outcome)
-			now += 10 * time.Second // after what it rests for its failure
+			now += 10 * time.Second // after the backoff for the failure
 			f.Open(now, "u0", plain)
 			_, ok = f.Place(now, plain, nil)
 			is.True(!ok)
@@ -143,10 +146,11 @@
 	}
 }
 
-// Of requests that returned together one was turned away with another pause: the answers of the others do not end that.
-func TestAnAnswerToARequestOfBeforeEndsNoPause(t *testing.T) {
+// Several requests were sent together after a pause, and one of them was refused with another
+// pause: the answers to the others do not end that pause.
+func TestEarlierAnswerDoesNotEndNewPause(t *testing.T) {
 	is := is.New(t)
-	f := pausing(1)
+	f := pauseFleet(1)
 	u := *f.Get("u0")
 	u.Slots = 1
 	f.Put(0, u)
@@ -160,10 +164,10 @@
 	is.True(ok)
 }
 
-// Requests that wait go before others, and the more urgent before them.
-func TestWhoReturnsFirstAfterAPause(t *testing.T) {
+// Waiting requests go before others, and more urgent ones before less urgent ones.
+func TestWaitingAndUrgentRequestsResumeFirst(t *testing.T) {
 	is := is.New(t)
-	f := pausing(1)
+	f := pauseFleet(1)
 	f.Pause(0, Incarnation{ID: "u0"}, time.Second)
 	now := 2 * time.Second
 	may := func(urgency int, waited bool) bool {
@@ -181,26 +185,28 @@
 	is.True(may(2, false))
 }
 
-// Where another upstream takes requests, none waits for the end of a pause; where none does, the first end counts.
-func TestHowLongAPauseKeepsARequest(t *testing.T) {
+// If another upstream accepts requests, none waits for the end of a pause; if none does, the
+// earliest end counts.
+func TestPauseLeft(t *testing.T) {
 	is := is.New(t)
-	f := pausing(3)
+	f := pauseFleet(3)
 	f.Pause(0, Incarnation{ID: "u0"}, 10*time.Second)
 	f.Pause(0, Incarnation{ID: "u1"}, 5*time.Second)
-	is.Equal(f.PauseLeft(0, plain, nil), time.Duration(0)) // u2 takes it
+	is.Equal(f.PauseLeft(0, plain, nil), time.Duration(0)) // u2 accepts it
 	left := f.PauseLeft(0, plain, []string{"u2"})
 	is.True(left >= 5*time.Second && left < 10*time.Second)
 	f.SaysLeaving(Incarnation{ID: "u1"})
 	is.True(f.PauseLeft(0, plain, []string{"u2"}) >= 10*time.Second)
-	is.Equal(f.PauseLeft(0, plain, []string{"u0", "u2"}), time.Duration(0)) // nothing is there
+	is.Equal(f.PauseLeft(0, plain, []string{"u0", "u2"}), time.Duration(0)) // no upstream is available
 }
 
-// An upstream that asks all boxes for the same pause does not have them all back in one instant.
-func TestBoxesReturnOneAfterTheOther(t *testing.T) {
+// An upstream that requests the same pause from all boxes does not get all of them back in the
+// same instant.
+func TestPauseEndsAreSpreadOverBoxes(t *testing.T) {
 	is := is.New(t)
 	ends := make(map[time.Duration]bool)
 	for box := range 50 {
-		f := pausing(1)
+		f := pauseFleet(1)
 		f.SetSharers(QuotaPeers{Box: fmt.Sprint(box)})
 		till := f.Pause(0, Incarnation{ID: "u0"}, 2*time.Second)
 		is.True(till >= 2*time.Second && till < 2200*time.Millisecond)
@@ -209,14 +215,15 @@
 	is.Equal(len(ends), 50)
 }
 
-// Prompts whose whole lane is paused go beyond it: no service starves while a sound upstream has room.
-func TestAPromptLeavesALaneThatIsPaused(t *testing.T) {
+// Prompts whose whole lane is paused are placed outside of it: no service starves while a working
+// upstream has free slots.
+func TestPromptLeavesPausedLane(t *testing.T) {
 	is := is.New(t)
 	f := newDividedFleet(12)
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
 		f.SizeLanes(now, nil)
 	}
-	tight := tightPlaces(f)
+	tight := tightUpstreams(f)
 	is.True(len(tight) > 0 && len(tight) < 12)
 	for id, m := range f.byID {
 		if !tight[id] {
--- a/balance/place.go
+++ b/balance/place.go
@@ -25,9 +25,9 @@
 // Place chooses an upstream for a request, or returns false if none is left to try. tried lists
 // the upstreams to which the request was sent before.
 func (f *Fleet) Place(now time.Duration, r Request, tried []string) (Choice, bool) {
-	list, passed := f.preferOwnDomain(f.usable(now, r, tried), tried), f.passedOver(now, r, tried)
+	list, passed := f.preferOwnDomain(f.usable(now, r, tried), tried), f.countLimited(now, r, tried)
 	if len(list) == 0 && passed > 0 {
-		f.keepForUrgent(now, r)
+		f.reserveForUrgent(now, r)
 	}
 	f.noteAvailability(now, r.Service, len(list) > 0)
 	memory := f.memoryBoundOf(r)
@@ -79,7 +79,7 @@
 // prompt may not: when a burst fills the memory of its own lane, such prompts would go to the
 // upstreams reserved for tight streams.
 func (f *Fleet) withMemory(now time.Duration, r Request, list []*member, memory memoryBound) (within, beyond []*member) {
-	within, beyond = f.lane(now, r, list)
+	within, beyond = f.splitByLane(now, r, list)
 	if len(within) == 0 && f.anyPaused(r.Service) {
 		return memory.fitting(beyond), nil // all upstreams of its lane may be paused
 	}
@@ -99,11 +99,11 @@
 	for _, m := range f.byService[r.Service] {
 		switch {
 		case !f.isEligible(now, m, r, tried):
-		case !f.allows(now, m, r):
+		case !f.allowedByLimits(now, m, r):
 			limited = limited || !m.unreachable
 		case m.unreachable:
 			out = append(out, m)
-		case m.health.rests(now) && !f.cfg.Off[Rests]:
+		case m.health.backingOff(now) && !f.cfg.Off[FailureBackoff]:
 			resting = append(resting, m)
 		default:
 			available = append(available, m)
@@ -124,7 +124,7 @@
 // Without this rule each box would find that out with its own requests, waiting for a failing
 // connection once per domain and request.
 func (f *Fleet) preferOwnDomain(list []*member, tried []string) []*member {
-	if f.cfg.Off[Domains] || !slices.ContainsFunc(tried, f.isUnreachableElsewhere) {
+	if f.cfg.Off[DomainCutOff] || !slices.ContainsFunc(tried, f.isUnreachableElsewhere) {
 		return list
 	}
 	own := slices.DeleteFunc(slices.Clone(list), func(m *member) bool { return m.Domain != f.cfg.Domain || m.unreachable })
@@ -143,18 +143,18 @@
 // isEligible reports whether a request may go to an upstream, apart from the limit that the
 // upstream states.
 func (f *Fleet) isEligible(now time.Duration, m *member, r Request, tried []string) bool {
-	return !m.closed() && !slices.Contains(tried, m.ID) && f.mayRunIn(m.Domain, r) && f.bears(now, m)
+	return !m.closed() && !slices.Contains(tried, m.ID) && f.mayRunIn(m.Domain, r) && f.coldQuotaLeft(now, m)
 }
 
 // excessResting returns the resting upstreams that are used anyway because more rest than the
 // allowed share: the ones that fail least.
 func excessResting(resting []*member, available int) []*member {
-	allowed := (available + len(resting)) * mostResting / percent
+	allowed := (available + len(resting)) * maxBackoffPercent / percent
 	if len(resting) <= allowed {
 		return nil
 	}
 	slices.SortStableFunc(resting, func(a, b *member) int {
-		return cmp.Or(cmp.Compare(b.health.failing, a.health.failing), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.health.failureRate, a.health.failureRate), cmp.Compare(a.ID, b.ID))
 	})
 	return resting[allowed:]
 }
@@ -163,7 +163,7 @@
 // as busier, and so do failing ones: an upstream that fails everything also counts as far away as
 // the most distant one, so that it is not preferred for being near.
 func (f *Fleet) leastBusy(list []*member) *member {
-	held := f.workTime(list[0].Service)
+	held := f.serviceTime(list[0].Service)
 	var furthest float64
 	for _, m := range list {
 		furthest = max(furthest, f.distancePenalty(m.Domain, held))
@@ -171,8 +171,8 @@
 	var best *member
 	var bestScore float64
 	for _, m := range list {
-		score := (float64(m.open()) + f.cfg.Tuning.FailWeight*m.health.failing) / float64(max(m.Slots, 1))
-		score += f.distancePenalty(m.Domain, held) + furthest*m.health.failing
+		score := (float64(m.open()) + f.cfg.Tuning.FailWeight*m.health.failureRate) / float64(max(m.Slots, 1))
+		score += f.distancePenalty(m.Domain, held) + furthest*m.health.failureRate
 		if best == nil || score < bestScore {
 			best, bestScore = m, score
 		}
@@ -193,8 +193,8 @@
 			chosen, least = m, c
 		}
 	}
-	if len(beyond) > 0 && f.tight(r) && !f.cfg.Off[Leaving] {
-		leaving := f.leaveCost(r.Service)
+	if len(beyond) > 0 && f.tight(r) && !f.cfg.Off[LaneExit] {
+		leaving := f.laneExitCost(r.Service)
 		for _, m := range f.candidates(now, r, beyond, f.rank(beyond, sharedKey(r))) {
 			if c := cost.total(m) + leaving; c < least {
 				chosen, least = m, c
@@ -216,7 +216,7 @@
 // least one; duplicates are possible.
 func (f *Fleet) candidates(now time.Duration, r Request, list []*member, ranked ranking) []*member {
 	out := ranked.list()
-	if m := f.rationed(now, list); m != nil {
+	if m := f.leastSentLimited(now, list); m != nil {
 		out = append(out, m)
 	}
 	for _, x := range f.parts.holders[PartKey(r.lastShared().ID)] {
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -1,9 +1,9 @@
 package balance
 
-// This file defines which upstreams cannot be reached. The invariants: one that could
-// not be reached gets no request while another can be had, until a trial connection or
-// an answer shows that it can be reached again; and a failure domain is only left as a
-// whole while none of its upstreams answers.
+// This file tracks which upstreams are unreachable. The invariants: an unreachable upstream gets
+// no request while another one is available, until a probe connection or an answer shows that it
+// is reachable again; and a failure domain counts as cut off only while none of its upstreams
+// answers.
 
 import (
 	"slices"
@@ -12,29 +12,29 @@
 )
 
 const (
-	// domainFrom is how many upstreams of a failure domain must have become out of reach
-	// in a row, none of the domain answering in between, for the domain itself to count
-	// as cut off: one alone may have died.
-	domainFrom = 2
-	// domainWithin is the longest time between two of them.
-	domainWithin = 2 * time.Second
+	// cutOffThreshold is how many upstreams of a failure domain must become unreachable in a row,
+	// with no answer from the domain in between, before the domain counts as cut off. A single
+	// one may have crashed.
+	cutOffThreshold = 2
+	// cutOffWindow is the longest time between two of these failures.
+	cutOffWindow = 2 * time.Second
 )
 
-// domainReach is what is known of the way to a failure domain.
+// domainReach is the connectivity to a failure domain.
 type domainReach struct {
-	inRow  int           // upstreams that became out of reach since one answered
-	failed time.Duration // when one of them was last found out of reach
-	left   int           // upstreams that were only left along with the domain; 0: it is not left
+	consecutive int           // upstreams that became unreachable since the last answer
+	lastFailure time.Duration // time of the last failure
+	inferred    int           // upstreams that are out only because the domain is cut off; 0: it is not cut off
 }
 
-// Lost is an upstream that has come to count as out of reach.
-type Lost struct {
+// UnreachableUpstream is an upstream that has become unreachable.
+type UnreachableUpstream struct {
 	Upstream
-	ByDomain bool // only because its domain seems to be cut off
+	ByDomain bool // only because its domain is taken to be cut off
 }
 
-// domain returns what is known of the way to a failure domain.
-func (f *Fleet) domain(name string) *domainReach {
+// domainReachOf returns the connectivity to a failure domain and creates the record if needed.
+func (f *Fleet) domainReachOf(name string) *domainReach {
 	d := f.domains[name]
 	if d == nil {
 		d = new(domainReach)
@@ -43,38 +43,38 @@
 	return d
 }
 
-// noteFailure counts an upstream that could not be reached; isNew says that it could be
-// before.
-func (d *domainReach) noteFailure(now time.Duration, isNew bool) {
-	if now-d.failed > domainWithin {
-		d.inRow = 0
+// recordFailure counts a failed connection to an upstream; isNew says that the upstream was
+// reachable before.
+func (d *domainReach) recordFailure(now time.Duration, isNew bool) {
+	if now-d.lastFailure > cutOffWindow {
+		d.consecutive = 0
 	}
 	if isNew {
-		d.inRow++
+		d.consecutive++
 	}
-	d.failed = now
+	d.lastFailure = now
 }
 
-// unreached notes that no connection to the upstream came up, or that one went silent.
-// Where others of its domain have failed alike, all of them are out; within its own
-// domain a box believes what it sees only.
-func (f *Fleet) unreached(now time.Duration, m *member) {
+// recordUnreachable notes that no connection to an upstream was established, or that one went
+// silent. If others of its domain have failed in the same way, the whole domain is marked as cut
+// off. For its own domain a box relies only on what it observes itself.
+func (f *Fleet) recordUnreachable(now time.Duration, m *member) {
 	if !f.isListed(m) {
-		return // an earlier life says nothing of the way there
+		return // an earlier incarnation says nothing about the path to the present one
 	}
-	d := f.domain(m.Domain)
-	d.noteFailure(now, !m.unreachable)
-	f.markOut(m, false)
-	if m.Domain != f.cfg.Domain && d.inRow >= domainFrom && d.left == 0 && !f.cfg.Off[Domains] {
-		f.leaveDomain(m.Domain)
+	d := f.domainReachOf(m.Domain)
+	d.recordFailure(now, !m.unreachable)
+	f.markUnreachable(m, false)
+	if m.Domain != f.cfg.Domain && d.consecutive >= cutOffThreshold && d.inferred == 0 && !f.cfg.Off[DomainCutOff] {
+		f.markDomainCutOff(m.Domain)
 	}
 }
 
-// CutOff lists, in order, the failure domains that this box has left as a whole.
+// CutOffDomains returns the sorted names of the failure domains that this box treats as cut off.
 func (f *Fleet) CutOff() []string {
 	var list []string
 	for name, d := range f.domains {
-		if d.left > 0 {
+		if d.inferred > 0 {
 			list = append(list, name)
 		}
 	}
@@ -82,26 +82,27 @@
 	return list
 }
 
-// FollowCutOff leaves the failure domains that another box finds cut off and did not before, and takes those again that it does
-// no more.
-func (f *Fleet) FollowCutOff(now time.Duration, told []string) {
-	if f.cfg.Off[Domains] {
+// FollowCutOffDomains applies the list of cut-off domains of another box: domains that are new in
+// the list are marked as cut off, and domains that have left the list are restored.
+func (f *Fleet) FollowCutOff(now time.Duration, reported []string) {
+	if f.cfg.Off[DomainCutOff] {
 		return
 	}
-	for _, name := range told {
+	for _, name := range reported {
 		if !slices.Contains(f.toldCutOff, name) && name != f.cfg.Domain {
-			f.leaveDomain(name)
+			f.markDomainCutOff(name)
 		}
 	}
 	for _, name := range f.toldCutOff {
-		if !slices.Contains(told, name) {
-			f.returnToDomain(now, name)
+		if !slices.Contains(reported, name) {
+			f.restoreDomain(now, name)
 		}
 	}
-	f.toldCutOff = told
+	f.toldCutOff = reported
 }
 
-// Sample lists up to so many upstreams of a failure domain that are not known to be out of reach, in no order.
+// Sample returns up to count upstreams of a failure domain that are not known to be unreachable,
+// in no particular order.
 func (f *Fleet) Sample(domain string, count int) []Upstream {
 	var list []Upstream
 	for _, m := range f.byID {
@@ -115,95 +116,95 @@
 	return list
 }
 
-// UnreachedLife notes that a trial connection to a life of an upstream did not come up.
+// NoteUnreachable records that a probe connection to an upstream incarnation failed.
 func (f *Fleet) UnreachedLife(now time.Duration, l Incarnation) {
 	if m := f.byID[l.ID]; m != nil && m.Incarnation() == l {
-		f.unreached(now, m)
+		f.recordUnreachable(now, m)
 	}
 }
 
-// leaveDomain notes that a failure domain seems to be cut off.
-func (f *Fleet) leaveDomain(name string) {
+// markDomainCutOff marks all upstreams of a failure domain as unreachable.
+func (f *Fleet) markDomainCutOff(name string) {
 	for _, m := range f.byID {
 		if m.Domain == name && !m.unreachable {
-			f.markOut(m, true)
+			f.markUnreachable(m, true)
 		}
 	}
 }
 
-// markOut notes that an upstream gets no requests until it can be reached; byDomain says
-// that it was not found out itself.
-func (f *Fleet) markOut(m *member, byDomain bool) {
+// markUnreachable stops sending requests to an upstream until it is reachable again; byDomain
+// says that this follows from the state of its domain and not from a failure of its own.
+func (f *Fleet) markUnreachable(m *member, byDomain bool) {
 	if !m.unreachable {
-		f.lost = append(f.lost, Lost{m.Upstream, byDomain})
+		f.lost = append(f.lost, UnreachableUpstream{m.Upstream, byDomain})
 	}
-	f.markIn(m)
-	m.setLost(true, m.unsure)
+	f.markReachable(m)
+	m.setReachability(true, m.unsure)
 	m.byDomain = byDomain
 	if byDomain {
-		f.domain(m.Domain).left++
+		f.domainReachOf(m.Domain).inferred++
 	}
 }
 
-// markIn notes that an upstream gets requests, or is not counted any more.
-func (f *Fleet) markIn(m *member) {
+// markReachable clears the unreachable state of an upstream, also when it is removed.
+func (f *Fleet) markReachable(m *member) {
 	if m.byDomain {
-		f.domain(m.Domain).left--
+		f.domainReachOf(m.Domain).inferred--
 	}
-	m.setLost(false, m.unsure)
+	m.setReachability(false, m.unsure)
 	m.byDomain = false
 }
 
-// reached notes that an upstream can be reached, and with it its domain.
-func (f *Fleet) reached(now time.Duration, m *member) {
+// recordReachable notes that an upstream is reachable, and hence its domain.
+func (f *Fleet) recordReachable(now time.Duration, m *member) {
 	if !f.isListed(m) {
 		return
 	}
-	d := f.domain(m.Domain)
-	d.inRow = 0
-	f.returns(now, m)
-	if d.left > 0 {
-		f.returnToDomain(now, m.Domain)
+	d := f.domainReachOf(m.Domain)
+	d.consecutive = 0
+	f.markRecovered(now, m)
+	if d.inferred > 0 {
+		f.restoreDomain(now, m.Domain)
 	}
 }
 
-// returnToDomain takes those upstreams of a failure domain again that were only left along
-// with it; those that failed themselves are tried first.
-func (f *Fleet) returnToDomain(now time.Duration, name string) {
+// restoreDomain restores the upstreams of a failure domain that were out only because of the
+// domain. Those that failed themselves are probed first.
+func (f *Fleet) restoreDomain(now time.Duration, name string) {
 	for _, m := range f.byID {
 		if m.Domain == name && m.byDomain {
-			f.returns(now, m)
+			f.markRecovered(now, m)
 		}
 	}
 }
 
-// ReachedLife notes that a trial connection to a life of an upstream came up, and reports
-// whether it is still the one that is listed.
+// NoteReachable records that a probe connection to an upstream incarnation was established, and
+// reports whether that incarnation is still the one listed.
 func (f *Fleet) ReachedLife(now time.Duration, l Incarnation) bool {
 	m := f.byID[l.ID]
 	if m == nil || m.Incarnation() != l {
 		return false
 	}
-	f.reached(now, m)
+	f.recordReachable(now, m)
 	return true
 }
 
-// Reached notes that a trial connection to an upstream came up.
-func (f *Fleet) Reached(id string) {
+// NoteReachableByID records that a probe connection to an upstream was established.
+func (f *Fleet) NoteReachableByID(id string) {
 	if m := f.byID[id]; m != nil {
-		f.reached(f.lastPutAt, m)
+		f.recordReachable(f.lastPutAt, m)
 	}
 }
 
-// NewlyLost returns, once, the upstreams that have come to count as out of reach.
-func (f *Fleet) NewlyLost() []Lost {
+// TakeNewlyUnreachable returns the upstreams that became unreachable since the last call.
+func (f *Fleet) NewlyLost() []UnreachableUpstream {
 	list := f.lost
 	f.lost = nil
 	return list
 }
 
-// Unreached lists the upstreams that cannot be reached and are not evacuated, by id, so
-// that whoever tries them in turn leaves none out.
+// Unreachable returns the unreachable upstreams that are not evacuated, sorted by id so that a
+// caller can probe them in turn.
 func (f *Fleet) Unreached() []Upstream {
 	var list []Upstream
 	for _, m := range f.byID {
--- /dev/null
+++ b/balance/recovery.go
@@ -0,0 +1,72 @@
+package balance
+
+// This file defines how an upstream that was unreachable is used again. It may have restarted
+// under the same id, and so be cold, before its entry says so; the entry is delayed for as long
+// as the store is unavailable. The invariant: where a service limits the request rate of cold
+// upstreams, an upstream that becomes reachable again gets only its cold quota until the
+// published entries cover the time since then, or until it would be warm in any case. Without
+// this, restarted upstreams are sent more than they can take until their entries arrive.
+
+import (
+	"slices"
+	"time"
+)
+
+// maxPublishDelay is the longest time from the start of an upstream until its entry is published,
+// while the store is available: an upstream writes the entry at once, and a store call takes 4
+// ms, or about 300 ms if the store is slow.
+const maxPublishDelay = 500 * time.Millisecond
+
+// markRecovered notes that an upstream is reachable again. It becomes cold if it was unreachable
+// before.
+func (f *Fleet) markRecovered(now time.Duration, m *member) {
+	wasOut := m.unreachable
+	f.markReachable(m)
+	if !wasOut {
+		return
+	}
+	m.back = now
+	cold := f.serviceOf(m.Service).cold
+	if cold.Most == 0 || now < m.coldTill || f.majorityLost(m.Service) {
+		return
+	}
+	f.markCold(now, m, cold.Lasts)
+	m.setReachability(m.unreachable, now < m.coldTill)
+}
+
+// majorityLost reports whether more of a service's upstreams than may back off at once are
+// unreachable, or recovered and without a published entry since. The cause is then on the side of
+// this box, and the quotas alone would leave its callers without service.
+func (f *Fleet) majorityLost(service string) bool {
+	s := f.serviceOf(service)
+	return (s.lost+1)*percent > s.listed*maxBackoffPercent
+}
+
+// setReachability notes whether an upstream is unreachable, and whether it recovered and no entry
+// published since is known.
+func (m *member) setReachability(out, unsure bool) {
+	if m.unreachable || m.unsure {
+		m.service.lost--
+	}
+	m.unreachable, m.unsure = out, unsure
+	if m.unreachable || m.unsure {
+		m.service.lost++
+	}
+}
+
+// NotePublished notes that all entries published up to the time published are known here: an
+// upstream that recovered before then, and is cold, has had the time to say so.
+func (f *Fleet) Told(now, published time.Duration) {
+	for _, m := range f.cold {
+		if m.unsure && published >= m.back+maxPublishDelay {
+			m.setReachability(m.unreachable, false)
+			m.coldTill = now
+			f.rationsStale = true
+		}
+	}
+	f.cold = slices.DeleteFunc(f.cold, func(m *member) bool {
+		isWarm := now >= m.coldTill
+		m.setReachability(m.unreachable, m.unsure && !isWarm)
+		return isWarm
+	})
+}
--- a/balance/back_bench_test.go
+++ b/balance/recovery_bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkADomainComesBack tells what it costs a box that a third of a service's upstreams can be reached again, where cold ones are
-// bounded.
-func BenchmarkADomainComesBack(b *testing.B) {
+// BenchmarkDomainRecovery measures the cost for a box when a third of a service's upstreams
+// become reachable again, with a limit on cold upstreams.
+func BenchmarkDomainRecovery(b *testing.B) {
 	for _, n := range []int{600, 6000, 12000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
 			f := newTestFleet(n)
@@ -17,10 +17,10 @@
 			for b.Loop() {
 				now += 10 * time.Second
 				for i := range n / 3 {
-					f.markOut(f.byID[fmt.Sprint("u", i)], false)
+					f.markUnreachable(f.byID[fmt.Sprint("u", i)], false)
 				}
 				for i := range n / 3 {
-					f.returns(now, f.byID[fmt.Sprint("u", i)])
+					f.markRecovered(now, f.byID[fmt.Sprint("u", i)])
 				}
 				f.Told(now+5*time.Second, now)
 				f.Unreached()
--- a/balance/back_test.go
+++ b/balance/recovery_test.go
@@ -9,26 +9,26 @@
 	"pgregory.net/rapid"
 )
 
-// One that was out of reach may have started again, and be cold before its entry says so.
-func TestAnUpstreamThatCameBackIsCold(t *testing.T) {
+// An upstream that was unreachable may have restarted, and be cold before its entry says so.
+func TestRecoveredUpstreamIsCold(t *testing.T) {
 	const back = 10 * time.Second
 	bounded := ColdLimit{Lasts: 3 * time.Second, Most: 12}
 	for _, c := range []struct {
 		name  string
 		cold  ColdLimit
-		lost  int           // upstreams of nine that were out of reach
-		known time.Duration // up to when what is published is known
-		entry time.Duration // how much longer it is cold, as an entry says that came with it; 0: none came
-		cool  time.Duration // for how long it gets its ration only
+		lost  int           // number of nine upstreams that were unreachable
+		known time.Duration // time up to which published entries are known
+		entry time.Duration // remaining cold time in an entry that arrived with it; 0: none arrived
+		cool  time.Duration // how long it gets only its quota
 	}{
-		{"its entry would have said so", bounded, 1, back + toldWithin, 0, 0},
-		{"its entry may still come", bounded, 1, back + toldWithin - 1, 0, 3 * time.Second},
-		{"its entry says so", bounded, 1, back + toldWithin, 2 * time.Second, 3 * time.Second},
-		{"its entry says more", bounded, 1, back + toldWithin, 5 * time.Second, 5 * time.Second},
-		{"the service has no bound", ColdLimit{Lasts: 3 * time.Second}, 1, 0, 0, 0},
-		{"upstreams of the service are never cold", ColdLimit{Most: 12}, 1, 0, 0, 0},
-		{"a third was lost", bounded, 3, 0, 0, 3 * time.Second},
-		{"most were lost", bounded, 5, 0, 0, 0},
+		{"entry would have been published", bounded, 1, back + maxPublishDelay, 0, 0},
+		{"entry may still be published", bounded, 1, back + maxPublishDelay - 1, 0, 3 * time.Second},
+		{"entry says cold", bounded, 1, back + maxPublishDelay, 2 * time.Second, 3 * time.Second},
+		{"entry says cold for longer", bounded, 1, back + maxPublishDelay, 5 * time.Second, 5 * time.Second},
+		{"service without a limit", ColdLimit{Lasts: 3 * time.Second}, 1, 0, 0, 0},
+		{"service whose upstreams are never cold", ColdLimit{Most: 12}, 1, 0, 0, 0},
+		{"a third was unreachable", bounded, 3, 0, 0, 3 * time.Second},
+		{"most were unreachable", bounded, 5, 0, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -46,15 +46,16 @@
 			f.Told(back, c.known)
 			m := f.byID["u0"]
 			is.Equal(max(0, m.coldTill-back), c.cool)
-			is.Equal(f.bears(back, m), c.cool == 0 || c.cold.Most == 0) // this box knows of no other yet, so that its ration is 0
-			is.True(f.bears(back+c.cool, m))
+			is.Equal(f.coldQuotaLeft(back, m), c.cool == 0 || c.cold.Most == 0) // this box knows no peers yet, so its quota is 0
+			is.True(f.coldQuotaLeft(back+c.cool, m))
 		})
 	}
 }
 
-// While the store was away, upstreams that came back one after the other were taken for ones of which nothing is told yet for as long as
-// it was, also when they had become warm; after a few of them the next got what it was sent, without a ration. Found by reading.
-func TestAnUpstreamThatIsWarmIsNoLongerInDoubt(t *testing.T) {
+// While the store was unavailable, upstreams that recovered one after the other were counted as
+// having no entry since, for as long as the outage lasted and even once they were warm. After a
+// few of them majorityLost held and the next one got requests without a quota.
+func TestWarmUpstreamIsNotCountedAsLost(t *testing.T) {
 	is := is.New(t)
 	f := newInformedFleet(9)
 	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
@@ -64,13 +65,13 @@
 		now += 10 * time.Second
 		f.Open(now, id, prompt(1)).Close(now, Unreachable)
 		is.True(f.ReachedLife(now+time.Second, Incarnation{ID: id}))
-		is.True(!f.bears(now+time.Second, f.byID[id])) // it may have started again
+		is.True(!f.coldQuotaLeft(now+time.Second, f.byID[id])) // it may have restarted
 		f.Told(now+5*time.Second, 0)
 	}
 }
 
-// The count of upstreams that are lost is that of a look at all, whatever happened to them.
-func TestLostUpstreamsAreCounted(t *testing.T) {
+// The incremental count of lost upstreams matches a full count after any sequence of events.
+func TestLostCountMatchesFullCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newInformedFleet(9)
 		f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
@@ -85,7 +86,7 @@
 			case what == 0:
 				f.Remove(id)
 			case what == 1:
-				f.cool(now, m, time.Second)
+				f.markCold(now, m, time.Second)
 			case what == 2:
 				f.Told(now, now-time.Duration(rapid.IntRange(0, 3000).Draw(t, "age"))*time.Millisecond)
 			case what == 3:
@@ -100,14 +101,14 @@
 				}
 			}
 			if s := f.serviceOf("s"); s.lost != lost || s.listed != len(f.byID) {
-				t.Fatalf("%d of %d are lost, %d of %d are counted", lost, len(f.byID), s.lost, s.listed)
+				t.Fatalf("lost: %d of %d upstreams, counted: %d of %d", lost, len(f.byID), s.lost, s.listed)
 			}
 		}
 	})
 }
 
-// Those that were left along with their domain come back as those that failed themselves.
-func TestADomainThatComesBackIsCold(t *testing.T) {
+// Upstreams that were out only because of their domain recover like those that failed themselves.
+func TestRecoveredDomainIsCold(t *testing.T) {
 	is := is.New(t)
 	f := newInformedFleet(9)
 	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
@@ -117,28 +118,28 @@
 	is.Equal(len(f.Unreached()), 3)
 	f.ReachedLife(time.Second, Incarnation{ID: "u1"})
 	for _, id := range []string{"u1", "u7"} {
-		is.True(!f.bears(time.Second, f.byID[id]))
+		is.True(!f.coldQuotaLeft(time.Second, f.byID[id]))
 	}
-	is.True(f.bears(time.Second, f.byID["u0"]))
-	f.Told(2*time.Second, time.Second+toldWithin)
+	is.True(f.coldQuotaLeft(time.Second, f.byID["u0"]))
+	f.Told(2*time.Second, time.Second+maxPublishDelay)
 	for _, id := range []string{"u1", "u7"} {
-		is.True(f.bears(2*time.Second, f.byID[id]))
+		is.True(f.coldQuotaLeft(2*time.Second, f.byID[id]))
 	}
 }
 
-// Thirty of ninety upstreams start again under their ids, while the store is slow: boxes find by
-// trials that they can be reached, within half a second of each other, and know a second later
-// that they are cold. No one is sent more than it bears meanwhile: 6 requests in any
-// second, where without the ration it would be 19.
-func TestUpstreamsThatStartAgainAreSentWhatTheyBear(t *testing.T) {
+// Thirty of ninety upstreams restart under their ids while the store is slow. Boxes find by
+// probes that they are reachable, within half a second of each other, and know one second later
+// that they are cold. No upstream is sent more than its limit meanwhile: 6 requests in any
+// second, where it would be 19 without the quota.
+func TestRestartedUpstreamsGetAtMostTheirLimit(t *testing.T) {
 	const most = 12
 	const down, back = 10 * time.Second, 11 * time.Second
 	is := is.New(t)
-	boxes := returning(most) // by then all of them are warm
+	boxes := returningFleets(most) // by then all of them are warm
 	for _, f := range boxes {
 		for j := 0; j < 90; j += 3 {
 			f.Open(down, fmt.Sprint("u", j), prompt(1)).Close(down, ConnectionRefused)
-			for _, other := range []int{j + 1, j + 2} { // which have more to do meanwhile
+			for _, other := range []int{j + 1, j + 2} { // the other upstreams have a higher load meanwhile
 				f.Open(down, fmt.Sprint("u", other), Request{Service: "s", Tokens: 200})
 			}
 		}
@@ -146,10 +147,10 @@
 	sent := make(map[string][]time.Duration)
 	reached := make(map[int]bool)
 	var open []*Ticket
-	for i := range 900 { // 600 a second for 1.5 s
+	for i := range 900 { // 600 per second for 1.5 s
 		now := back + time.Duration(i)*time.Second/600
 		if i%60 == 0 {
-			tellLoads(boxes)
+			exchangeLoads(boxes)
 		}
 		n := (i * 37) % 90
 		f := boxes[n]
@@ -169,13 +170,13 @@
 	}
 	worst := 0
 	for j := 0; j < 90; j += 3 {
-		worst = max(worst, mostInASecond(sent[fmt.Sprint("u", j)]))
+		worst = max(worst, maxPerSecond(sent[fmt.Sprint("u", j)]))
 	}
 	is.True(worst <= most)
 }
 
-// mostInASecond is how many of the moments, in order, lie within one second at most.
-func mostInASecond(list []time.Duration) int {
+// maxPerSecond returns the greatest number of the sorted times that lie within one second.
+func maxPerSecond(list []time.Duration) int {
 	most, first := 0, 0
 	for i := range list {
 		for list[i]-list[first] >= time.Second {
--- a/balance/residency_test.go
+++ b/balance/residency_test.go
@@ -23,11 +23,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			f := seenFleet(6)
+			f := fleetWithAnswers(6)
 			f.cfg.Regions = map[string]string{"d0": "r1", "d1": "r1", "d2": "r2"}
 			seen := make(map[string]bool)
 			for shared := range uint64(100) {
-				r := long(shared+1, 360)
+				r := longRequest(shared+1, 360)
 				r.Homes = c.homes
 				var tried []string
 				for range 3 {
--- a/balance/rtt.go
+++ b/balance/rtt.go
@@ -134,7 +134,7 @@
 func (f *Fleet) distancePenalty(domain string, runTime time.Duration) float64 {
 	penalty := 0.0
 	if domain != f.cfg.Domain {
-		penalty = f.cfg.Tuning.Away
+		penalty = f.cfg.Tuning.RemoteLoad
 	}
 	if f.cfg.Off[Distance] || runTime <= 0 {
 		return penalty
--- a/balance/rtt_test.go
+++ b/balance/rtt_test.go
@@ -153,7 +153,7 @@
 		for range 100 {
 			f.Open(0, "far", r).Close(75*time.Millisecond, Answered)
 		}
-		is.Equal(f.workTime("p").Round(time.Millisecond), 15*time.Millisecond)
+		is.Equal(f.serviceTime("p").Round(time.Millisecond), 15*time.Millisecond)
 		f.SetRemoteLoads(map[LoadKey]Load{{Key("near"), 0}: {Open: c.open}})
 		got, _ := f.Place(time.Second, r, nil)
 		is.Equal(got.Upstream.ID == "far", c.far)
@@ -182,7 +182,7 @@
 	}
 	is.Equal(open, 6*maxDistancePenalty+1)
 	f.SetRemoteLoads(nil)
-	f.byID["near"].health.failing = 1
+	f.byID["near"].health.failureRate = 1
 	c, _ := f.Place(time.Second, r, nil)
 	is.Equal(c.Upstream.ID, "far")
 }
@@ -201,7 +201,7 @@
 	f.cfg.Off = nil
 	for part := range uint64(50) {
 		r := large(part + 1)
-		is.Equal(f.proximityOf("b0", f.calmest(time.Second, r, f.byID["u2"]).Domain) == otherRegion, false)
+		is.Equal(f.proximityOf("b0", f.moveTarget(time.Second, r, f.byID["u2"]).Domain) == otherRegion, false)
 	}
 }
 
@@ -224,7 +224,7 @@
 				f.NoteKept(now, []PartReport{{PartKey(uint64(rapid.IntRange(1, 3).Draw(t, "kept"))), Key(id)}})
 			}
 			if rapid.IntRange(0, 4).Draw(t, "out") == 0 {
-				f.unreached(now, f.byID[id])
+				f.recordUnreachable(now, f.byID[id])
 			}
 			loads[LoadKey{Key(id), 0}] = Load{Unread: rapid.SampledFrom([]int{0, 0, 500, 30000}).Draw(t, "unread"), Open: rapid.IntRange(0, 9).Draw(t, "open")}
 		}
@@ -240,7 +240,7 @@
 			if c.Fetch != "" {
 				within("fetched", c.Fetch)
 			}
-			if m := f.calmest(now, r, f.byID[c.Upstream.ID]); m != nil {
+			if m := f.moveTarget(now, r, f.byID[c.Upstream.ID]); m != nil {
 				within("moved", m.Address)
 			}
 			tried = append(tried, c.Upstream.ID)
@@ -248,7 +248,7 @@
 		from := fmt.Sprintf("u%d", rapid.IntRange(0, 23).Draw(t, "from"))
 		a := &f.serviceOf("s").answers
 		a.events.add(1, 1)
-		a.calm.add(15, answersFrom) // ms from one event to the next
+		a.calm.add(15, minAnswers) // ms from one event to the next
 		m, ok := f.MoveTo(now, r, from, Progress{Events: 5, Between: 400 * time.Millisecond, Left: time.Second})
 		if ok {
 			within("moved from", f.byID[from].Address)
--- a/balance/apart_test.go
+++ b/balance/separation_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// Who is kept apart follows from what is read for a class and how long a pause it bears,
-// whatever the classes are called and however many there are.
-func TestWhoIsKeptApart(t *testing.T) {
+// Which classes are separated depends only on the prefill per request and the longest acceptable
+// gap, for any names and any number of classes.
+func TestSeparatedClasses(t *testing.T) {
 	type seen struct {
 		class string
 		gapMS int
-		read  int // tokens for a request
+		read  int // tokens prefilled per request
 		times int
 	}
 	tests := []struct {
@@ -23,15 +23,15 @@
 		seen  []seen
 		tight []string
 	}{
-		{"nothing seen", nil, nil},
+		{"no requests", nil, nil},
 		{"one class", []seen{{"a", 200, 600, 9}}, nil},
-		{"alike", []seen{{"a", 200, 600, 9}, {"b", 300, 900, 9}, {"c", 250, 1200, 9}}, nil},
-		{"pauses alike, one reads much more", []seen{{"a", 200, 628, 9}, {"b", 300, 2890, 9}}, []string{"a"}},
-		{"reading alike, pauses differ much", []seen{{"a", 200, 1000, 9}, {"b", 1200, 1000, 9}}, []string{"a"}},
-		{"three, the last two alike", []seen{{"a", 300, 1110, 9}, {"b", 500, 2890, 9}, {"c", 1200, 3720, 9}}, []string{"a"}},
-		{"three, the first two alike", []seen{{"a", 300, 600, 9}, {"b", 300, 1100, 9}, {"c", 1200, 9000, 9}}, []string{"a", "b"}},
-		{"one that hardly comes does not count", []seen{{"a", 200, 600, 99}, {"b", 300, 9000, 1}}, nil},
-		{"without a pause it is no stream", []seen{{"a", 200, 600, 9}, {"b", 0, 9000, 9}}, nil},
+		{"similar classes", []seen{{"a", 200, 600, 9}, {"b", 300, 900, 9}, {"c", 250, 1200, 9}}, nil},
+		{"similar gaps, one with much more prefill", []seen{{"a", 200, 628, 9}, {"b", 300, 2890, 9}}, []string{"a"}},
+		{"same prefill, very different gaps", []seen{{"a", 200, 1000, 9}, {"b", 1200, 1000, 9}}, []string{"a"}},
+		{"three, the last two similar", []seen{{"a", 300, 1110, 9}, {"b", 500, 2890, 9}, {"c", 1200, 3720, 9}}, []string{"a"}},
+		{"three, the first two similar", []seen{{"a", 300, 600, 9}, {"b", 300, 1100, 9}, {"c", 1200, 9000, 9}}, []string{"a", "b"}},
+		{"a rare class is not considered", []seen{{"a", 200, 600, 99}, {"b", 300, 9000, 1}}, nil},
+		{"a class without a gap is not considered", []seen{{"a", 200, 600, 9}, {"b", 0, 9000, 9}}, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -39,10 +39,10 @@
 			k := classes{byKey: make(map[uint32]*class)}
 			for _, s := range tt.seen {
 				for range s.times {
-					k.observe(reads(s.class, time.Duration(s.gapMS)*time.Millisecond, 1, s.read), s.read)
+					k.observe(classRequest(s.class, time.Duration(s.gapMS)*time.Millisecond, 1, s.read), s.read)
 				}
 			}
-			k.decideApart()
+			k.chooseDivision()
 			var tight []string
 			for _, s := range tt.seen {
 				if k.tight(s.class) {
@@ -54,25 +54,25 @@
 	}
 }
 
-// A division stays while another is only a little better, so that upstreams do not change
-// their lanes to and fro, and goes when the classes have become alike.
-func TestADivisionStaysWhileItIsNearlyTheBest(t *testing.T) {
+// A division is kept while another is only slightly better, so that upstreams do not alternate
+// between lanes, and is dropped once the classes have become similar.
+func TestDivisionIsKeptWhileNearlyBest(t *testing.T) {
 	is := is.New(t)
 	k := classes{byKey: make(map[uint32]*class)}
 	see := func(class string, read int) {
 		if c := k.byKey[Key(class)]; c != nil {
-			c.own = mean{} // as if that was long ago
+			c.observed = mean{} // as if the earlier requests were long ago
 		}
 		for range 100 {
-			k.observe(reads(class, 200*time.Millisecond, 1, read), read)
+			k.observe(classRequest(class, 200*time.Millisecond, 1, read), read)
 		}
-		k.decideApart()
+		k.chooseDivision()
 	}
 	see("a", 1000)
 	see("c", 40000)
 	see("b", 9000) // b to c is a factor of 4.4, a to b one of 9
 	is.True(k.tight("a") && !k.tight("b"))
-	see("b", 6000) // both are about the same now
+	see("b", 6000) // both factors are about the same now
 	is.True(k.tight("a") && !k.tight("b"))
 	see("b", 4000) // b to c is a factor of 10 now, a to b one of 4
 	is.True(k.tight("a") && k.tight("b"))
@@ -82,8 +82,8 @@
 	is.True(!k.tight("a") && !k.tight("b") && !k.tight("c"))
 }
 
-// Without classes that differ, every upstream serves every class.
-func TestNoLaneIsKeptForNobody(t *testing.T) {
+// If no classes differ, every upstream serves every class.
+func TestNoLaneWithoutSeparatedClasses(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(9)
 	used := make(map[string]bool)
@@ -94,15 +94,15 @@
 		used[serve(f, now, chat(shared)).Upstream.ID] = true
 	}
 	is.Equal(len(used), 9)
-	is.Equal(f.Lanes(), LanePlan{}) // nor told to be
+	is.Equal(f.Lanes(), LanePlan{}) // nor is a lane reported
 }
 
-// A prompt leaves its lane where a place beyond is cheaper by what leaving costs.
-func TestAPromptLeavesALaneThatIsOverrun(t *testing.T) {
+// A tight stream leaves its lane if an upstream outside costs less even with the cost of leaving.
+func TestTightStreamLeavesOverloadedLane(t *testing.T) {
 	is := is.New(t)
 	f := newDividedFleet(9)
 	f.SizeLanes(0, LanePlan{Key("s"): {Places: 3}})
-	tight := tightPlaces(f)
+	tight := tightUpstreams(f)
 	load := func(tokens int) {
 		loads := make(map[LoadKey]Load)
 		for id := range tight {
@@ -110,7 +110,7 @@
 		}
 		f.SetRemoteLoads(loads)
 	}
-	cost := f.leaveCost("s")
+	cost := f.laneExitCost("s")
 	is.True(cost > 0)
 	for shared := uint64(1); shared <= 20; shared++ {
 		load(cost / 2)
@@ -122,47 +122,47 @@
 	}
 }
 
-// However many classes come, and whatever they read, what is kept apart from the others
-// interferes less, by apartFrom with the slack at least.
-func TestADivisionSeparatesByInterference(t *testing.T) {
+// For any classes, the separated ones have less interference than the others, at least by the
+// factor minSeparation less the hysteresis.
+func TestDivisionSeparatesByInterference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := classes{byKey: make(map[uint32]*class)}
 		for step := range rapid.IntRange(1, 60).Draw(t, "requests") {
 			name := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "class"))
 			read := rapid.IntRange(0, 40000).Draw(t, "read")
 			gap := time.Duration(rapid.IntRange(1, 3000).Draw(t, "gap")) * time.Millisecond
-			k.observe(reads(name, gap, uint64(step), read), read)
-			k.decideApart()
+			k.observe(classRequest(name, gap, uint64(step), read), read)
+			k.chooseDivision()
 			var most, least float64
-			for _, c := range k.counted() {
+			for _, c := range k.significant() {
 				switch i := c.interference(); {
-				case i < k.apart.limit:
+				case i < k.division.limit:
 					most = max(most, i)
 				case least == 0 || i < least:
 					least = i
 				}
 			}
-			if k.apart.limit > 0 && least*apartSlack*1.0001 < most*apartFrom {
-				t.Fatalf("classes with an interference of %.0f and %.0f are kept apart", most, least)
+			if k.division.limit > 0 && least*separationHysteresis*1.0001 < most*minSeparation {
+				t.Fatalf("classes with an interference of %.0f and %.0f are separated", most, least)
 			}
 		}
 	})
 }
 
-// Who is kept apart is decided by one box for all: what another sees by itself makes no
-// difference as long as it is told, nor afterwards until it has seen two classes.
-func TestABoxKeepsThoseApartThatItIsTold(t *testing.T) {
+// One box decides for all which classes are separated: the observations of another box make no
+// difference as long as it has an assignment, nor afterwards until it has seen two classes.
+func TestAssignedClassesOverrideOwnDivision(t *testing.T) {
 	is := is.New(t)
-	f := newDividedFleet(20) // by itself it would keep chats apart
-	told := LanePlan{Key("s"): {5, []uint32{Key("letter")}}}
-	f.SizeLanes(0, told)
+	f := newDividedFleet(20) // on its own it would separate chats
+	reported := LanePlan{Key("s"): {5, []uint32{Key("letter")}}}
+	f.SizeLanes(0, reported)
 	is.True(f.tight(letter(1)) && !f.tight(chat(1)))
-	is.Equal(f.Lanes(), told) // as it passes on
+	is.Equal(f.Lanes(), reported) // which this box reports in turn
 	f.SizeLanes(time.Second, nil)
 	is.True(!f.tight(letter(1)) && f.tight(chat(1)))
 
 	f = newTestFleet(20)
-	f.SizeLanes(0, told)
+	f.SizeLanes(0, reported)
 	f.Open(time.Second, "u0", letter(1))
 	f.SizeLanes(time.Second, nil)
 	is.True(f.tight(letter(1)) && !f.tight(chat(1)))
--- a/balance/service.go
+++ b/balance/service.go
@@ -17,11 +17,11 @@
 	refusals         refusals      // of its requests
 	holding          holding       // how long its requests hold slots
 	plainRunTime     mean          // in ms, of requests without a prompt that found a free slot
-	answers          answers       // of its upstreams
+	answers          answerStats   // of its upstreams
 	cold             ColdLimit     // limits for its upstreams while they are cold
 	memory           int           // tokens that the memory of each of its upstreams holds; 0 if unknown
-	wanted           wanted        // number of places that upstreams which state limits have
-	waits            waits         // for the end of a pause
+	wanted           urgentHolds   // number of places that upstreams which state limits have
+	waiters          waits         // for the end of a pause
 	unavailableSince time.Duration // when a request first found all listed upstreams leaving; longAgo if they are not
 	meanUnread       float64       // prompt tokens that its upstreams have to read, averaged over them
 }
--- a/balance/slots_test.go
+++ b/balance/slots_test.go
@@ -36,7 +36,7 @@
 	is.Equal(f.serviceOf("s").holding.mean(0), time.Duration(0))
 	is.Equal(f.serviceOf("s").holding.mean(time.Second), 8*time.Second) // none of 8 completed within a second
 	c, _ := f.Place(time.Second, prompt(1), nil)
-	is.True(f.readTime(c.Backlog) >= time.Second) // the time until one of 8 slots is free
+	is.True(f.prefillTime(c.Backlog) >= time.Second) // the time until one of 8 slots is free
 	_, ok := f.Admit(time.Second, prompt(1), Admission{Target: time.Second}, c)
 	is.True(!ok)
 	is.True(f.serviceOf("s").holding.mean(time.Hour) <= maxHoldTime)
--- a/balance/suspects.go
+++ b/balance/suspects.go
@@ -1,12 +1,14 @@
 package balance
 
-// This file defines which requests upstreams end under. A request may end each upstream that begins to
-// run it, and come again under another id at any box; so what counts is its content. The
-// invariants: a content under which withheldFrom upstreams have ended is withheld, on whichever
-// boxes they were seen to end; one that was answered whole since is not; and an upstream that answers has not
-// ended, so nothing is held against what was cut off there before.
+// This file identifies requests that make upstreams crash. Such a request may crash each upstream
+// that begins to run it, and be retried under another id at any box, so it is identified by its
+// content. The invariants: a content during which withholdThreshold upstreams have crashed is
+// withheld, whichever boxes observed it; a content that was answered in full since is not; and an
+// upstream that answers has not crashed, so the runs that were cut off there before count against
+// no content.
 //
-// Without it 46 upstreams ended under one request, and all that ran beside it was lost each time.
+// Without this, 46 upstreams crashed under one request, each time with the loss of everything
+// else that they ran.
 
 import (
 	"cmp"
@@ -16,120 +18,126 @@
 )
 
 const (
-	// withheldFrom is how many upstreams end under a content before it is withheld. One may end
-	// beside any request; that two in a row do beside the same one by chance is rare.
-	withheldFrom = 2
-	// withheldFor is how long a content is withheld for its first withheldFrom upstreams, and
-	// twice as long for each further one. After that it may run again, and ends one more at
-	// worst: what ended the upstreams may have been something else, or be mended.
-	withheldFor = 5 * time.Minute
-	// withheldMost bounds that, and suspectFor is how long a content is remembered since an
-	// upstream last ended under it.
-	withheldMost = time.Hour
-	suspectFor   = 2 * withheldMost
-	// maxSuspects bounds the contents that are remembered; with eight lives each, some 400 KB.
+	// withholdThreshold is the number of upstreams that crash under a content before it is
+	// withheld. A single crash may coincide with any request; two in a row with the same content
+	// are rarely a coincidence.
+	withholdThreshold = 2
+	// withholdBase is how long a content is withheld after the first withholdThreshold crashes;
+	// it doubles with each further one. After that the content may run again, and crashes one
+	// more upstream at worst: the crashes may have had another cause, or the fault may have been
+	// fixed.
+	withholdBase = 5 * time.Minute
+	// maxWithhold bounds that time, and suspectRetention is how long a content is remembered
+	// since an upstream last crashed under it.
+	maxWithhold      = time.Hour
+	suspectRetention = 2 * maxWithhold
+	// maxSuspects bounds the contents that are remembered; with eight incarnations each, they
+	// take about 400 KB.
 	maxSuspects = 1 << 11
-	// livesEach bounds the lives that are remembered for a content.
-	livesEach = 8
-	// cutFor is how long after a run was cut off its upstream may be found to have ended, and
-	// maxCuts bounds the runs of which that is open.
-	cutFor  = 10 * time.Second
-	maxCuts = 1 << 12
-	// endedFor is how long an upstream is remembered to have ended: runs may be found to be
-	// cut off later than the first.
-	endedFor = time.Minute
+	// incarnationsPerContent bounds the incarnations that are remembered per content.
+	incarnationsPerContent = 8
+	// lostRunWindow is how long after a run was cut off its upstream may be found to have
+	// crashed, and maxLostRuns bounds the runs for which this is open.
+	lostRunWindow = 10 * time.Second
+	maxLostRuns   = 1 << 12
+	// crashRetention is how long a crash is remembered: further cut-off runs may be reported
+	// later than the first.
+	crashRetention = time.Minute
 )
 
-// suspect is what is known of a content.
+// suspect is what is known about a content.
 type suspect struct {
-	ended []uint32 // keys of lives, in order
-	round uint32
-	at    time.Duration // when the last of them ended, or the content was answered
+	crashed []uint32 // sorted incarnation keys
+	round   uint32
+	at      time.Duration // time of the last crash, or when the content was answered
 }
 
-// cut is a run that was cut off at an upstream which may have ended.
-type cut struct {
-	content uint64
-	life    uint32
-	at      time.Duration
+// lostRun is a run that was cut off at an upstream which may have crashed.
+type lostRun struct {
+	content     uint64
+	incarnation uint32
+	at          time.Duration
 }
 
-// Suspects are the contents under which upstreams have ended, as one box knows them; the zero
-// Suspects knows of none. It is not safe for several goroutines.
+// Suspects holds the contents under which upstreams have crashed, as one box knows them. The zero
+// value is empty. It is not safe for concurrent use.
 type Suspects struct {
 	contents map[uint64]*suspect
-	cuts     []cut
-	ended    map[uint32]time.Duration // lives that have ended, and when that was found here
-	told     map[uint32]time.Duration // the same of what others told, and when
-	news     map[uint64]struct{}      // contents of which others are to be told
+	lostRuns []lostRun
+	crashed  map[uint32]time.Duration // crashed incarnations, and when this box found out
+	reported map[uint32]time.Duration // crashed incarnations reported by other boxes, and when
+	pending  map[uint64]struct{}      // contents to report to other boxes
 }
 
-// Any reports whether anything is known: where it is not, no content needs to be worked out.
-func (s *Suspects) Any() bool { return len(s.contents) > 0 || len(s.cuts) > 0 }
+// Any reports whether anything is recorded; if not, callers need not compute the hash of a
+// request's content.
+func (s *Suspects) Any() bool { return len(s.contents) > 0 || len(s.lostRuns) > 0 }
 
-// Forget forgets what is old.
+// Forget drops expired entries.
 func (s *Suspects) Forget(now time.Duration) {
-	s.cuts = slices.DeleteFunc(s.cuts, func(c cut) bool { return now-c.at >= cutFor })
-	maps.DeleteFunc(s.ended, func(_ uint32, at time.Duration) bool { return now-at >= endedFor })
-	maps.DeleteFunc(s.told, func(_ uint32, at time.Duration) bool { return now-at >= suspectFor })
-	maps.DeleteFunc(s.contents, func(_ uint64, x *suspect) bool { return now-x.at >= suspectFor })
+	s.lostRuns = slices.DeleteFunc(s.lostRuns, func(c lostRun) bool { return now-c.at >= lostRunWindow })
+	maps.DeleteFunc(s.crashed, func(_ uint32, at time.Duration) bool { return now-at >= crashRetention })
+	maps.DeleteFunc(s.reported, func(_ uint32, at time.Duration) bool { return now-at >= suspectRetention })
+	maps.DeleteFunc(s.contents, func(_ uint64, x *suspect) bool { return now-x.at >= suspectRetention })
 }
 
-// CutOff notes that an upstream closed or reset the connection under a run of a content, and
-// reports whether that is withheld from now on: the upstream is known to have ended.
+// NoteConnectionLost records that an upstream closed or reset the connection during a run of a
+// content. It reports whether the content becomes withheld, which happens if the upstream is
+// already known to have crashed.
 func (s *Suspects) CutOff(now time.Duration, content uint64, l Incarnation) (withheld bool) {
-	life := l.Key()
-	if at, isOver := s.ended[life]; isOver && now-at < endedFor {
-		return s.add(now, content, life)
+	incarnation := l.Key()
+	if at, isOver := s.crashed[incarnation]; isOver && now-at < crashRetention {
+		return s.addCrash(now, content, incarnation)
 	}
-	if len(s.cuts) >= maxCuts && now-s.cuts[0].at >= cutFor {
+	if len(s.lostRuns) >= maxLostRuns && now-s.lostRuns[0].at >= lostRunWindow {
 		s.Forget(now)
 	}
-	if len(s.cuts) < maxCuts {
-		s.cuts = append(s.cuts, cut{content, life, now})
+	if len(s.lostRuns) < maxLostRuns {
+		s.lostRuns = append(s.lostRuns, lostRun{content, incarnation, now})
 	}
 	return false
 }
 
-// Ended notes that an upstream has ended, neither planned nor told. It returns the contents that
-// were cut off there and are withheld from now on, and whether the end was not known before.
+// Ended records that an upstream has ended without planning or announcing it. It returns the
+// contents whose runs were cut off there and that become withheld, and whether the end was not
+// known before.
 func (s *Suspects) Ended(now time.Duration, l Incarnation) (withheld []uint64, isNew bool) {
-	life := l.Key()
-	at, isOver := s.ended[life]
-	isNew = !isOver || now-at >= endedFor
-	note(&s.ended, life, now)
-	for _, c := range s.cuts {
-		if c.life == life && now-c.at < cutFor && s.add(now, c.content, life) {
+	incarnation := l.Key()
+	at, isOver := s.crashed[incarnation]
+	isNew = !isOver || now-at >= crashRetention
+	recordEnd(&s.crashed, incarnation, now)
+	for _, c := range s.lostRuns {
+		if c.incarnation == incarnation && now-c.at < lostRunWindow && s.addCrash(now, c.content, incarnation) {
 			withheld = append(withheld, c.content)
 		}
 	}
-	s.cuts = slices.DeleteFunc(s.cuts, func(c cut) bool { return c.life == life })
+	s.lostRuns = slices.DeleteFunc(s.lostRuns, func(c lostRun) bool { return c.incarnation == incarnation })
 	return withheld, isNew
 }
 
-// note notes in a map when an upstream was found, or told, to have ended.
-func note(ends *map[uint32]time.Duration, life uint32, now time.Duration) {
+// recordEnd records in ends when an upstream incarnation was found, or reported, to have crashed.
+func recordEnd(ends *map[uint32]time.Duration, incarnation uint32, now time.Duration) {
 	if *ends == nil {
 		*ends = make(map[uint32]time.Duration)
 	}
-	(*ends)[life] = now
+	(*ends)[incarnation] = now
 }
 
-// add holds the end of an upstream against a content, and reports whether it is withheld from
-// now on and was not before.
-func (s *Suspects) add(now time.Duration, content uint64, life uint32) bool {
+// addCrash counts the crash of an upstream against a content, and reports whether the content
+// becomes withheld.
+func (s *Suspects) addCrash(now time.Duration, content uint64, incarnation uint32) bool {
 	before := s.Left(now, content)
-	x := s.of(now, content)
-	if !x.add(life) && !x.full() {
-		return false // it was known
+	x := s.ensure(now, content)
+	if !x.add(incarnation) && !x.full() {
+		return false // already known
 	}
 	x.at = now
-	s.tell(content)
+	s.queueReport(content)
 	return before == 0 && s.Left(now, content) > 0
 }
 
-// of is what is known of a content, which is known of from now on.
-func (s *Suspects) of(now time.Duration, content uint64) *suspect {
+// ensure returns the record of a content and creates it if needed.
+func (s *Suspects) ensure(now time.Duration, content uint64) *suspect {
 	x := s.contents[content]
 	if x == nil {
 		s.makeRoom(now)
@@ -142,23 +150,23 @@
 	return x
 }
 
-// add notes a life, and reports whether it was new. Of too many the least keys stay, so that
-// boxes come to know the same whatever order they are told in.
-func (x *suspect) add(life uint32) bool {
-	i, known := slices.BinarySearch(x.ended, life)
-	if known || i >= livesEach {
+// add adds an incarnation and reports whether it is new. If there are too many, those with the
+// lowest keys are kept, so that boxes converge whatever the order of their reports.
+func (x *suspect) add(incarnation uint32) bool {
+	i, known := slices.BinarySearch(x.crashed, incarnation)
+	if known || i >= incarnationsPerContent {
 		return false
 	}
-	x.ended = slices.Insert(x.ended, i, life)
-	x.ended = x.ended[:min(len(x.ended), livesEach)]
+	x.crashed = slices.Insert(x.crashed, i, incarnation)
+	x.crashed = x.crashed[:min(len(x.crashed), incarnationsPerContent)]
 	return true
 }
 
-// full reports whether more lives may have ended than are remembered.
-func (x *suspect) full() bool { return len(x.ended) == livesEach }
+// full reports whether more incarnations may have crashed than are remembered.
+func (x *suspect) full() bool { return len(x.crashed) == incarnationsPerContent }
 
-// makeRoom forgets what is old, and where that is not enough a quarter of the contents: those under
-// which the fewest have ended, of these the oldest.
+// makeRoom drops expired entries and, if that is not enough, a quarter of the contents: those
+// with the fewest crashes, and of these the oldest.
 func (s *Suspects) makeRoom(now time.Duration) {
 	if len(s.contents) < maxSuspects {
 		return
@@ -169,56 +177,57 @@
 	}
 	list := slices.SortedFunc(maps.Keys(s.contents), func(a, b uint64) int {
 		x, y := s.contents[a], s.contents[b]
-		return cmp.Or(cmp.Compare(len(x.ended), len(y.ended)), cmp.Compare(x.at, y.at), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(len(x.crashed), len(y.crashed)), cmp.Compare(x.at, y.at), cmp.Compare(a, b))
 	})
-	for _, content := range list[:maxSuspects/4] { // so many at once: where a domain ends, thousands come
+	for _, content := range list[:maxSuspects/4] { // a batch, since thousands of contents arrive when a whole domain ends
 		delete(s.contents, content)
 	}
 }
 
-// Answered notes that a content was answered whole: it does not end what runs it.
+// Answered records that a content was answered in full, so that it does not crash upstreams.
 func (s *Suspects) Answered(now time.Duration, content uint64) {
-	s.cuts = slices.DeleteFunc(s.cuts, func(c cut) bool { return c.content == content })
-	if x := s.contents[content]; x != nil && len(x.ended) > 0 {
-		x.ended, x.at = nil, now
+	s.lostRuns = slices.DeleteFunc(s.lostRuns, func(c lostRun) bool { return c.content == content })
+	if x := s.contents[content]; x != nil && len(x.crashed) > 0 {
+		x.crashed, x.at = nil, now
 		x.round++
-		s.tell(content)
+		s.queueReport(content)
 	}
 }
 
-// Alive notes that an upstream has answered a run that began at a moment: where it was found to
-// have ended before that, it had not.
+// Alive records that an upstream has answered a run that began at the given time. If it was
+// thought to have crashed before that, it had not.
 func (s *Suspects) Alive(l Incarnation, began time.Duration) {
-	life := l.Key()
-	s.cuts = slices.DeleteFunc(s.cuts, func(c cut) bool { return c.life == life && c.at < began })
-	if !s.claimed(life, began) {
+	incarnation := l.Key()
+	s.lostRuns = slices.DeleteFunc(s.lostRuns, func(c lostRun) bool { return c.incarnation == incarnation && c.at < began })
+	if !s.crashedBefore(incarnation, began) {
 		return
 	}
-	delete(s.ended, life)
-	delete(s.told, life)
+	delete(s.crashed, incarnation)
+	delete(s.reported, incarnation)
 	for content, x := range s.contents {
-		if i, held := slices.BinarySearch(x.ended, life); held {
-			x.ended = slices.Delete(x.ended, i, i+1)
+		if i, held := slices.BinarySearch(x.crashed, incarnation); held {
+			x.crashed = slices.Delete(x.crashed, i, i+1)
 			x.round++
-			s.tell(content)
+			s.queueReport(content)
 		}
 	}
 }
 
-// claimed reports whether an upstream was found, or told, to have ended, and neither since a moment.
-func (s *Suspects) claimed(life uint32, moment time.Duration) bool {
-	found, isFound := s.ended[life]
-	told, isTold := s.told[life]
-	return (isFound || isTold) && (!isFound || found < moment) && (!isTold || told < moment)
+// crashedBefore reports whether an upstream was found or reported to have crashed, only at times
+// before the given one.
+func (s *Suspects) crashedBefore(incarnation uint32, moment time.Duration) bool {
+	found, isFound := s.crashed[incarnation]
+	reported, isReported := s.reported[incarnation]
+	return (isFound || isReported) && (!isFound || found < moment) && (!isReported || reported < moment)
 }
 
-// Suspected reports whether an upstream has ended under a content.
+// Suspected reports whether an upstream has crashed under a content.
 func (s *Suspects) Suspected(content uint64) bool {
 	x := s.contents[content]
-	return x != nil && len(x.ended) > 0
+	return x != nil && len(x.crashed) > 0
 }
 
-// Left is how long a content is withheld from now on; 0: it may run.
+// Left returns how much longer a content is withheld; 0: it may run.
 func (s *Suspects) Left(now time.Duration, content uint64) time.Duration {
 	if x := s.contents[content]; x != nil {
 		return max(0, x.at+x.withheldFor()-now)
@@ -226,19 +235,20 @@
 	return 0
 }
 
-// withheldFor is how long a content is withheld since the last upstream ended under it.
+// withheldFor returns how long a content is withheld after the last crash.
 func (x *suspect) withheldFor() time.Duration {
-	beyond := len(x.ended) - withheldFrom
+	beyond := len(x.crashed) - withholdThreshold
 	if beyond < 0 {
 		return 0
 	}
-	return min(withheldFor<<beyond, withheldMost)
+	return min(withholdBase<<beyond, maxWithhold)
 }
 
-// Count is how many upstreams are known to have ended under a content, up to a bound.
+// Count returns the number of upstreams known to have crashed under a content, at most
+// incarnationsPerContent.
 func (s *Suspects) Count(content uint64) int {
 	if x := s.contents[content]; x != nil {
-		return len(x.ended)
+		return len(x.crashed)
 	}
 	return 0
 }
--- a/balance/suspects_test.go
+++ b/balance/suspects_test.go
@@ -10,79 +10,79 @@
 	"github.com/matryer/is"
 )
 
-func lifeOf(n int) Incarnation { return Incarnation{ID: fmt.Sprint("u", n), StartedAt: 1} }
+func incarnationOf(n int) Incarnation { return Incarnation{ID: fmt.Sprint("u", n), StartedAt: 1} }
 
-// endsUnder has an upstream end under contents.
-func endsUnder(s *Suspects, now time.Duration, n int, contents ...uint64) []uint64 {
+// crashDuring records that an upstream crashed during runs of contents.
+func crashDuring(s *Suspects, now time.Duration, n int, contents ...uint64) []uint64 {
 	for _, c := range contents {
-		s.CutOff(now, c, lifeOf(n))
+		s.CutOff(now, c, incarnationOf(n))
 	}
-	withheld, _ := s.Ended(now+time.Millisecond, lifeOf(n))
+	withheld, _ := s.Ended(now+time.Millisecond, incarnationOf(n))
 	return withheld
 }
 
-func TestWhatIsWithheld(t *testing.T) {
+func TestWithheldContents(t *testing.T) {
 	const content, other = 7, 8
 	for _, test := range []struct {
 		name string
 		do   func(s *Suspects)
 		left time.Duration // at 10 s
 	}{
-		{"nothing ended", func(s *Suspects) {}, 0},
-		{"one ended", func(s *Suspects) { endsUnder(s, 0, 1, content) }, 0},
-		{"two ended", func(s *Suspects) {
-			endsUnder(s, 0, 1, content)
-			endsUnder(s, 9*time.Second, 2, content)
-		}, withheldFor - 999*time.Millisecond},
-		{"three ended", func(s *Suspects) {
+		{"no crash", func(s *Suspects) {}, 0},
+		{"one crash", func(s *Suspects) { crashDuring(s, 0, 1, content) }, 0},
+		{"two crashes", func(s *Suspects) {
+			crashDuring(s, 0, 1, content)
+			crashDuring(s, 9*time.Second, 2, content)
+		}, withholdBase - 999*time.Millisecond},
+		{"three crashes", func(s *Suspects) {
 			for n := range 3 {
-				endsUnder(s, 9*time.Second, n, content)
+				crashDuring(s, 9*time.Second, n, content)
 			}
-		}, 2*withheldFor - 999*time.Millisecond},
-		{"the same one twice", func(s *Suspects) {
-			endsUnder(s, 0, 1, content)
-			endsUnder(s, time.Second, 1, content)
+		}, 2*withholdBase - 999*time.Millisecond},
+		{"the same upstream twice", func(s *Suspects) {
+			crashDuring(s, 0, 1, content)
+			crashDuring(s, time.Second, 1, content)
 		}, 0},
-		{"another content each time", func(s *Suspects) {
-			endsUnder(s, 0, 1, content)
-			endsUnder(s, 0, 2, other)
+		{"different contents", func(s *Suspects) {
+			crashDuring(s, 0, 1, content)
+			crashDuring(s, 0, 2, other)
 		}, 0},
-		{"cut off, and the upstreams live", func(s *Suspects) {
-			s.CutOff(0, content, lifeOf(1))
-			s.CutOff(0, content, lifeOf(2))
+		{"cut off, but the upstreams are alive", func(s *Suspects) {
+			s.CutOff(0, content, incarnationOf(1))
+			s.CutOff(0, content, incarnationOf(2))
 		}, 0},
-		{"found to be cut off after the end was", func(s *Suspects) {
-			s.Ended(0, lifeOf(1))
-			s.Ended(0, lifeOf(2))
-			s.CutOff(9*time.Second, content, lifeOf(1))
-			s.CutOff(9*time.Second, content, lifeOf(2))
-		}, withheldFor - time.Second},
-		{"cut off long before the end", func(s *Suspects) {
-			s.CutOff(-20*time.Second, content, lifeOf(1))
-			s.CutOff(-20*time.Second, content, lifeOf(2))
-			s.Ended(0, lifeOf(1))
-			s.Ended(0, lifeOf(2))
+		{"cut-off runs found after the crashes", func(s *Suspects) {
+			s.Ended(0, incarnationOf(1))
+			s.Ended(0, incarnationOf(2))
+			s.CutOff(9*time.Second, content, incarnationOf(1))
+			s.CutOff(9*time.Second, content, incarnationOf(2))
+		}, withholdBase - time.Second},
+		{"cut off long before the crashes", func(s *Suspects) {
+			s.CutOff(-20*time.Second, content, incarnationOf(1))
+			s.CutOff(-20*time.Second, content, incarnationOf(2))
+			s.Ended(0, incarnationOf(1))
+			s.Ended(0, incarnationOf(2))
 		}, 0},
-		{"answered whole between", func(s *Suspects) {
-			endsUnder(s, 0, 1, content)
+		{"answered in full between", func(s *Suspects) {
+			crashDuring(s, 0, 1, content)
 			s.Answered(time.Second, content)
-			endsUnder(s, 2*time.Second, 2, content)
+			crashDuring(s, 2*time.Second, 2, content)
 		}, 0},
-		{"answered whole after", func(s *Suspects) {
-			endsUnder(s, 0, 1, content)
-			endsUnder(s, 0, 2, content)
+		{"answered in full after", func(s *Suspects) {
+			crashDuring(s, 0, 1, content)
+			crashDuring(s, 0, 2, content)
 			s.Answered(time.Second, content)
 		}, 0},
-		{"one of them answers later: it had not ended", func(s *Suspects) {
-			endsUnder(s, 0, 1, content)
-			endsUnder(s, 0, 2, content)
-			s.Alive(lifeOf(2), time.Second)
+		{"one of them answers later: it had not crashed", func(s *Suspects) {
+			crashDuring(s, 0, 1, content)
+			crashDuring(s, 0, 2, content)
+			s.Alive(incarnationOf(2), time.Second)
 		}, 0},
-		{"one of them answered what began before", func(s *Suspects) {
-			endsUnder(s, 9*time.Second, 1, content)
-			endsUnder(s, 9*time.Second, 2, content)
-			s.Alive(lifeOf(2), time.Second)
-		}, withheldFor - 999*time.Millisecond},
+		{"one of them answers a run that began before", func(s *Suspects) {
+			crashDuring(s, 9*time.Second, 1, content)
+			crashDuring(s, 9*time.Second, 2, content)
+			s.Alive(incarnationOf(2), time.Second)
+		}, withholdBase - 999*time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := new(Suspects)
@@ -92,66 +92,67 @@
 	}
 }
 
-// A box that is cut off takes upstreams for ended that answer other boxes; these say so.
-func TestWhatAnswersAnotherBoxHasNotEnded(t *testing.T) {
+// A box that is cut off takes upstreams for crashed that still answer other boxes; their reports
+// correct it.
+func TestAnswerAtAnotherBoxWithdrawsCrash(t *testing.T) {
 	is := is.New(t)
 	const content = 7
 	a, b := new(Suspects), new(Suspects)
-	endsUnder(a, 0, 1, content)
-	endsUnder(a, 0, 2, content)
+	crashDuring(a, 0, 1, content)
+	crashDuring(a, 0, 2, content)
 	b.Take(time.Second, a.News(time.Second))
 	is.True(b.Left(time.Second, content) > 0)
-	b.Alive(lifeOf(1), 900*time.Millisecond) // what began before it was told says nothing
+	b.Alive(incarnationOf(1), 900*time.Millisecond) // a run that began before the report proves nothing
 	is.True(b.Left(time.Second, content) > 0)
-	b.Alive(lifeOf(1), 1100*time.Millisecond)
+	b.Alive(incarnationOf(1), 1100*time.Millisecond)
 	is.Equal(b.Left(2*time.Second, content), time.Duration(0))
 	a.Take(2*time.Second, b.News(2*time.Second))
 	is.Equal(a.Left(2*time.Second, content), time.Duration(0))
 	is.Equal(a.Count(content), 1)
 }
 
-func TestAContentMayRunAgainAndIsWithheldForLonger(t *testing.T) {
+func TestWithholdTimeDoubles(t *testing.T) {
 	is := is.New(t)
 	s := new(Suspects)
-	is.Equal(len(endsUnder(s, 0, 1, 7)), 0)
-	is.Equal(endsUnder(s, 0, 2, 7), []uint64{7}) // withheld from now on
-	later := withheldFor + time.Second
+	is.Equal(len(crashDuring(s, 0, 1, 7)), 0)
+	is.Equal(crashDuring(s, 0, 2, 7), []uint64{7}) // becomes withheld
+	later := withholdBase + time.Second
 	is.Equal(s.Left(later, 7), time.Duration(0))
-	is.Equal(endsUnder(s, later, 3, 7), []uint64{7})
-	is.Equal(s.Left(later+time.Millisecond, 7), 2*withheldFor)
+	is.Equal(crashDuring(s, later, 3, 7), []uint64{7})
+	is.Equal(s.Left(later+time.Millisecond, 7), 2*withholdBase)
 	for n := range 40 {
-		endsUnder(s, later, 100+n, 7)
+		crashDuring(s, later, 100+n, 7)
 	}
-	is.Equal(s.Left(later+time.Millisecond, 7), withheldMost)
-	is.Equal(s.Count(7), livesEach)
+	is.Equal(s.Left(later+time.Millisecond, 7), maxWithhold)
+	is.Equal(s.Count(7), incarnationsPerContent)
 }
 
-func TestWhatIsRememberedIsBounded(t *testing.T) {
+func TestSuspectsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := new(Suspects)
-	endsUnder(s, 0, 1, 7)
-	endsUnder(s, 0, 2, 7)
+	crashDuring(s, 0, 1, 7)
+	crashDuring(s, 0, 2, 7)
 	for n := range 3 * maxSuspects {
-		endsUnder(s, time.Second, n, uint64(1000+n))
+		crashDuring(s, time.Second, n, uint64(1000+n))
 	}
 	is.True(len(s.contents) <= maxSuspects)
-	is.True(s.Left(time.Second, 7) > 0) // the one under which most have ended stays
-	for n := range 3 * maxCuts {
-		s.CutOff(time.Second, uint64(n), lifeOf(-1))
+	is.True(s.Left(time.Second, 7) > 0) // the content with the most crashes is kept
+	for n := range 3 * maxLostRuns {
+		s.CutOff(time.Second, uint64(n), incarnationOf(-1))
 	}
-	is.True(len(s.cuts) <= maxCuts)
+	is.True(len(s.lostRuns) <= maxLostRuns)
 	is.True(s.Any())
-	s.Forget(3 * suspectFor) // what is old goes
+	s.Forget(3 * suspectRetention) // expired entries are dropped
 	is.True(!s.Any())
-	is.Equal(len(s.ended), 0)
-	_, isNew := s.Ended(0, lifeOf(1))
+	is.Equal(len(s.crashed), 0)
+	_, isNew := s.Ended(0, incarnationOf(1))
 	is.True(isNew)
-	_, isNew = s.Ended(time.Second, lifeOf(1))
+	_, isNew = s.Ended(time.Second, incarnationOf(1))
 	is.True(!isNew)
 }
 
-// Whatever order boxes tell each other in, and however often, they come to know the same.
-func TestBoxesComeToSuspectTheSame(t *testing.T) {
+// Boxes converge to the same state, whatever the order and number of reports.
+func TestSuspectReportsConverge(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		boxes := []*Suspects{new(Suspects), new(Suspects), new(Suspects)}
@@ -166,20 +167,20 @@
 			b := boxes[random.IntN(len(boxes))]
 			switch content := uint64(random.IntN(5)); random.IntN(4) {
 			case 0, 1:
-				endsUnder(b, now, random.IntN(40), content)
+				crashDuring(b, now, random.IntN(40), content)
 			case 2:
 				b.Answered(now, content)
 			default:
 				news := b.News(now)
 				for _, other := range boxes {
-					if other != b && random.IntN(3) > 0 { // some are lost
+					if other != b && random.IntN(3) > 0 { // some reports are lost
 						other.Take(now, news)
 					}
 				}
 			}
 		}
 		now += time.Second
-		for range 6 { // what each withholds, and what is told back
+		for range 6 { // exchange of what each withholds, and of the reports in turn
 			for _, a := range boxes {
 				for _, b := range boxes {
 					tell(a, b)
@@ -194,7 +195,7 @@
 				return x.Content == y.Content && x.Round == y.Round && slices.Equal(x.Ended, y.Ended)
 			})
 			if !same {
-				t.Fatalf("seed %d: %v, %v", seed, got, want)
+				t.Fatalf("seed %d: boxes differ: %v, %v", seed, got, want)
 			}
 		}
 	}
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -37,7 +37,7 @@
 		request:     r,
 		unread:      f.unread(now, m, r),
 		opened:      now,
-		calm:        m.calmStep() == 0,
+		calm:        m.prefillLevel() == 0,
 		wasIdle:     m.open() == 0,
 		hadFreeSlot: m.open() < m.Slots,
 	}
@@ -53,9 +53,9 @@
 	}
 	t.held = t.request.needs()
 	t.count(Load{Unread: t.unread, Open: 1, Tight: t.tight, Held: t.held})
-	t.fleet.sent(now, t.member, t.request)
-	t.member.noteCold(now)
-	t.goBack(now)
+	t.fleet.noteSent(now, t.member, t.request)
+	t.member.recordColdRequest(now)
+	t.countResumed(now)
 	t.member.history.note(now)
 }
 
@@ -71,9 +71,9 @@
 		t.fleet.learnRate(t.unread, now-t.opened)
 	}
 	t.prefilled, t.firstEventAt = true, now
-	t.cameBack(true)
+	t.finishResumed(true)
 	t.fleet.serviceOf(t.request.Service).holding.begin(now)
-	t.fleet.reached(now, t.member)
+	t.fleet.recordReachable(now, t.member)
 	t.clearUnread()
 }
 
@@ -101,14 +101,14 @@
 	a := &t.fleet.serviceOf(t.request.Service).answers
 	switch {
 	case t.moved:
-		notePace(&a.moved, events, now-t.firstEventAt)
+		recordInterval(&a.moved, events, now-t.firstEventAt)
 	case t.calm:
-		notePace(&a.calm, events, now-t.firstEventAt)
+		recordInterval(&a.calm, events, now-t.firstEventAt)
 	default:
-		notePace(&a.busy, events, now-t.firstEventAt)
+		recordInterval(&a.busy, events, now-t.firstEventAt)
 	}
 	if whole {
-		a.noteLength(t.request.Expected, all)
+		a.recordLength(t.request.Expected, all)
 	}
 }
 
@@ -119,29 +119,29 @@
 	}
 	t.clearUnread()
 	t.closed = true
-	t.cameBack(outcome == Answered)
+	t.finishResumed(outcome == Answered)
 	t.count(Load{Open: -1, Tight: -t.tight, Held: -t.held})
-	t.member.health.note(now, outcome)
+	t.member.health.record(now, outcome)
 	if t.prefilled {
 		t.fleet.serviceOf(t.request.Service).holding.end(now)
 	}
 	if !t.prefilled && (outcome == Full || outcome == Unreachable || outcome == ConnectionRefused || outcome == Replaced) {
-		t.fleet.unsent(t.member, t.request) // the upstream holds nothing of the prompt
+		t.fleet.noteUnsent(t.member, t.request) // the upstream holds nothing of the prompt
 	}
 	if t.hadFreeSlot && outcome == Answered && len(t.request.Parts) == 0 {
-		t.fleet.learnWork(t.member, now-t.opened)
+		t.fleet.learnServiceTime(t.member, now-t.opened)
 	}
 	switch outcome {
 	case Unreachable:
-		t.fleet.unreached(now, t.member)
+		t.fleet.recordUnreachable(now, t.member)
 	case ConnectionRefused:
-		t.fleet.unreached(now, t.member)
+		t.fleet.recordUnreachable(now, t.member)
 		t.fleet.suspectRestart(now, t.member)
 	case ConnectionLost:
 		t.fleet.noteBreak(now, t.member)
 	case Replaced:
-		t.fleet.ended(t.member)
+		t.fleet.noteReplaced(t.member)
 	case Answered, Full:
-		t.fleet.reached(now, t.member)
+		t.fleet.recordReachable(now, t.member)
 	}
 }
