--- a/relay/said.go
+++ b/relay/said.go
@@ -69,7 +69,7 @@
 // noteLeaving notes that a life says that it is leaving: from now on it is sent nothing.
 func (r *Relay) noteLeaving(life balance.Incarnation, request string) {
 	r.mu.Lock()
-	isNew := r.fleet.SaysLeaving(life)
+	isNew := r.fleet.NoteLeaving(life)
 	r.mu.Unlock()
 	if !isNew {
 		return
@@ -92,7 +92,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fleet.Proved(u.Incarnation())
+	r.fleet.NoteLeavingChecked(u.Incarnation())
 	r.wakeReady(u.Service)
 }
 
