--- a/cmd/doormastd/relay.go
+++ b/cmd/doormastd/relay.go
@@ -111,7 +111,7 @@
 		address string
 		purpose string
 	}{
-		{&cfg.Callers, s.Listen.Callers, "listen for callers"},
+		{&cfg.CallerListener, s.Listen.Callers, "listen for callers"},
 		{&cfg.Ready, s.Listen.Ready, "listen for readiness checks"},
 		{&cfg.Control, s.Listen.Control, "listen for other boxes"},
 	} {
