--- a/cmd/doormastd/relay.go
+++ b/cmd/doormastd/relay.go
@@ -112,7 +112,7 @@
 		purpose string
 	}{
 		{&cfg.CallerListener, s.Listen.Callers, "listen for callers"},
-		{&cfg.Ready, s.Listen.Ready, "listen for readiness checks"},
+		{&cfg.ReadinessListener, s.Listen.Ready, "listen for readiness checks"},
 		{&cfg.Control, s.Listen.Control, "listen for other boxes"},
 	} {
 		var err error
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -21,17 +21,17 @@
 
 // Config configures a Relay.
 type Config struct {
-	Box            string            // its name, as logs and operators see it
-	Domain         string            // its failure domain
-	Regions        map[string]string // of each failure domain, where they are divided into such
-	CallerListener net.Listener      // for requests
-	Ready          net.Listener      // for readiness checks
-	Control        net.Listener      // for other boxes' calls; nil where a box has no peers
-	Self           *wire.GroupBox    // the box as the others know it; without an address it has no peers
-	Seeds          []string          // IP:port of boxes that may be there
-	Link           float64           // what the box's link carries, in bytes a second; 0: not known
-	Timing         group.Timing
-	Protocol       Protocol
+	Box               string            // its name, as logs and operators see it
+	Domain            string            // its failure domain
+	Regions           map[string]string // of each failure domain, where they are divided into such
+	CallerListener    net.Listener      // for requests
+	ReadinessListener net.Listener      // for readiness checks
+	Control           net.Listener      // for other boxes' calls; nil where a box has no peers
+	Self              *wire.GroupBox    // the box as the others know it; without an address it has no peers
+	Seeds             []string          // IP:port of boxes that may be there
+	Link              float64           // what the box's link carries, in bytes a second; 0: not known
+	Timing            group.Timing
+	Protocol          Protocol
 	// Publisher is read for the document and the list of upstreams, which Decode
 	// makes of what lies there.
 	Publisher mirror.Publisher
@@ -153,7 +153,7 @@
 		r.startTask("control", r.serveControl)
 	}
 	r.startTask("callers", func() { r.callerServer.serve(r.cfg.CallerListener) })
-	r.startTask("ready", func() { r.callerServer.serveReady(r.cfg.Ready) })
+	r.startTask("ready", func() { r.callerServer.serveReady(r.cfg.ReadinessListener) })
 }
 
 // maxTasks is how many duties a box has at most.
--- a/relay/server.go
+++ b/relay/server.go
@@ -76,7 +76,7 @@
 // until ctx ends.
 func (f *front) close(ctx context.Context) error {
 	err := f.server.ShutdownWithContext(ctx)
-	if closeErr := f.relay.cfg.Ready.Close(); err == nil {
+	if closeErr := f.relay.cfg.ReadinessListener.Close(); err == nil {
 		err = closeErr
 	}
 	return err
