--- a/cmd/doormastd/relay.go
+++ b/cmd/doormastd/relay.go
@@ -113,7 +113,7 @@
 	}{
 		{&cfg.CallerListener, s.Listen.Callers, "listen for callers"},
 		{&cfg.ReadinessListener, s.Listen.Ready, "listen for readiness checks"},
-		{&cfg.Control, s.Listen.Control, "listen for other boxes"},
+		{&cfg.ControlListener, s.Listen.Control, "listen for other boxes"},
 	} {
 		var err error
 		if *l.to, err = net.Listen("tcp", l.address); err != nil {
--- a/relay/fatal_test.go
+++ b/relay/fatal_test.go
@@ -198,8 +198,8 @@
 	if err := udp.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c.Control = listen(t)
-	c.Self = &wire.GroupBox{Name: name, Domain: "d", Address: address, Pulls: c.Control.Addr().String(), Boot: 1, Strength: uint32(len(name))}
+	c.ControlListener = listen(t)
+	c.Self = &wire.GroupBox{Name: name, Domain: "d", Address: address, Pulls: c.ControlListener.Addr().String(), Boot: 1, Strength: uint32(len(name))}
 	c.Seeds = seeds
 }
 
--- a/relay/pull.go
+++ b/relay/pull.go
@@ -100,7 +100,7 @@
 	path, handler := wire.NewMirrorsHandler(mirrors{r.members}, connect.WithCompressMinBytes(neverCompress))
 	mux.Handle(path, handler)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: pullWait, IdleTimeout: pullWait}
-	if err := server.Serve(r.cfg.Control); err != nil && !r.stopping.Load() {
+	if err := server.Serve(r.cfg.ControlListener); err != nil && !r.stopping.Load() {
 		r.cfg.Log.Event("control", "not served", Fields{"error": err.Error()})
 	}
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -26,7 +26,7 @@
 	Regions           map[string]string // of each failure domain, where they are divided into such
 	CallerListener    net.Listener      // for requests
 	ReadinessListener net.Listener      // for readiness checks
-	Control           net.Listener      // for other boxes' calls; nil where a box has no peers
+	ControlListener   net.Listener      // for other boxes' calls; nil where a box has no peers
 	Self              *wire.GroupBox    // the box as the others know it; without an address it has no peers
 	Seeds             []string          // IP:port of boxes that may be there
 	Link              float64           // what the box's link carries, in bytes a second; 0: not known
@@ -149,7 +149,7 @@
 	if r.cfg.Protocol.ReportCall != nil {
 		r.startTask("silence", func() { r.silenceDuty(ctx) })
 	}
-	if r.cfg.Control != nil {
+	if r.cfg.ControlListener != nil {
 		r.startTask("control", r.serveControl)
 	}
 	r.startTask("callers", func() { r.callerServer.serve(r.cfg.CallerListener) })
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -37,8 +37,8 @@
 	r.cancel()
 	r.conns.close()
 	r.members.close()
-	if r.cfg.Control != nil {
-		_ = r.cfg.Control.Close() // it serves nobody any more
+	if r.cfg.ControlListener != nil {
+		_ = r.cfg.ControlListener.Close() // it serves nobody any more
 	}
 	for ; r.runningTasks > 0; r.runningTasks-- {
 		<-r.endedTasks
