--- a/relay/arrival.go
+++ b/relay/arrival.go
@@ -1,8 +1,7 @@
 package relay
 
-// This file defines a request's arrival: whether it may run at all, and until when.
-// The invariant: a request that is not admitted has run nowhere, and costs nothing
-// of the budget for sending requests again.
+// This file defines the admission of a request: whether it may run and until when. The invariant: a
+// request that is refused has run nowhere and takes nothing from the retry budget.
 
 import (
 	"net"
@@ -14,7 +13,7 @@
 	"github.com/doormast/doormast/route"
 )
 
-// defaultTimeout is how long a request is held whose route states no time.
+// defaultTimeout applies to requests whose route sets no timeout.
 const defaultTimeout = 60 * time.Second
 
 // handle serves one request.
@@ -43,11 +42,11 @@
 	x.serve(ctx)
 }
 
-// chargeMemory takes what a request under way needs besides what was read of it.
+// chargeMemory charges the memory that an active request needs beyond what was read of it.
 func (x *exchange) chargeMemory(c *callerConn) *refusal {
 	r := x.relay
 	if c.requestCharged {
-		c.releaseRequest() // this one came together with the request before
+		c.releaseRequest() // this request was read together with the previous one
 	}
 	c.requestCharged = true
 	c.memoryShare, c.requestID = shareFor(x.urgency, x.doc.Urgencies(r.cfg.Protocol.Priorities)), x.request.id
@@ -60,21 +59,20 @@
 	return nil
 }
 
-// logRefused writes the line about a request that was not admitted, and counts it. x is nil where it
-// may not run at all.
+// logRefused logs and counts a request that was not admitted. x is nil if admit refused it.
 func (r *Relay) logRefused(q *request, no refusal, x *exchange) {
 	fields := Fields{"id": q.id, "status": no.status, "reason": no.reason, "host": q.host,
 		"path": q.path(), "version": r.version(), "age_ms": r.age().Milliseconds()}
 	if x != nil && no.reason == withheldReason {
 		fields["content"], fields["route"], fields["customer"] = contentName(x.contentOf()), x.route.Name, x.customerName()
-		fields["come_back_ms"] = no.after.Milliseconds()
+		fields["come_back_ms"] = no.retryAfter.Milliseconds()
 	}
 	r.cfg.Log.Event("request", "refused", fields)
 	r.stats.count("refused_" + no.reason)
 }
 
-// admit decides whether a request may run at all; the refusal is nil where it may. Its time
-// runs from its arrival, also where it is held until there is a document.
+// admit decides whether a request may run; the refusal is nil if it may. The request's timeout starts
+// at its arrival, including any wait for the document.
 func (r *Relay) admit(q *request, conn net.Conn) (*exchange, *refusal) {
 	arrived := time.Now()
 	r.detectSuspensionBefore(arrived)
@@ -119,8 +117,8 @@
 	return x, nil
 }
 
-// requestTimeout is how long a request is held: as its route says, and no longer than its
-// caller waits.
+// requestTimeout returns the time a request may take: the route's timeout, but at most the time that
+// the caller waits.
 func requestTimeout(rt *route.Route, q *request) time.Duration {
 	hold := defaultTimeout
 	if rt.Timeout > 0 {
--- a/relay/caller.go
+++ b/relay/caller.go
@@ -1,9 +1,9 @@
 package relay
 
-// This file defines a caller's connection, as far as it is read. The invariants: a request is handed on when
-// its head, and a small body, have come whole, so that a caller that sends slowly holds
-// what it has sent and little more; and what the caller's requests and answers take is
-// charged, and given back when the next request is due or the connection ends.
+// This file defines how a caller's connection is read. The invariants: a request is passed to the
+// server once its header and, if it is small, its body have arrived, so that a slow sender occupies
+// little more memory than it has sent; and the memory for a caller's requests and responses is charged
+// to the account, and released when the next request is read or the connection ends.
 
 import (
 	"bufio"
@@ -23,20 +23,20 @@
 )
 
 const (
-	// memoryWait is how long a head waits for memory; callers give up what has not been
+	// memoryWait is how long a request's header waits for memory; callers give up on what has not been
 	// read after a second.
 	memoryWait = 300 * time.Millisecond
-	// drainTimeout is how long, and refusedBytes how much, a box goes on reading of a
-	// body that it has turned away, since closing at once would take the answer along.
+	// drainTimeout and maxDrainBytes limit how much a box still reads of a body that it has refused:
+	// closing the connection at once would also discard the response.
 	drainTimeout  = 500 * time.Millisecond
 	maxDrainBytes = 1 << 20
-	// initialBufferBytes is the first size of the buffer for a request, in bytes.
+	// initialBufferBytes is the initial size of the buffer for a request, in bytes.
 	initialBufferBytes = 1 << 10
-	// maxCollectedBody is the largest body that is collected with its head.
+	// maxCollectedBody is the largest body, in bytes, that is buffered together with its header.
 	maxCollectedBody = 32 << 10
 )
 
-// callerListener accepts callerListener' connections.
+// callerListener accepts connections of callers.
 type callerListener struct {
 	net.Listener
 	relay *Relay
@@ -44,8 +44,8 @@
 
 var _ net.Listener = callerListener{}
 
-// Accept implements net.Listener. A connection that there is no memory for is closed
-// before anything is read of it.
+// Accept implements net.Listener. A connection for which there is no memory is closed before anything
+// is read from it.
 func (l callerListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -61,20 +61,20 @@
 	}
 }
 
-// callerConn is a callerConn's connection.
+// callerConn is a caller's connection.
 type callerConn struct {
 	net.Conn
 	relay *Relay
-	raw   syscall.RawConn // nil where the connection has none
+	raw   syscall.RawConn // nil if the connection does not provide one
 	lease *account.Lease
 
-	pending        []byte    // read of a request, and not handed on yet
-	readErr        error     // comes behind pending: why no more is read
-	memoryShare    float64   // of the bound, that the request may fill
-	requestID      string    // id of the request under way, as far as it is known
-	answerDeadline time.Time // when its answer has to be gone; zero: not said
-	reused         bool      // it has waited for a request before
-	requestCharged bool      // a request of it is under way, or was since the lease was last shrunk
+	pending        []byte    // part of a request that was read but not yet returned by Read
+	readErr        error     // returned by Read after pending
+	memoryShare    float64   // share of the memory bound up to which the request may allocate
+	requestID      string    // ID of the current request; empty if not known yet
+	answerDeadline time.Time // when the response must have been written; zero: not set
+	reused         bool      // a request was awaited on this connection before
+	requestCharged bool      // a request is active, or was since the lease was last shrunk
 	aborted        atomic.Bool
 }
 
@@ -86,12 +86,12 @@
 func newCaller(r *Relay, conn net.Conn) *callerConn {
 	c := &callerConn{Conn: conn, relay: r, lease: r.account.Lease()}
 	if sc, ok := conn.(syscall.Conn); ok {
-		c.raw, _ = sc.SyscallConn() // nil with an error
+		c.raw, _ = sc.SyscallConn() // raw is nil on an error
 	}
 	return c
 }
 
-// callerOf is the caller of a request; nil where its connection is another's.
+// callerOf returns the connection of a request's caller; nil if it did not come from callerListener.
 func callerOf(ctx *fasthttp.RequestCtx) *callerConn {
 	c, _ := ctx.Conn().(*callerConn)
 	return c
@@ -105,8 +105,8 @@
 	return c.raw, nil
 }
 
-// Read implements net.Conn. fasthttp reads the first byte of a request alone where
-// nothing of it has been read with the one before.
+// Read implements net.Conn. fasthttp reads the first byte of a request with a buffer of length 1,
+// unless that byte was already read together with the previous request.
 func (c *callerConn) Read(p []byte) (int, error) {
 	switch {
 	case len(c.pending) > 0:
@@ -124,7 +124,7 @@
 	return c.readBody(p)
 }
 
-// readRequest waits for a request, collects it, and returns its first byte.
+// readRequest waits for a request, buffers it and returns its first byte.
 func (c *callerConn) readRequest(first []byte) (int, error) {
 	c.releaseRequest()
 	limits := c.limits()
@@ -145,7 +145,7 @@
 	return n, nil
 }
 
-// limits are those of the document in force.
+// limits returns the limits of the current document.
 func (c *callerConn) limits() route.Limits {
 	if doc := c.relay.belief.document(); doc != nil {
 		return doc.Limits
@@ -153,17 +153,17 @@
 	return route.Limits{}
 }
 
-// releaseRequest gives back what the last request has taken.
+// releaseRequest releases the memory charged for the previous request.
 func (c *callerConn) releaseRequest() {
 	c.lease.Shrink(callerBytes)
 	c.memoryShare, c.requestID, c.answerDeadline, c.requestCharged = leastShare, "", time.Time{}, false
 }
 
-// collect reads a request until it can be handed on.
+// collect reads a request until it can be passed to the server.
 func (c *callerConn) collect(first byte) {
 	b := requestBuffer{buf: []byte{first}}
-	headOnly := true // so far
-	// While the box stops, the server closes connections that it thinks are at rest.
+	headOnly := true // only header bytes were read so far
+	// While the box stops, the server closes connections that it considers idle.
 	for !b.complete() && !c.relay.stopping.Load() {
 		if headOnly && b.headLen > 0 {
 			headOnly = false
@@ -186,8 +186,8 @@
 	}
 }
 
-// growBuffer lets a request grow. It waits a little where memory is short: before the
-// head is read, nobody knows how urgent it is.
+// growBuffer enlarges the buffer of a request. If memory is short, it waits for up to memoryWait: the
+// urgency of a request is unknown until its header has been read.
 func (c *callerConn) growBuffer(b *requestBuffer) bool {
 	if len(b.buf) < cap(b.buf) {
 		return true
@@ -204,23 +204,23 @@
 	return true
 }
 
-// checkAnnouncedBody looks at the head of a request whose body is still to come. What does not
-// fit is not read.
+// checkAnnouncedBody checks the header of a request whose body was not buffered. If the body does not
+// fit into memory, it is not read.
 func (c *callerConn) checkAnnouncedBody(head []byte, length int) {
 	var h fasthttp.RequestHeader
 	h.DisableNormalizing()
 	if h.Read(bufio.NewReaderSize(bytes.NewReader(head), len(head))) != nil {
-		return // the server says so
+		return // the server reports the error
 	}
 	c.memoryShare = c.relay.shareOf(&h)
 	c.requestID = headerValue(&h, c.relay.cfg.Protocol.RequestID)
-	body := int64(min(max(length, 0), maxBodyBytes)) // a longer one is refused by the server
+	body := int64(min(max(length, 0), maxBodyBytes)) // the server refuses a longer one
 	if !c.lease.Grow(maxHeaderBytes, c.memoryShare) || !c.lease.Fits(bodyCost*body, c.memoryShare) {
 		c.readErr = errShort
 	}
 }
 
-// readBody reads more of a body that was not collected.
+// readBody reads part of a body that was not buffered with the header.
 func (c *callerConn) readBody(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 && !c.lease.Grow(bodyCost*int64(n), c.memoryShare) {
@@ -230,7 +230,7 @@
 	return n, err
 }
 
-// Close implements net.Conn. All that was charged is given back.
+// Close implements net.Conn. It releases all memory charged for the connection.
 func (c *callerConn) Close() error {
 	c.lease.Close()
 	if errors.Is(c.readErr, errShort) {
@@ -239,7 +239,7 @@
 	return c.Conn.Close()
 }
 
-// drain reads on for a moment, so that the caller gets to read why it was refused.
+// drain keeps reading for up to drainTimeout, so that the caller can read the refusal.
 func (c *callerConn) drain() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -249,7 +249,7 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxDrainBytes))
 }
 
-// logTurnedAway notes that something was not taken since memory is short.
+// logTurnedAway logs and counts a connection or request that was refused for lack of memory.
 func (r *Relay) logTurnedAway(id, what string) {
 	r.stats.count(callersTurnedAway)
 	r.cfg.Log.Event("caller", "turned away", Fields{"id": id, "what": what, "memory_used": r.account.Used(),
--- a/relay/callerwrite.go
+++ b/relay/callerwrite.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines how an answer is written to a caller that may not read it. The
-// invariant: a caller that takes nothing for a while, or little for very long, is cut
-// off; one that takes something in time gets all of its answer.
+// This file defines how a response is written to a caller that may not read it. The invariant: a
+// caller that reads nothing for writeStallTimeout, or has not finished by its deadline, is
+// disconnected; one that keeps reading until then gets the whole response.
 
 import (
 	"errors"
@@ -12,18 +12,17 @@
 )
 
 const (
-	// writeStallTimeout is how long a caller may take no byte of an answer that waits for it.
-	// Callers give a stream up after a gap of 2 s at the least, and upstreams cut off
-	// what is left unread for some seconds.
+	// writeStallTimeout is how long a caller may read no byte of a response. Callers give up on a stream
+	// after a gap of at least 2 s, and upstreams disconnect a reader that has stalled for some seconds.
 	writeStallTimeout = 2 * time.Second
-	// writeCheckInterval is how often it is looked whether the caller has taken something.
+	// writeCheckInterval is the interval at which a blocked write checks for progress.
 	writeCheckInterval = 250 * time.Millisecond
-	// lateAnswerTimeout is how long after a request's end its caller may still be taking the
-	// answer, however slowly.
+	// lateAnswerTimeout is how long after its deadline a request's response may still be written,
+	// however slowly.
 	lateAnswerTimeout = 10 * time.Second
 )
 
-// errNotReading says that a caller takes nothing of its answer.
+// errNotReading reports that a caller does not read its response.
 var errNotReading = &Error{Op: "answer", Kind: KindNotReading}
 
 // Write implements net.Conn.
@@ -36,8 +35,8 @@
 	return sent + n, err
 }
 
-// writeNonblocking writes what the kernel takes at once. It asks the kernel itself: the poller
-// tells of room only when a third of the buffer is free.
+// writeNonblocking writes what fits into the socket buffer. It calls write directly, since the poller
+// reports a socket as writable only when a third of its buffer is free.
 func (c *callerConn) writeNonblocking(p []byte) (n int, err error) {
 	if c.raw == nil {
 		return 0, nil
@@ -55,8 +54,8 @@
 	return max(n, 0), err
 }
 
-// writeWhileTaken writes to a caller that does not take all at once, for as long as it
-// takes something.
+// writeWhileTaken writes to a caller with a full socket buffer, for as long as the caller keeps
+// reading.
 func (c *callerConn) writeWhileTaken(p []byte) (int, error) {
 	held := c.lease.Held()
 	if !c.lease.Grow(unreadBytes, wholeShare) {
@@ -83,7 +82,7 @@
 	}
 }
 
-// writeOnce writes for a short while; running out of it is no error.
+// writeOnce writes for up to writeCheckInterval; reaching this limit is not an error.
 func (c *callerConn) writeOnce(p []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(writeCheckInterval)); err != nil {
 		return 0, err
@@ -92,7 +91,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	// The kernel may have room that the poller has not told of.
+	// The socket buffer may have space that the poller has not reported.
 	if err := c.SetWriteDeadline(time.Time{}); err != nil {
 		return n, err
 	}
@@ -100,8 +99,8 @@
 	return n + more, err
 }
 
-// cutOff ends the connection of a caller that does not read. The close resets it: what
-// waits in the kernel would stay there otherwise.
+// cutOff disconnects a caller that does not read. Closing with a linger time of 0 resets the
+// connection, which discards the data in the socket buffer.
 func (c *callerConn) cutOff(left int, reason string) error {
 	c.aborted.Store(true)
 	if l, ok := c.Conn.(interface{ SetLinger(int) error }); ok {
--- a/relay/collect.go
+++ b/relay/collect.go
@@ -1,36 +1,37 @@
 package relay
 
-// This file defines when a request has come far enough to be handed on. The invariant:
-// it never waits for more than the request itself brings.
+// This file defines when a request has been read far enough to be passed to the server. The invariant:
+// it never waits for bytes that the request does not have.
 
 import (
 	"bytes"
 	"strconv"
 )
 
-// requestBuffer is what has come of a request.
+// requestBuffer holds the part of a request read so far.
 type requestBuffer struct {
 	buf         []byte
-	scanned     int  // up to there no head ends
-	headLen     int  // where the head ends; 0: not yet
-	bodyLen     int  // of the body; below 0: not stated
-	bodyFollows bool // the body is not collected
+	scanned     int  // no header ends before this offset
+	headLen     int  // length of the header; 0: not complete yet
+	bodyLen     int  // length of the body; negative: not stated
+	bodyFollows bool // the body is not buffered here
 }
 
-// complete reports whether the request can be handed on: it is complete, or what is to
-// come is not collected.
+// complete reports whether the request can be passed to the server: it is complete, or the rest of it
+// is not buffered.
 func (b *requestBuffer) complete() bool {
 	if b.headLen == 0 {
 		if b.headLen = headEnd(b.buf, b.scanned); b.headLen == 0 {
 			b.scanned = max(0, len(b.buf)-len("\n\r"))
-			return len(b.buf) >= maxHeaderBytes // the server says that it is too long
+			return len(b.buf) >= maxHeaderBytes // the server refuses the header as too long
 		}
 		b.bodyLen, b.bodyFollows = parseBodyLength(b.buf[:b.headLen])
 	}
 	return b.bodyFollows || len(b.buf) >= b.headLen+b.bodyLen
 }
 
-// headEnd is where the head ends, 0 where it does not yet; none ends before from.
+// headEnd returns the offset at which the header ends, or 0 if it is incomplete. No header ends before
+// from.
 func headEnd(b []byte, from int) int {
 	for i := from; ; i++ {
 		n := bytes.IndexByte(b[i:], '\n')
@@ -47,9 +48,9 @@
 	}
 }
 
-// parseBodyLength reads from a head how long its body is, and whether that is not collected
-// since it is long, of unknown length, or only sent when it is asked for.
-func parseBodyLength(head []byte) (length int, more bool) {
+// parseBodyLength reads the length of the body from a header. bodyFollows is true if the body is not
+// to be buffered: it is long, of unknown length, or sent only after a 100 Continue.
+func parseBodyLength(head []byte) (length int, bodyFollows bool) {
 	for len(head) > 0 {
 		var line []byte
 		line, head, _ = bytes.Cut(head, []byte("\n"))
@@ -61,14 +62,14 @@
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			return -1, true
 		case bytes.EqualFold(name, []byte("Expect")):
-			more = true
+			bodyFollows = true
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			n, err := strconv.Atoi(string(bytes.TrimSpace(value)))
 			if err != nil || n < 0 {
-				return -1, true // the server says what is wrong with it
+				return -1, true // the server reports the error
 			}
 			length = n
 		}
 	}
-	return length, more || length > maxCollectedBody
+	return length, bodyFollows || length > maxCollectedBody
 }
--- a/relay/disconnect.go
+++ b/relay/disconnect.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file defines how a caller's leaving is seen while its request is under way:
-// its connection becomes readable, and a look shows its end.
+// This file defines how the box detects that a caller disconnects while its request is active: the
+// connection becomes readable, and a peek finds its end.
 
 import (
 	"errors"
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// disconnectWatch waits for a caller to leave.
+// disconnectWatch waits for a caller to disconnect.
 type disconnectWatch struct {
 	conn         net.Conn
 	disconnected atomic.Bool
 	done         chan struct{}
 }
 
-// watchDisconnect calls gone, once and from another goroutine, if the caller closes its
+// watchDisconnect calls onDisconnect, once and from another goroutine, if the caller closes its
 // connection before stop is called.
-func watchDisconnect(conn net.Conn, gone func()) *disconnectWatch {
+func watchDisconnect(conn net.Conn, onDisconnect func()) *disconnectWatch {
 	w := &disconnectWatch{conn: conn, done: make(chan struct{})}
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -34,25 +34,25 @@
 	}
 	go func() {
 		defer close(w.done)
-		// The poller wakes the wait when there is something to read, or its end;
-		// a caller that sends its next request early has not left.
-		left := false
+		// The poller ends the wait when data or the end of the stream arrives. A caller that sends its
+		// next request early is still connected.
+		closed := false
 		err := raw.Read(func(fd uintptr) bool {
 			var ok bool
-			left, ok = peekClosed(int(fd))
+			closed, ok = peekClosed(int(fd))
 			return ok
 		})
-		if err == nil && left {
+		if err == nil && closed {
 			w.disconnected.Store(true)
-			gone()
+			onDisconnect()
 		}
 	}()
 	return w
 }
 
-// peekClosed looks at a socket without reading from it: left is whether the other
-// side has closed, known whether anything could be told at all.
-func peekClosed(fd int) (left, known bool) {
+// peekClosed looks at a socket without consuming data. closed reports whether the peer has closed it;
+// known is false if the socket has neither data nor an end.
+func peekClosed(fd int) (closed, known bool) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
@@ -64,11 +64,10 @@
 	return n == 0, true
 }
 
-// expiredDeadline is a deadline that ends a wait at once.
+// expiredDeadline ends a pending read at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// stop ends the watch and waits for its goroutine; the connection can be read from
-// again afterwards.
+// stop ends the watch and waits for its goroutine. The connection can be read again afterwards.
 func (w *disconnectWatch) stop() {
 	_ = w.conn.SetReadDeadline(expiredDeadline)
 	<-w.done
--- a/relay/documentwait.go
+++ b/relay/documentwait.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines what becomes of requests that a box takes before it knows the document. The
-// invariant: one is held for a bounded time, with nothing sent anywhere, so that a refusal after
-// it is true.
+// This file defines how requests are handled that arrive before the box has a routing document. The
+// invariant: such a request waits for a bounded time and is sent to no upstream meanwhile, so that a
+// refusal may state that it did not run.
 
 import (
 	"net"
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxDocumentWait is the longest that such a request waits: a box that starts among others has the
-	// document well within it.
+	// maxDocumentWait is the maximum time that such a request waits; a box that starts beside running
+	// ones gets the document well within it.
 	maxDocumentWait = 500 * time.Millisecond
-	// documentWaitDivisor is the part of what its caller waits that it may take of that.
+	// documentWaitDivisor limits the wait to a fraction of the time that the caller waits.
 	documentWaitDivisor = 4
 )
 
-// awaitDocument returns the document in force; nil where none comes in time, or the caller, whose
-// connection is given, leaves before. Callers of a box that has just started have mostly been cut
-// off by its end, and their next attempt is often the last: a refusal that comes 0.2 s before the
-// box could serve loses the request.
+// awaitDocument returns the current document; nil if none arrives in time or if the caller disconnects
+// first. Most callers of a box that has just started lost their connection when its previous process
+// ended, and their next attempt is often the last: a refusal sent 0.2 s before the box could serve
+// would fail the request.
 func (r *Relay) awaitDocument(q *request, conn net.Conn) (doc *route.Document, left bool) {
 	if d := r.belief.document(); d != nil {
 		return d, false
--- a/relay/error.go
+++ b/relay/error.go
@@ -1,24 +1,24 @@
 package relay
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// Kinds of error.
+// The kinds of Error.
 const (
-	KindExhausted  Kind = "full"     // this box may use no more of something
-	KindMalformed  Kind = "garble"   // bytes that are no answer in the protocol
-	KindTruncated  Kind = "cut"      // an answer ended before its end
-	KindReplaced   Kind = "replaced" // another start of an upstream has its address
-	KindNotReading Kind = "unread"   // a caller does not take its answer
-	KindSilent     Kind = "silent"   // a connection carries nothing more
-	KindListen     Kind = "edge"     // an address cannot be listened on
+	KindExhausted  Kind = "full"     // a limit of this box or of an upstream is used up
+	KindMalformed  Kind = "garble"   // bytes that are not a valid response
+	KindTruncated  Kind = "cut"      // a response ended early
+	KindReplaced   Kind = "replaced" // another instance of the upstream has taken over its address
+	KindNotReading Kind = "unread"   // a caller does not read its response
+	KindSilent     Kind = "silent"   // a connection delivers nothing although its upstream is working
+	KindListen     Kind = "edge"     // a socket cannot be opened for listening
 )
 
-// Error is the error of this package: what was being done, and what went wrong.
+// Error is the error type of this package. Op names the failed operation.
 type Error struct {
 	Op   string
 	Kind Kind
-	Err  error // nil where the kind says it all
+	Err  error // nil if the kind is sufficient
 }
 
 var _ error = (*Error)(nil)
@@ -32,5 +32,5 @@
 	return s
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
--- a/relay/move.go
+++ b/relay/move.go
@@ -76,7 +76,7 @@
 	r.cfg.Log.Event("run", "moves", Fields{"id": x.request.id, "upstream": x.upstream.ID, "to": m.To.ID, "events": p.Events,
 		"here_ms": m.Here.Milliseconds(), "there_ms": m.There.Milliseconds(), "left_ms": p.Left.Milliseconds()})
 	x.move = &move{from: x.upstream, to: m.To, copied: make(chan RunCopy, 1), reservation: aside}
-	go r.copyRun(x.move, x.request.id, x.service)
+	go r.requestCopy(x.move, x.request.id, x.service)
 }
 
 // planMove decides whether the answer moves, and counts its copy; without a ticket it stays.
@@ -100,8 +100,8 @@
 	wake(r.members.loaded)
 }
 
-// copyRun has a run's memory copied, and the run stopped.
-func (r *Relay) copyRun(m *move, id, service string) {
+// requestCopy has a run's memory copied, and the run stopped.
+func (r *Relay) requestCopy(m *move, id, service string) {
 	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout)
 	defer cancel()
 	status, body, err := r.callUpstream(ctx, m.from, service, r.cfg.Protocol.MoveCall(id, m.to.Address))
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file defines the relay's configuration and its start. The invariant: every duty
-// that is started reports its end.
+// This file defines the relay's configuration and start. The invariant: every background task that is
+// started reports its end, so that Stop can wait for it.
 
 import (
 	"context"
@@ -21,48 +21,47 @@
 
 // Config configures a Relay.
 type Config struct {
-	Box               string            // its name, as logs and operators see it
-	Domain            string            // its failure domain
-	Regions           map[string]string // of each failure domain, where they are divided into such
-	CallerListener    net.Listener      // for requests
-	ReadinessListener net.Listener      // for readiness checks
-	ControlListener   net.Listener      // for other boxes' calls; nil where a box has no peers
-	Self              *wire.GroupBox    // the box as the others know it; without an address it has no peers
-	Seeds             []string          // IP:port of boxes that may be there
-	Link              float64           // what the box's link carries, in bytes a second; 0: not known
+	Box               string            // name of the box in logs and for operators
+	Domain            string            // failure domain of the box
+	Regions           map[string]string // region of each failure domain; empty if domains are not grouped into regions
+	CallerListener    net.Listener      // accepts callers' requests
+	ReadinessListener net.Listener      // accepts readiness checks
+	ControlListener   net.Listener      // accepts RPCs of other boxes; nil if the box has no peers
+	Self              *wire.GroupBox    // the entry of this box in the group; without an address the box has no peers
+	Seeds             []string          // IP:port of boxes to contact first; they need not be running
+	Link              float64           // bandwidth of the box's network link in bytes per second; 0: unknown
 	Timing            group.Timing
 	Protocol          Protocol
-	// Publisher is read for the document and the list of upstreams, which Decode
-	// makes of what lies there.
+	// Publisher provides the routing document and the list of upstreams as items, which Decode parses.
 	Publisher mirror.Publisher
 	Decode    func(mirror.Item) (Update, error)
-	Log       *Log // the relay never closes it
+	Log       *Log // not closed by the relay
 	Budget    balance.BudgetConfig
 	Cold      ColdBounds
-	Limits    balance.LimitBounds // of the limits that upstreams name
+	Limits    balance.LimitBounds // bounds on the rate limits that upstreams announce
 	Tuning    balance.Tuning
-	Disabled  balance.Off // the mechanisms that are switched off
-	// FirstStart says that no box ran before, so that nothing is left of an
-	// earlier one's budget.
+	Disabled  balance.Off // mechanisms that are switched off
+	// FirstStart states that no box ran here before, so that no retries of an earlier process have to be
+	// assumed.
 	FirstStart bool
-	// Boxes is how many boxes share limits while nothing is known of the others.
+	// Boxes is the number of boxes assumed to share limits until others are heard from.
 	Boxes int
-	// Memory is how many bytes may be kept on behalf of callers and upstreams; 0: there
-	// is no bound.
+	// Memory is the maximum number of bytes buffered for callers and upstreams; 0: unlimited.
 	Memory int64
-	// Clock also counts the time for which the machine was suspended; nil: the machine's own.
+	// Clock also counts the time during which the machine was suspended; nil: the system clock.
 	Clock timer.Clock
-	// Grace is how long a planned stop may take, graceMargin included.
+	// Grace is the maximum duration of a planned stop, including graceMargin.
 	Grace time.Duration
 }
 
-// ColdBounds bound what cold upstreams are sent.
+// ColdBounds limit the number of requests sent to upstreams that have just started (cold upstreams).
 type ColdBounds struct {
-	Overshoot float64 // times what an upstream bears in a second; 0: there is no bound
-	Slack     float64 // and so many requests besides
+	Overshoot float64 // factor on the requests per second that an upstream can serve; 0: unlimited
+	Slack     float64 // requests allowed in addition
 }
 
-// maxRequests is how many requests a cold upstream that bears so many a second may be sent in one.
+// maxRequests returns how many requests per second a cold upstream with a capacity of perSecond may be
+// sent; 0: unlimited.
 func (b ColdBounds) maxRequests(perSecond float64) int {
 	if b.Overshoot == 0 || perSecond == 0 {
 		return 0
@@ -74,11 +73,11 @@
 type Relay struct {
 	cfg          Config
 	startedAt    time.Time
-	startBoot    time.Duration // the same by the clock that counts suspensions
-	suspendedFor atomic.Int64  // time.Duration for which the machine was suspended since
-	startWall    atomic.Int64  // the time of day at the start, Unix ns, as it seemed when a request last came
+	startBoot    time.Duration // reading of the clock that counts suspensions, taken at startedAt
+	suspendedFor atomic.Int64  // time.Duration for which the machine was suspended since the start
+	startWall    atomic.Int64  // wall clock time of the start in Unix ns, as derived when the last request arrived
 	belief       belief
-	account      *account.Account // of what is kept for callers and upstreams
+	account      *account.Account // memory used for callers and upstreams
 	conns        *conns
 	stats        stats
 	callerServer *front
@@ -86,25 +85,26 @@
 	members    *members
 	pullClient *http.Client
 
-	mu            sync.Mutex // guards what follows, up to finding
+	mu            sync.Mutex // guards the fields up to endChecks
 	fleet         *balance.Fleet
 	budgets       *balance.Budgets
-	crashSuspects balance.Suspects       // requests that upstreams ended under
-	runConns      map[*exchange]*conn    // the connections on which requests run
-	pauseQueues   map[string]*pauseQueue // requests that wait for the end of a pause, by service
-	// Lives of which it is being found out whether they have ended; closed when that is known.
+	crashSuspects balance.Suspects       // requests during which upstreams crashed
+	runConns      map[*exchange]*conn    // connection of each active run
+	pauseQueues   map[string]*pauseQueue // requests waiting for the end of a pause, by service
+	// Running checks of whether an upstream instance has ended; each channel is closed when the result
+	// is known.
 	endChecks map[balance.Incarnation]chan struct{}
 
-	trialNeeded  chan struct{} // readable when an upstream could not be reached
+	trialNeeded  chan struct{} // readable when a connection to an upstream has failed
 	stopping     atomic.Bool
-	graceOver    atomic.Bool // the grace of a planned stop is over
+	graceOver    atomic.Bool // the grace period of a planned stop has passed
 	cancel       context.CancelFunc
-	endedTasks   chan string // the name of each duty that has ended
+	endedTasks   chan string // receives the name of each background task that has ended
 	runningTasks int
 }
 
-// Start starts a relay; Stop ends it. The error is an Error of KindEdge where datagrams
-// cannot be listened for.
+// Start starts a relay; Stop ends it. The error is an *Error of KindListen if the datagram socket
+// cannot be opened.
 func Start(cfg Config) (*Relay, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = timer.SystemClock{}
@@ -141,7 +141,7 @@
 	return r, nil
 }
 
-// startTasks starts what goes on until the box ends.
+// startTasks starts the background tasks, which run until the box stops.
 func (r *Relay) startTasks(ctx context.Context) {
 	r.startTask("members", func() { r.members.duty(ctx) })
 	r.startTask("reader", func() { r.members.readDuty(ctx) })
@@ -156,10 +156,10 @@
 	r.startTask("ready", func() { r.callerServer.serveReady(r.cfg.ReadinessListener) })
 }
 
-// maxTasks is how many duties a box has at most.
+// maxTasks is the maximum number of background tasks of a box.
 const maxTasks = 8
 
-// startTask starts a duty; its name comes from ends when it has ended.
+// startTask runs f in a goroutine and sends the task's name to endedTasks when f returns.
 func (r *Relay) startTask(duty string, f func()) {
 	r.runningTasks++
 	go func() {
@@ -168,13 +168,14 @@
 	}()
 }
 
-// boxes is how many boxes share the limits.
+// boxes returns the number of boxes that share limits, at least 1.
 func (r *Relay) boxes() int { return max(int(r.members.boxes.Load()), 1) }
 
-// divisor is by how many this box divides what all boxes share; 0: it has heard of nobody, and has no part.
+// divisor returns the number by which this box divides shared limits; 0 if it has heard from no other
+// box and so has no share.
 func (r *Relay) divisor() int { return int(r.members.divisor.Load()) }
 
-// connectionCap is how many connections this box may hold to an upstream.
+// connectionCap returns how many connections this box may open to one upstream of the service.
 func (r *Relay) connectionCap(service string) int {
 	doc := r.belief.document()
 	if doc == nil {
@@ -191,5 +192,5 @@
 	return max(1, s.MaxConnections/boxes)
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether the box accepts requests: it has a routing document and is not stopping.
 func (r *Relay) Ready() bool { return !r.stopping.Load() && r.belief.document() != nil }
--- a/relay/request.go
+++ b/relay/request.go
@@ -1,8 +1,7 @@
 package relay
 
-// This file defines how a caller's request is read. The invariant: what goes on to an
-// upstream is everything but what concerns one connection, the caller's secret, and
-// the headers that the box sets itself.
+// This file defines how a caller's request is read. The invariant: an upstream gets all headers except
+// hop-by-hop headers, the caller's API key, and those that the box sets itself.
 
 import (
 	"bytes"
@@ -15,26 +14,26 @@
 	"github.com/valyala/fasthttp"
 )
 
-// request is what the box reads of a caller's request.
+// request is a caller's request as read by the box.
 type request struct {
-	id               string // of this attempt of the caller
+	id               string // ID of this attempt of the caller
 	method           string
-	uri              string // as it was sent
+	uri              string // as sent
 	host             string
-	timeLeft         time.Duration // the caller waits; 0: not said
-	customerKey      string        // the caller's secret
+	timeLeft         time.Duration // how long the caller waits; 0: not stated
+	customerKey      string        // the caller's API key
 	prompt           Prompt
 	body             []byte
-	headBytes        int    // bytes of its request line and headers
-	forwardedHeaders []byte // the headers that go on, as lines
-	lastEventID      string // the caller's last event, as it was sent
+	headBytes        int    // length of the request line and headers
+	forwardedHeaders []byte // header lines to forward
+	lastEventID      string // the last event that the caller has received, as sent
 }
 
-// hopByHopHeaders concern one connection only.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{"connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization",
 	"te", "trailer", "transfer-encoding", "upgrade", "expect", "content-length", "host"}
 
-// readRequest reads what the handler was given.
+// readRequest parses the request passed to the handler.
 func (r *Relay) readRequest(ctx *fasthttp.RequestCtx) *request {
 	h := &ctx.Request.Header
 	p := &r.cfg.Protocol
@@ -59,13 +58,13 @@
 	return q
 }
 
-// headerReader is a request's or an answer's.
+// headerReader is a request or response header.
 type headerReader interface {
 	Peek(name string) []byte
 	All() iter.Seq2[[]byte, []byte]
 }
 
-// headerValue finds a header whatever the case of its name.
+// headerValue returns the value of a header, whose name is case-insensitive; empty if there is none.
 func headerValue(h headerReader, name string) string {
 	if name == "" {
 		return ""
@@ -81,7 +80,7 @@
 	return ""
 }
 
-// forwardHeaders collects the headers that go to the upstream.
+// forwardHeaders returns the header lines to forward to the upstream.
 func (r *Relay) forwardHeaders(h *fasthttp.RequestHeader) []byte {
 	vital := r.cfg.Protocol.vital()
 	drop := slices.Concat(r.cfg.Protocol.own(), hopByHopHeaders)
@@ -96,10 +95,10 @@
 	return out.Bytes()
 }
 
-// connectionHeaders lists the headers that the caller says concern its connection only.
+// connectionHeaders returns the names listed in the caller's Connection headers.
 func connectionHeaders(h *fasthttp.RequestHeader) []string {
 	var list []string
-	for name, value := range h.All() { // it may come more than once
+	for name, value := range h.All() { // Connection may occur more than once
 		if strings.EqualFold(string(name), "Connection") {
 			list = append(list, splitList(string(value))...)
 		}
@@ -107,7 +106,7 @@
 	return list
 }
 
-// splitList reads a list whose entries are joined by commas.
+// splitList splits a comma-separated list and trims its entries.
 func splitList(value string) []string {
 	list := strings.Split(value, ",")
 	for i := range list {
@@ -116,12 +115,12 @@
 	return list
 }
 
-// containsHeader reports whether the list names a header, whatever the case.
+// containsHeader reports whether the list contains a header name, ignoring case.
 func containsHeader(list []string, header []byte) bool {
 	return slices.ContainsFunc(list, func(name string) bool { return strings.EqualFold(name, string(header)) })
 }
 
-// path is the part of a URI that routes are found by.
+// path returns the part of the URI that routes match: all before the query.
 func (q *request) path() string {
 	path, _, _ := strings.Cut(q.uri, "?")
 	return path
--- a/relay/server.go
+++ b/relay/server.go
@@ -1,9 +1,8 @@
 package relay
 
-// This file defines the callers' side: the servers that take requests and readiness
-// checks, and what becomes of bytes that are no request. The invariant: nothing that
-// a caller sends takes more memory or time than the bounds below, nor all of it
-// together more than the account allows.
+// This file defines the servers for callers' requests and for readiness checks, and the responses to
+// input that is not a valid request. The invariant: what one caller sends is bounded in memory and
+// time by the limits below, and all callers together by the memory account.
 
 import (
 	"context"
@@ -15,18 +14,18 @@
 )
 
 const (
-	// The most bytes that are read of a request's head and of its body; where the
-	// document bounds bodies more narrowly, admit refuses what is longer.
+	// The maximum size of a request's header and of its body in bytes. If the document sets a lower
+	// limit for bodies, admit enforces it.
 	maxHeaderBytes = 64 << 10
 	maxBodyBytes   = 16 << 20
-	// readTimeout is the longest a caller may take over a request's body, and over its head
-	// where the document says nothing.
+	// readTimeout is the time a caller has to send a request's body, and its header if the document sets
+	// no limit.
 	readTimeout = 10 * time.Second
-	// idleTimeout is how long a caller's connection may rest where the document says nothing.
+	// idleTimeout is how long a caller's connection may be idle if the document sets no limit.
 	idleTimeout = 75 * time.Second
 )
 
-// front serves callers and the balancer's readiness checks.
+// callerServer serves callers and the load balancer's readiness checks.
 type front struct {
 	relay  *Relay
 	server *fasthttp.Server
@@ -57,7 +56,7 @@
 	return f
 }
 
-// noLogger keeps fasthttp's own log lines away: the process has one log.
+// noLogger discards fasthttp's own log lines, since the process writes a single log.
 type noLogger struct{}
 
 var _ fasthttp.Logger = noLogger{}
@@ -72,8 +71,7 @@
 
 func (f *front) serveReady(l net.Listener) { _ = f.ready.Serve(l) }
 
-// close takes no more connections, closes those that rest, and waits for the others
-// until ctx ends.
+// close stops accepting connections, closes idle ones and waits for the others until ctx ends.
 func (f *front) close(ctx context.Context) error {
 	err := f.server.ShutdownWithContext(ctx)
 	if closeErr := f.relay.cfg.ReadinessListener.Close(); err == nil {
@@ -88,7 +86,8 @@
 	}
 }
 
-// handleExpect decides whether a body is asked for that its caller holds back until then.
+// handleExpect decides on a request with "Expect: 100-continue" whether its caller is to send the
+// body.
 func (f *front) handleExpect(ctx *fasthttp.RequestCtx) int {
 	if c := callerOf(ctx); c != nil && c.readErr != nil {
 		f.refuseForMemory(ctx, c)
@@ -97,14 +96,14 @@
 	return fasthttp.StatusContinue
 }
 
-// refuseForMemory answers a request that there is no memory for, and ends its connection.
+// refuseForMemory refuses a request for lack of memory and closes its connection.
 func (f *front) refuseForMemory(ctx *fasthttp.RequestCtx, c *callerConn) {
 	f.relay.logTurnedAway(c.requestID, "request")
 	ctx.SetConnectionClose()
 	f.relay.sendRefusal(ctx, &request{id: c.requestID}, refusal{fasthttp.StatusServiceUnavailable, shortReason, defaultRetryAfter})
 }
 
-// handleReadError answers what could not be read as a request.
+// handleReadError answers input that could not be read as a request.
 func (f *front) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	if c := callerOf(ctx); c != nil && errors.Is(c.readErr, errShort) {
 		f.refuseForMemory(ctx, c)
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file defines the planned stop of a box. The invariant: no request is taken that
-// nobody would answer.
+// This file defines the planned stop of a box. The invariant: the box accepts no request that it will
+// not answer.
 
 import (
 	"context"
@@ -9,17 +9,16 @@
 )
 
 const (
-	// acceptLinger is how long a stopping box still accepts connections: two
-	// missed readiness checks of a second each, and some room.
+	// acceptLinger is how long a stopping box still accepts connections: two missed readiness checks, 1
+	// s each, and a margin.
 	acceptLinger = 2500 * time.Millisecond
-	// graceMargin is kept of the grace for the process's own end.
+	// graceMargin is the part of the grace period that is reserved for the end of the process.
 	graceMargin = 500 * time.Millisecond
 )
 
-// Stop ends the relay as planned: it is no longer ready, goes on taking requests
-// until callers are sent elsewhere, and then waits for those under way. Connections
-// that rest are closed before anything else ends, so that no request is taken that
-// nobody would answer.
+// Stop performs a planned stop: the box reports that it is not ready, keeps accepting requests until
+// the load balancer has stopped sending them, and then waits for active requests. Idle connections are
+// closed before anything else, so that no request is accepted that would not be answered.
 func (r *Relay) Stop() {
 	r.stopping.Store(true)
 	r.wakeAll()
@@ -28,7 +27,7 @@
 	defer cancel()
 	r.members.leave(ctx)
 	sleep(ctx, acceptLinger)
-	// The server goes on with its open connections when its shutdown returns.
+	// The server keeps serving its open connections after its shutdown has returned.
 	context.AfterFunc(ctx, func() { r.graceOver.Store(true) })
 	if err := r.callerServer.close(ctx); err != nil {
 		r.cfg.Log.Event("box", "stopped with requests under way", Fields{"open": r.stats.open.Load(), "error": err.Error()})
@@ -38,7 +37,7 @@
 	r.conns.close()
 	r.members.close()
 	if r.cfg.ControlListener != nil {
-		_ = r.cfg.ControlListener.Close() // it serves nobody any more
+		_ = r.cfg.ControlListener.Close() // no other box is served any more
 	}
 	for ; r.runningTasks > 0; r.runningTasks-- {
 		<-r.endedTasks
@@ -46,8 +45,8 @@
 	r.cfg.Log.Event("box", "stopped", nil)
 }
 
-// logRequestsCut writes a line for each request that still runs at an upstream when the grace is
-// over: its caller sees it cut, and no other line tells of it, since the process ends first.
+// logRequestsCut logs each request that is still running at an upstream when the grace period ends.
+// The process exits before these requests end, so no other line reports them.
 func (r *Relay) logRequestsCut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/suspension.go
+++ b/relay/suspension.go
@@ -1,9 +1,9 @@
 package relay
 
-// This file defines the box's time. The invariant: time for which the machine was suspended counts as any
-// other, though the steady clock, by which timers and deadlines run, stood still. Without that a request
-// under way is held beyond its time by as long as its machine slept, and what is known is taken for
-// new.
+// This file defines the clock of the box. The invariant: time during which the machine was suspended
+// counts like any other time, although the monotonic clock behind timers and deadlines stood still.
+// Otherwise an active request would be held past its deadline by the length of the suspension, and old
+// information would be taken for new.
 
 import (
 	"context"
@@ -11,21 +11,20 @@
 	"time"
 )
 
-// minSuspension is the least time by which the two clocks must have come apart for the machine to
-// have been suspended; what is less may lie between two readings.
+// minSuspension is the smallest difference between the two clocks that is taken for a suspension; a
+// smaller one may arise between the two readings.
 const minSuspension = 100 * time.Millisecond
 
-// now is the time since the start, what the machine was suspended for included as far as it has
-// been noticed.
+// now returns the time since the start, including all suspensions detected so far.
 func (r *Relay) now() time.Duration {
 	return time.Since(r.startedAt) + time.Duration(r.suspendedFor.Load())
 }
 
-// detectSuspensionBefore notices a suspension before a request that has just come is taken in: it was not under way
-// then, and is to keep its time. The boot clock is only asked where the time of day has moved against the steady
-// clock, since that is a system call.
+// detectSuspensionBefore detects a suspension before a newly arrived request is admitted, since the
+// suspension must not count against that request. It reads the boot clock, which takes a system call,
+// only if the wall clock has moved relative to the monotonic clock.
 func (r *Relay) detectSuspensionBefore(now time.Time) {
-	started := now.UnixNano() - int64(now.Sub(r.startedAt)) // the time of day at the start, as it seems by now
+	started := now.UnixNano() - int64(now.Sub(r.startedAt)) // wall clock time of the start as derived now
 	if moved := time.Duration(started - r.startWall.Load()); moved.Abs() < minSuspension {
 		return
 	}
@@ -33,12 +32,12 @@
 	r.detectSuspension()
 }
 
-// detectSuspension notices that the machine was suspended since it was last called, which the members' duty
-// does before it takes anything in.
+// detectSuspension checks whether the machine was suspended since the last call. The members' task
+// calls it before it processes any event.
 func (r *Relay) detectSuspension() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	boot := r.cfg.Clock.Boot() // the earlier of the two: a pause between them is no suspension
+	boot := r.cfg.Clock.Boot() // read first: a delay between the two readings must not look like a suspension
 	slept := boot - r.startBoot - time.Since(r.startedAt)
 	before := time.Duration(r.suspendedFor.Load())
 	if slept-before < minSuspension {
@@ -51,20 +50,20 @@
 	}
 }
 
-// timeLeft is how long the request may still take.
+// timeLeft returns the time until the request's deadline, including suspensions.
 func (x *exchange) timeLeft() time.Duration {
 	return time.Until(x.deadline) - time.Duration(x.relay.suspendedFor.Load()-x.suspendedBefore)
 }
 
-// cancelAtDeadline ends the request when its time is over, where the machine was suspended since it came: its
-// context goes by the steady clock.
+// cancelAtDeadline schedules the cancellation of a request during which the machine was suspended,
+// because its context's deadline follows the monotonic clock.
 func (x *exchange) cancelAtDeadline() {
 	if x.relay.suspendedFor.Load() > x.suspendedBefore {
 		time.AfterFunc(max(x.timeLeft(), 0), x.cancel)
 	}
 }
 
-// deadlinePassed reports whether the request was ended since its time is over.
+// deadlinePassed reports whether the request was cancelled because its deadline passed.
 func (x *exchange) deadlinePassed() bool {
 	return errors.Is(x.ctx.Err(), context.DeadlineExceeded) || x.ctx.Err() != nil && x.timeLeft() <= 0
 }
