--- a/relay/arrival.go
+++ b/relay/arrival.go
@@ -23,20 +23,20 @@
 	if r.stopping.Load() {
 		ctx.SetConnectionClose()
 	}
-	x, no := r.admit(q, ctx.Conn())
+	x, refused := r.admit(q, ctx.Conn())
 	c := callerOf(ctx)
-	if no == nil {
-		no = x.withhold()
+	if refused == nil {
+		refused = x.withhold()
 	}
-	if no == nil && c != nil {
-		no = x.chargeMemory(c)
+	if refused == nil && c != nil {
+		refused = x.chargeMemory(c)
 	}
-	if no != nil {
-		if no.reason == callerLeft {
+	if refused != nil {
+		if refused.reason == callerLeft {
 			ctx.SetConnectionClose()
 		}
-		r.logRefused(q, *no, x)
-		r.sendRefusal(ctx, q, *no)
+		r.logRefused(q, *refused, x)
+		r.sendRefusal(ctx, q, *refused)
 		return
 	}
 	x.serve(ctx)
@@ -60,15 +60,15 @@
 }
 
 // logRefused logs and counts a request that was not admitted. x is nil if admit refused it.
-func (r *Relay) logRefused(q *request, no refusal, x *exchange) {
-	fields := Fields{"id": q.id, "status": no.status, "reason": no.reason, "host": q.host,
+func (r *Relay) logRefused(q *request, refused refusal, x *exchange) {
+	fields := Fields{"id": q.id, "status": refused.status, "reason": refused.reason, "host": q.host,
 		"path": q.path(), "version": r.version(), "age_ms": r.age().Milliseconds()}
-	if x != nil && no.reason == withheldReason {
+	if x != nil && refused.reason == withheldReason {
 		fields["content"], fields["route"], fields["customer"] = contentName(x.contentOf()), x.route.Name, x.customerName()
-		fields["come_back_ms"] = no.retryAfter.Milliseconds()
+		fields["come_back_ms"] = refused.retryAfter.Milliseconds()
 	}
 	r.cfg.Log.Event("request", "refused", fields)
-	r.stats.count("refused_" + no.reason)
+	r.stats.count("refused_" + refused.reason)
 }
 
 // admit decides whether a request may run; the refusal is nil if it may. The request's timeout starts
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines one run of a request on one upstream: it is sent, and the head
-// of its answer is read. The invariant: once a byte may have left, only the
-// upstream's own word makes the run count as one that did not happen.
+// This file defines one run of a request on one upstream: sending it and reading the header of the
+// response. The invariant: once a byte may have been sent, the run counts as not executed only if the
+// upstream says so.
 
 import (
 	"context"
@@ -13,17 +13,17 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// runState is how far a run came.
+// runState is the state in which a run ended.
 type runState uint8
 
 const (
-	runUnsent   runState = iota // no byte left
-	runRefused                  // the upstream says that it did not run it
-	runUnknown                  // it may have run, and there is no answer
-	runAnswered                 // there is an answer
+	runUnsent   runState = iota // no byte was sent
+	runRefused                  // the upstream states that it did not run the request
+	runUnknown                  // it may have run, and there is no response
+	runAnswered                 // there is a response
 )
 
-// attachConn notes the connection on which the request runs; release undoes it.
+// attachConn registers the connection on which the request runs; detachConn undoes it.
 func (x *exchange) attachConn(c *conn) {
 	r := x.relay
 	x.silent.Store(false)
@@ -40,9 +40,9 @@
 	}
 }
 
-// attempt runs the request on the upstream it was placed at. An answer is only returned
-// with runAnswered. The exchange's ctx ends when the caller leaves or its time is over,
-// which closes the connection under whoever reads from it.
+// attempt runs the request on the chosen upstream. It returns a response only with runAnswered. The
+// exchange's ctx ends when the caller disconnects or the deadline passes, which closes the connection
+// and so ends any read from it.
 func (x *exchange) attempt(o outgoing) (runState, *response, error) {
 	r := x.relay
 	open := r.conns.get
@@ -64,25 +64,25 @@
 	x.attachConn(c)
 	sent := c.send(o)
 	x.listen(sent)
-	a, err := r.readResponse(c, o.id, sent)
+	resp, err := r.readResponse(c, o.id, sent)
 	x.heard()
 	if err != nil {
 		x.detachConn()
 		r.conns.drop(c)
 		return runUnknown, nil, err
 	}
-	if !r.saysNotRun(&a.header) {
-		return runAnswered, a, nil
+	if !r.saysNotRun(&resp.header) {
+		return runAnswered, resp, nil
 	}
 	x.detachConn()
-	_, err = io.Copy(io.Discard, a.body)
-	r.releaseConn(a, err == nil)
-	x.refusalStatus = a.header.StatusCode()
-	x.replacement, err = r.replacedBy(&a.header, x.upstream.ID)
+	_, err = io.Copy(io.Discard, resp.body)
+	r.releaseConn(resp, err == nil)
+	x.refusalStatus = resp.header.StatusCode()
+	x.replacement, err = r.replacedBy(&resp.header, x.upstream.ID)
 	return runRefused, nil, err
 }
 
-// checkSend says why the run may no longer be sent, now that it has a connection; nil where it may.
+// checkSend returns why the run may no longer be sent now that it has a connection; nil if it may.
 func (x *exchange) checkSend() error {
 	r := x.relay
 	r.mu.Lock()
@@ -96,24 +96,24 @@
 	return nil
 }
 
-// rejectsRequests reports whether an upstream takes no request from this box now.
+// rejectsRequests reports whether an upstream currently accepts no requests from this box.
 func (r *Relay) rejectsRequests(u balance.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.fleet.Accepts(r.now(), u.Incarnation()) || r.fleet.TakesNoMore(r.now(), u.ID)
 }
 
-// What an upstream came to say while the request waited for a connection.
+// Errors for what an upstream announced while the request waited for a connection.
 var (
-	errNotAccepting = &Error{Op: "run", Kind: KindExhausted}   // it is leaving, or asks for a pause
-	errLimit        = &Error{Op: "limit", Kind: KindExhausted} // it names a limit
+	errNotAccepting = &Error{Op: "send request", Kind: KindExhausted}              // it is leaving or asks for a pause
+	errLimit        = &Error{Op: "send request within limit", Kind: KindExhausted} // it announces a rate limit
 )
 
-// errReplaced says that another start of an upstream has its address now.
-var errReplaced = &Error{Op: "run", Kind: KindReplaced}
+// errReplaced reports that another instance of the upstream has taken over its address.
+var errReplaced = &Error{Op: "send request", Kind: KindReplaced}
 
-// replacedBy says what an upstream's refusal tells besides: the id of the upstream that has the
-// address now; no error where that is the one that was meant, or not told.
+// replacedBy returns the ID of the upstream that now has the address, with errReplaced, if a refusal
+// names another upstream than the intended one; otherwise it returns no error.
 func (r *Relay) replacedBy(h *fasthttp.ResponseHeader, meant string) (id string, err error) {
 	started := headerValue(h, r.cfg.Protocol.CurrentInstance)
 	if h.StatusCode() == fasthttp.StatusMisdirectedRequest && started != "" && started != meant {
--- a/relay/body.go
+++ b/relay/body.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file defines how the body of an answer is read. The invariant: io.EOF comes
-// only after a whole body, where its framing tells.
+// This file defines how the body of a response is read. The invariant: io.EOF is returned only after
+// the whole body, if its framing marks the end.
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// bodyReader returns a reader of the body: of a known length, in chunks, or up to
-// the end of the connection.
+// bodyReader returns a reader for the body: of known length, chunked, or until the connection is
+// closed.
 func bodyReader(c *conn, h *fasthttp.ResponseHeader) io.Reader {
 	switch n := h.ContentLength(); {
 	case h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified:
@@ -32,7 +32,7 @@
 	_ io.Reader = (*chunkedReader)(nil)
 )
 
-// fixedLengthReader reads a body of a known length; an earlier end is an error.
+// fixedLengthReader reads a body of known length; an earlier end is an error.
 type fixedLengthReader struct {
 	r    io.Reader
 	left int
@@ -51,7 +51,7 @@
 	return n, err
 }
 
-// chunkedReader reads a body in chunks, and the trailer behind it.
+// chunkedReader reads a chunked body and the trailer after it.
 type chunkedReader struct {
 	c    *conn
 	r    io.Reader
@@ -74,8 +74,8 @@
 	return n, io.EOF
 }
 
-// skipTrailer reads up to the empty line behind the last chunk; false means that the
-// connection ended before it.
+// skipTrailer reads up to the empty line after the last chunk. It returns false if the connection
+// ended first.
 func (k *chunkedReader) skipTrailer() bool {
 	for {
 		line, err := k.c.reader.ReadSlice('\n')
--- a/relay/callerwrite.go
+++ b/relay/callerwrite.go
@@ -23,7 +23,7 @@
 )
 
 // errNotReading reports that a caller does not read its response.
-var errNotReading = &Error{Op: "answer", Kind: KindNotReading}
+var errNotReading = &Error{Op: "write response", Kind: KindNotReading}
 
 // Write implements net.Conn.
 func (c *callerConn) Write(p []byte) (int, error) {
--- a/relay/events.go
+++ b/relay/events.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file defines how a stream of events is taken apart. The invariant: only
-// whole events come out, each once, in the order of their ids.
+// This file defines how a stream of server-sent events is split. The invariant: next returns only
+// whole events, each once, in the order of their IDs.
 
 import (
 	"bytes"
@@ -10,26 +10,27 @@
 	"strconv"
 )
 
-// maxEvent is the most bytes an event may have.
+// maxEvent is the maximum size of an event in bytes.
 const maxEvent = 1 << 20
 
-// eventReader takes eventReader from a body.
+// eventReader reads events from the body of a response. A stream may continue in the body of another
+// response.
 type eventReader struct {
 	src        io.Reader
 	buf        []byte
-	lastID     int64 // the highest id that came out
-	hasEvents  bool  // an event has come out
-	total      int   // events that came out
-	bodyEvents int   // events of the present body that came out
+	lastID     int64 // the highest event ID returned
+	hasEvents  bool  // at least one event was returned
+	total      int   // events returned
+	bodyEvents int   // events returned from the current body
 
-	reserve  func(n int64) error // charges what is kept beyond what is free; nil: nobody asks
-	reserved int64               // the largest buffer that was charged
+	reserve  func(n int64) error // charges buffer memory beyond freeAnswer; nil: not charged
+	reserved int64               // size of the largest buffer charged
 }
 
-var errLongEvent = &Error{Op: "read event", Kind: KindMalformed, Err: errors.New("longer than a megabyte")}
+var errLongEvent = &Error{Op: "read event", Kind: KindMalformed, Err: errors.New("event larger than 1 MiB")}
 
-// next returns the whole events that have arrived, waiting for one at least. The
-// bytes are valid until the next call.
+// next returns all whole events that have arrived, and waits for at least one. The bytes are valid
+// until the next call.
 func (e *eventReader) next() ([]byte, error) {
 	for {
 		if end := lastEventEnd(e.buf); end > 0 {
@@ -48,7 +49,7 @@
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(bytes.TrimSpace(e.buf)) > 0 {
-			err = io.ErrUnexpectedEOF // it broke off within an event
+			err = io.ErrUnexpectedEOF // the stream ended within an event
 		}
 		if err != nil {
 			return nil, err
@@ -56,10 +57,10 @@
 	}
 }
 
-// readSize is how much is read at once, in bytes; an event has some 60.
+// readSize is the minimum free buffer space for a read, in bytes; an event has about 60.
 const readSize = 2 << 10
 
-// fill reads more of the body, and returns how many bytes came.
+// fill reads more of the body and returns the number of bytes read.
 func (e *eventReader) fill() (int, error) {
 	at := len(e.buf)
 	if cap(e.buf)-at < readSize {
@@ -74,7 +75,7 @@
 	return n, err
 }
 
-// charge charges a buffer of a size, where it is larger than any before.
+// charge charges a buffer of the given size if it is larger than all before.
 func (e *eventReader) charge(size int64) error {
 	if e.reserve == nil || size <= max(e.reserved, freeAnswer) {
 		return nil
@@ -84,13 +85,13 @@
 	return e.reserve(n)
 }
 
-// An empty line ends an event, with either end of a line.
+// An empty line ends an event, with either line ending.
 var (
 	endLF   = []byte("\n\n")
 	endCRLF = []byte("\r\n\r\n")
 )
 
-// lastEventEnd is where the last whole event in b ends, 0 if there is none.
+// lastEventEnd returns the offset at which the last whole event in b ends, or 0 if there is none.
 func lastEventEnd(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, endLF); i >= 0 {
@@ -102,7 +103,7 @@
 	return end
 }
 
-// newEvents returns the events of b that did not come out before.
+// newEvents returns the events of b that were not returned before.
 func (e *eventReader) newEvents(b []byte) []byte {
 	out := b[:0:0]
 	for len(b) > 0 {
@@ -124,7 +125,7 @@
 	return out
 }
 
-// firstEventEnd is where the first event in b ends.
+// firstEventEnd returns the offset at which the first event in b ends.
 func firstEventEnd(b []byte) int {
 	lf, crlf := bytes.Index(b, endLF), bytes.Index(b, endCRLF)
 	switch {
@@ -136,7 +137,7 @@
 	return len(b)
 }
 
-// eventID reads the id of an event.
+// eventID parses the ID of an event.
 func eventID(event []byte) (int64, bool) {
 	for len(event) > 0 {
 		line, rest, _ := bytes.Cut(event, []byte("\n"))
@@ -149,7 +150,8 @@
 	return 0, false
 }
 
-// continueWith goes on with another body: what was left of the old one is dropped.
+// continueWith continues the stream with another body and discards the unread rest of the previous
+// one.
 func (e *eventReader) continueWith(src io.Reader) {
 	e.src = src
 	e.buf = nil
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines a request that was admitted: what is known of it, how its caller
-// is answered, and its line in the log. The invariants: it has one final answer; and
-// everything it holds is given back in close.
+// This file defines an admitted request: its state, how its caller is answered, and its log line. The
+// invariants: each request gets exactly one final response, and close releases everything the request
+// holds.
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/doormast/doormast/route"
 )
 
-// exchange is one request under way.
+// exchange is an admitted request and its state until it is answered.
 type exchange struct {
 	relay       *Relay
 	request     *request
@@ -24,58 +24,58 @@
 	customer    *route.Customer
 	service     string
 	urgency     int           // 0 is the most urgent
-	contentHash atomic.Uint64 // what it is apart from its id; 0: not worked out yet
+	contentHash atomic.Uint64 // hash of the request without its ID; 0: not computed yet
 	arrived     time.Time
-	deadline    time.Time // when it is given up, by the steady clock
-	// What the machine was suspended for before it came, a time.Duration.
+	deadline    time.Time // when the request is given up, by the monotonic clock
+	// Total suspension time of the machine before the request arrived, a time.Duration.
 	suspendedBefore int64
 
 	ctx        context.Context
 	cancel     context.CancelFunc
 	watch      *disconnectWatch
-	caller     *callerConn // nil where its connection is none of the box's callers'
-	detachConn func() bool // undoes the closing of the current connection by ctx
+	caller     *callerConn // nil if the connection did not come from callerListener
+	detachConn func() bool // unregisters the connection, so that ctx no longer closes it
 
-	triedInstances []balance.Incarnation // upstreams it was sent to, or that could not be reached
-	runsSent       int                   // runs begun
+	triedInstances []balance.Incarnation // upstream instances it was sent to, or that could not be reached
+	runsSent       int                   // runs started
 	unreachable    int                   // upstreams that could not be reached
-	retryPaid      bool                  // its next run has been taken from the retry budget
-	mayHaveRun     bool                  // a run may have happened
-	runsCut        int                   // runs under which the upstream closed or reset the connection
-	refusalStatus  int                   // status of the last refusal by an upstream
-	replacement    string                // id of the upstream that gave it, where that is not the one meant
+	retryPaid      bool                  // the next run has already been taken from the retry budget
+	mayHaveRun     bool                  // an upstream may have run the request
+	runsCut        int                   // runs during which the upstream closed or reset the connection
+	refusalStatus  int                   // status of the last response in which an upstream refused the request
+	replacement    string                // ID of the upstream that sent it, if another one than addressed
 	ticket         *balance.Ticket
 	upstream       balance.Upstream
-	fetchOffered   bool          // its upstream was told of another that keeps the prompt
-	prefixCached   bool          // its upstream was thought to keep the prompt's shared part
-	backlog        int           // prompt tokens that were to be read before its own
+	fetchOffered   bool          // the upstream was told another one that has the prompt cached
+	prefixCached   bool          // the upstream is assumed to have the prompt's shared prefix cached
+	backlog        int           // prompt tokens that the upstream has to process first
 	tooLate        bool          // it would have been served too late
-	allLimited     bool          // all upstreams that are left take no more
-	tooLarge       bool          // no upstream's memory holds it
-	cameBack       bool          // it has come back after a refusal, as far as its time left shows
-	retryAfter     time.Duration // when to come back, where that was worked out; 0: not
-	pausedFor      time.Duration // until an upstream may take it after a pause; 0: no pause is why none does
-	pauseWaited    time.Duration // for ends of pauses
+	allLimited     bool          // the remaining upstreams have reached their rate limits
+	tooLarge       bool          // it fits into no upstream's memory
+	cameBack       bool          // the caller probably retried after a refusal, judging by its remaining time
+	retryAfter     time.Duration // estimated time until a retry can succeed; 0: unknown
+	pausedFor      time.Duration // time until the pause of an upstream ends; 0: pauses are not the reason that none is available
+	pauseWaited    time.Duration // total time spent waiting for pauses to end
 
-	move      *move     // under way
-	moved     bool      // it has gone on elsewhere
-	checkedAt time.Time // when it was last looked at whether it should
+	move      *move     // the current move to another upstream; nil: none
+	moved     bool      // it was moved to another upstream
+	checkedAt time.Time // when checkProgress last ran
 
-	waits       atomic.Pointer[wait] // for the upstream's next bytes; nil: it waits for none
-	silent      atomic.Bool          // its connection was ended as a silent one
-	eventsBegan atomic.Bool          // events of it have come
-	withheldRun atomic.Bool          // its run was ended since it is withheld
+	waits       atomic.Pointer[wait] // current wait for bytes from the upstream; nil: not waiting
+	silent      atomic.Bool          // its connection was closed because it delivered nothing
+	eventsBegan atomic.Bool          // events have arrived
+	withheldRun atomic.Bool          // its run was ended because its content is withheld
 
-	response         *response       // of the last run that brought one
-	failure          *failedResponse // the last one of an upstream
-	events           *eventReader    // of a stream; nil until one was answered
-	pendingEvents    []byte          // events on their way to the caller
-	firstEventsAfter time.Duration   // from its arrival to the first events
+	response         *response       // of the last run that got one
+	failure          *failedResponse // the last error response of an upstream
+	events           *eventReader    // of a stream; nil before the response
+	pendingEvents    []byte          // read, but not yet passed to the caller
+	firstEventsAfter time.Duration   // from the arrival to the first events
 	pace             pace            // of its events
-	outcome          string          // how it ended, as the log says; empty while it is under way
+	outcome          string          // final outcome as logged; empty while the request is active
 }
 
-// serve runs the request and answers the caller.
+// serve runs the request and answers its caller.
 func (x *exchange) serve(ctx *fasthttp.RequestCtx) {
 	r := x.relay
 	r.stats.open.Add(1)
@@ -85,17 +85,18 @@
 	x.ctx, x.cancel = context.WithDeadline(context.Background(), x.deadline)
 	x.watch = watchDisconnect(ctx.Conn(), x.cancel)
 	if x.route.Repeat == route.Stream || len(x.request.body) > asyncBodyBytes {
-		// It may still be sent when the handler has returned, and with it the server's
-		// buffer: a stream goes on, an answer comes before a large body has gone out.
+		// The body may still be sent after the handler has returned and the server reuses its buffer: a
+		// stream may be sent again, and a response may arrive before a large body has been sent
+		// completely.
 		x.request.body = ctx.Request.SwapBody(nil)
 	}
-	body, no := x.runUntilAnswered()
+	body, refused := x.runUntilAnswered()
 	switch {
-	case no != nil:
-		x.endWithRefusal(ctx, *no)
+	case refused != nil:
+		x.endWithRefusal(ctx, *refused)
 	case x.events != nil:
 		x.copyHeaders(ctx)
-		ctx.Response.SetBodyStream(x, lengthChunked) // its end calls Close
+		ctx.Response.SetBodyStream(x, lengthChunked) // the server calls Close at its end
 	default:
 		x.copyHeaders(ctx)
 		ctx.Response.SetBodyRaw(body)
@@ -104,17 +105,17 @@
 	}
 }
 
-// endWithRefusal ends a request that no upstream answered, with a final answer of the box's own.
-func (x *exchange) endWithRefusal(ctx *fasthttp.RequestCtx, no refusal) {
-	x.outcome = no.reason
+// endWithRefusal ends a request that no upstream answered with a response generated by the box.
+func (x *exchange) endWithRefusal(ctx *fasthttp.RequestCtx, refused refusal) {
+	x.outcome = refused.reason
 	if x.watch.disconnected.Load() {
 		ctx.SetConnectionClose()
 	}
-	x.relay.sendRefusal(ctx, x.request, no)
+	x.relay.sendRefusal(ctx, x.request, refused)
 	x.close()
 }
 
-// copyHeaders gives the upstream's head to the caller.
+// copyHeaders copies the status and headers of the upstream's response.
 func (x *exchange) copyHeaders(ctx *fasthttp.RequestCtx) {
 	out := &ctx.Response.Header
 	if x.relay.stopping.Load() {
@@ -129,7 +130,7 @@
 	}
 }
 
-// close gives back what the exchange holds and writes its line.
+// close releases what the exchange holds and logs the request.
 func (x *exchange) close() {
 	r := x.relay
 	x.closeTicket(balance.Neutral)
@@ -141,7 +142,7 @@
 	r.cfg.Log.Event("request", x.outcome, x.logFields())
 }
 
-// logFields are what the line about the request tells.
+// logFields returns the fields of the request's log line.
 func (x *exchange) logFields() Fields {
 	f := Fields{"id": x.request.id, "route": x.route.Name, "upstream": x.upstream.ID, "runs": x.runsSent, "unreachable": x.unreachable,
 		"left_ms": x.timeLeft().Milliseconds(), "urgency": x.urgency, "first_ms": x.firstEventsAfter.Milliseconds(), "total_ms": time.Since(x.arrived).Milliseconds(),
--- a/relay/move.go
+++ b/relay/move.go
@@ -1,9 +1,9 @@
 package relay
 
-// This file defines how an answer that runs moves to another upstream: its upstream copies
-// the run's memory there and breaks the stream off, and the same request, sent to the other
-// with the name of the copy, goes on behind the last event. The invariants: the first
-// upstream has stopped before the other begins; and a copy that is not used is given up.
+// This file defines how a running stream moves to another upstream: its upstream copies the run's
+// memory there and ends the stream, and the same request, sent to the other upstream with the name of
+// the copy, continues after the last event. The invariants: the first upstream has stopped before the
+// other starts, and a copy that is not used is freed.
 
 import (
 	"context"
@@ -16,29 +16,29 @@
 )
 
 const (
-	// progressCheckInterval is the least time between two looks at a running answer.
+	// progressCheckInterval is the minimum time between two progress checks of a running stream.
 	progressCheckInterval = 200 * time.Millisecond
-	// moveTimeout is the longest that a copy is waited for: 20,000 tokens take 20 ms, and
-	// those that wait for the same link as long each.
+	// moveTimeout is the maximum wait for a copy: 20,000 tokens take 20 ms, plus as much for each copy
+	// waiting for the same link.
 	moveTimeout = 1500 * time.Millisecond
 )
 
-// RunCopy names what is left of a run in an upstream's memory.
+// RunCopy describes the copied memory of a stopped run.
 type RunCopy struct {
-	Name        string // as its upstream knows it; empty: there is none
-	Memory      string // as the run that goes on from it names it
-	Transferred bool   // it lies at the other upstream; else it lies where the run was
+	Name        string // as known to the upstream that made it; empty: there is no copy
+	Memory      string // as named in the request that continues from it
+	Transferred bool   // the copy is at the other upstream; if false, it is still at the first one
 }
 
-// move is an answer on its way to another upstream.
+// move is the move of a stream to another upstream.
 type move struct {
 	from, to    balance.Upstream
-	copied      chan RunCopy    // gets one entry
-	reservation *balance.Ticket // what the copy takes, until it is used or given up
+	copied      chan RunCopy    // receives one value
+	reservation *balance.Ticket // memory reserved for the copy until it is used or given up
 }
 
-// checkProgress looks, now and then, how far the answer has come: how much memory it takes, and
-// whether it should move. It is called with each of its events.
+// checkProgress reports the length of the response to the fleet, and starts a move if the response
+// would end too late, at most once per progressCheckInterval. It is called after each read of events.
 func (x *exchange) checkProgress() {
 	if time.Since(x.checkedAt) < progressCheckInterval {
 		return
@@ -48,7 +48,7 @@
 	x.startMoveIfLate()
 }
 
-// reportLength tells the fleet how long the answer is by now.
+// reportLength tells the fleet how many events the response has so far.
 func (x *exchange) reportLength() {
 	if x.ticket == nil {
 		return
@@ -58,14 +58,14 @@
 	x.ticket.Made(x.events.total)
 }
 
-// startMoveIfLate begins to move the answer where it would end too late.
+// startMoveIfLate starts to move the stream if it would end too late where it is.
 func (x *exchange) startMoveIfLate() {
 	r := x.relay
 	if r.cfg.Protocol.MoveCall == nil || x.move != nil || x.moved || x.withheldFor() > 0 {
 		return
 	}
 	if r.isPaused(x.upstream.Incarnation()) || !x.route.Resumable && r.rejectsRequests(x.upstream) {
-		return // where the copy finds no room, it could go on neither there nor elsewhere
+		return // without room for the copy, it could continue neither here nor elsewhere
 	}
 	p := balance.Progress{Events: x.events.total, Between: x.pace.recent, Left: x.timeLeft()}
 	q := x.placement()
@@ -79,7 +79,8 @@
 	go r.requestCopy(x.move, x.request.id, x.service)
 }
 
-// planMove decides whether the answer moves, and counts its copy; without a ticket it stays.
+// planMove decides whether the stream moves and reserves memory for its copy; without a ticket it
+// stays.
 func (x *exchange) planMove(q balance.Request, p balance.Progress) (balance.Move, *balance.Ticket) {
 	r := x.relay
 	r.mu.Lock()
@@ -92,7 +93,7 @@
 	return m, r.fleet.SetAside(m.To.ID, q)
 }
 
-// closeReservation ends the count of what the copy takes.
+// closeReservation ends the reservation for the copy.
 func (r *Relay) closeReservation(m *move) {
 	r.mu.Lock()
 	m.reservation.Close(r.now(), balance.Neutral)
@@ -100,7 +101,7 @@
 	wake(r.members.loaded)
 }
 
-// requestCopy has a run's memory copied, and the run stopped.
+// requestCopy tells the upstream to copy the run's memory and to stop the run.
 func (r *Relay) requestCopy(m *move, id, service string) {
 	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout)
 	defer cancel()
@@ -113,7 +114,7 @@
 	m.copied <- r.cfg.Protocol.ParseMove(m.from.Address, status, body)
 }
 
-// callUpstream makes a callUpstream to an upstream that is no request of a caller.
+// callUpstream makes a call of the box itself to an upstream.
 func (r *Relay) callUpstream(
 	ctx context.Context, u balance.Upstream, service string, call UpstreamCall,
 ) (status int, body []byte, err error) {
@@ -123,18 +124,18 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	a, err := r.roundTrip(c, r.buildCall(u, call))
+	resp, err := r.roundTrip(c, r.buildCall(u, call))
 	if err != nil {
 		r.conns.drop(c)
 		return 0, nil, err
 	}
-	body, err = io.ReadAll(io.LimitReader(a.body, maxBufferedResponse))
-	r.releaseConn(a, err == nil && stop())
-	return a.header.StatusCode(), body, err
+	body, err = io.ReadAll(io.LimitReader(resp.body, maxBufferedResponse))
+	r.releaseConn(resp, err == nil && stop())
+	return resp.header.StatusCode(), body, err
 }
 
-// resumeMoved takes the stream up where it has moved to, after its first run broke off. False
-// means that it has not moved, and that the break is one like any other.
+// resumeMoved continues the stream where it has moved to, after its first run has ended. False means
+// that it has not moved, and that the end of the run is handled as any other.
 func (x *exchange) resumeMoved() bool {
 	m := x.move
 	if m == nil {
@@ -142,7 +143,7 @@
 	}
 	c, ok := m.awaitCopy(x.ctx)
 	if !ok {
-		return false // what was copied is given up when the exchange is closed
+		return false // the copy is freed when the exchange is closed
 	}
 	x.move = nil
 	x.relay.closeReservation(m)
@@ -156,9 +157,9 @@
 	x.endRun(false, balance.Neutral)
 	x.upstream = m.liesAt(c)
 	x.openMoved()
-	n := x.nextRun("")
-	n.memory = c.Memory
-	if state, _ := x.send(n); state != runAnswered {
+	params := x.nextRun("")
+	params.memory = c.Memory
+	if state, _ := x.send(params); state != runAnswered {
 		x.relay.discardCopy(m, c, x)
 		return false
 	}
@@ -167,8 +168,8 @@
 	return true
 }
 
-// awaitCopy waits for the copy; false means that ctx ended first, or has ended by now. The copy
-// stays where it is then, for whoever gives it up.
+// awaitCopy waits for the copy; false means that ctx has ended. The copy then stays in the channel for
+// freeCopy.
 func (m *move) awaitCopy(ctx context.Context) (RunCopy, bool) {
 	select {
 	case c := <-m.copied:
@@ -182,7 +183,7 @@
 	}
 }
 
-// openMoved counts the request where it goes on.
+// openMoved reserves capacity for the request where it continues.
 func (x *exchange) openMoved() {
 	q := x.placement()
 	r := x.relay
@@ -192,13 +193,13 @@
 	wake(r.members.loaded)
 }
 
-// discardCopy frees a copy that was made and is not used.
+// discardCopy frees a copy that was made but is not used.
 func (r *Relay) discardCopy(m *move, c RunCopy, x *exchange) {
 	m.copied <- c
 	r.freeCopy(m, x.request.id, x.service)
 }
 
-// freeCopy frees what a move has taken that is not used.
+// freeCopy waits for the result of a move and frees its copy in the background.
 func (r *Relay) freeCopy(m *move, id, service string) {
 	go func() {
 		c := <-m.copied
@@ -213,7 +214,7 @@
 	}()
 }
 
-// buildCall writes a call as it goes to an upstream.
+// buildCall serializes a call to an upstream.
 func (r *Relay) buildCall(u balance.Upstream, call UpstreamCall) outgoing {
 	var req fasthttp.Request
 	req.Header.SetMethod(call.Method)
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -1,8 +1,7 @@
 package relay
 
-// This file defines what becomes of a run: its answer is taken in, or its failure is
-// noted. The invariant: each run is told to the fleet once, with what it says about
-// the upstream.
+// This file defines how the result of a run is processed. The invariant: each run is reported to the
+// fleet once, with what its result says about the upstream.
 
 import (
 	"errors"
@@ -14,36 +13,36 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// maxBufferedResponse is the most bytes of an answer that is read before it is passed on, so
-// that a failure within it can be answered otherwise.
+// maxBufferedResponse is the maximum size in bytes of a response that is read completely before it is
+// forwarded, so that a failure while reading can still be answered otherwise.
 const maxBufferedResponse = 4 << 20
 
-// accept takes an answer in: the first events of a stream, or a whole body.
-func (x *exchange) accept(a *response) (runState, []byte, error) {
-	if x.isStream(a) {
-		return x.acceptStream(a)
+// accept reads a response: the first events of a stream, or a whole body.
+func (x *exchange) accept(resp *response) (runState, []byte, error) {
+	if x.isStream(resp) {
+		return x.acceptStream(resp)
 	}
-	body, err := io.ReadAll(io.LimitReader(&keptReader{exchange: x, answer: a}, maxBufferedResponse+1))
+	body, err := io.ReadAll(io.LimitReader(&keptReader{exchange: x, answer: resp}, maxBufferedResponse+1))
 	x.detachConn()
 	whole := err == nil && len(body) <= maxBufferedResponse
-	x.relay.releaseConn(a, whole)
+	x.relay.releaseConn(resp, whole)
 	if !whole {
 		return runUnknown, nil, err
 	}
 	if x.events != nil {
 		return runUnknown, nil, errNoStream
 	}
-	status := a.header.StatusCode()
+	status := resp.header.StatusCode()
 	if status >= fasthttp.StatusInternalServerError && x.route.Again() {
-		x.failure = &failedResponse{a, body}
+		x.failure = &failedResponse{resp, body}
 		return runUnknown, nil, statusError(status)
 	}
-	x.response = a
+	x.response = resp
 	x.closeTicket(x.outcomeOf(status))
 	return runAnswered, body, nil
 }
 
-// statusError is the status of an upstream's own failure.
+// statusError is the 5xx status of an upstream's response.
 type statusError int
 
 var _ error = statusError(0)
@@ -51,14 +50,13 @@
 // Error implements error.
 func (s statusError) Error() string { return fasthttp.StatusMessage(int(s)) }
 
-// failedResponse is an upstream's own failure, which its caller gets if no other
-// upstream does better.
+// failedResponse is a 5xx response of an upstream. The caller gets it if no other upstream succeeds.
 type failedResponse struct {
 	answer *response
 	body   []byte
 }
 
-// lastFailure is the body of the failure that the caller gets, if there is one.
+// lastFailure returns the body of the error response to forward to the caller, if there is one.
 func (x *exchange) lastFailure() ([]byte, bool) {
 	if x.failure == nil || x.ctx.Err() != nil {
 		return nil, false
@@ -67,14 +65,14 @@
 	return x.failure.body, true
 }
 
-// errNoStream says that a stream was not taken up where it was to go on.
-var errNoStream = errors.New("the answer is no stream")
+// errNoStream reports that an upstream did not resume a stream but sent another kind of response.
+var errNoStream = errors.New("response is not a stream")
 
-// shortTimeShare is the share of its route's time below which a caller's own time is so short
-// that running out of it says nothing about the upstream.
+// shortTimeShare is the share of the route's timeout below which a caller's own time is so short that
+// a timeout says nothing about the upstream.
 const shortTimeShare = 0.5
 
-// outcomeOf says what a status tells about the upstream that gave it.
+// outcomeOf returns what a status says about the upstream that sent it.
 func (x *exchange) outcomeOf(status int) balance.Outcome {
 	switch {
 	case status < fasthttp.StatusInternalServerError:
@@ -85,12 +83,12 @@
 	return balance.Failed
 }
 
-// hasShortTime reports whether the caller gave much less time than the route does.
+// hasShortTime reports whether the caller allows much less time than the route.
 func (x *exchange) hasShortTime() bool {
 	return float64(x.deadline.Sub(x.arrived)) < shortTimeShare*float64(x.route.Timeout)
 }
 
-// recordFailure notes a run that brought nothing.
+// recordFailure reports and logs a run without a usable response.
 func (x *exchange) recordFailure(state runState, err error) {
 	outcome := x.outcomeOfFailure(state, err)
 	if state == runUnsent && outcome != balance.Neutral {
@@ -114,9 +112,9 @@
 	x.logFailed(state, outcome, err)
 }
 
-// dropUnreached closes the connections that rest to an upstream that could not be reached, or
-// is another one. Those to a life that has followed are sound: with a run on the one before they
-// would all be opened again.
+// dropUnreached closes the idle connections to an upstream that could not be reached or has been
+// replaced. If a newer instance of the upstream is known, its connections are kept: otherwise each
+// failed run on the older instance would close them all.
 func (x *exchange) dropUnreached(outcome balance.Outcome) {
 	if x.relay.isOver(x.upstream) {
 		return
@@ -130,7 +128,7 @@
 	}
 }
 
-// outcomeOfFailure says what a run that brought nothing tells about its upstream.
+// outcomeOfFailure returns what a run without a usable response says about its upstream.
 func (x *exchange) outcomeOfFailure(state runState, err error) balance.Outcome {
 	var status statusError
 	switch {
@@ -154,12 +152,12 @@
 	return balance.Failed
 }
 
-// isConnectFailure reports whether no connection came up, or one went silent.
+// isConnectFailure reports whether no connection could be opened, or an open one timed out.
 func isConnectFailure(o balance.Outcome) bool {
 	return o == balance.Unreachable || o == balance.ConnectionRefused
 }
 
-// isConnectionLost reports whether the other side closed or reset a connection under a run.
+// isConnectionLost reports whether the peer closed or reset the connection during a run.
 func isConnectionLost(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)
 }
@@ -178,7 +176,7 @@
 	r.stats.count("runs_" + runNames[state])
 }
 
-// runNames are the states as they stand in log lines and names of metrics.
+// runNames are the names of the states in log lines and metric names.
 var runNames = [...]string{runUnsent: "unsent", runRefused: "refused", runUnknown: "unknown", runAnswered: "answered"}
 
 func (x *exchange) budgetLeft() int {
@@ -188,7 +186,7 @@
 	return r.budgets.Of(x.service).Left(r.now(), r.divisor())
 }
 
-// closeTicket closes the count of the current run.
+// closeTicket releases the capacity reserved for the current run and reports its outcome.
 func (x *exchange) closeTicket(o balance.Outcome) {
 	if x.ticket == nil {
 		return
--- a/relay/outgoing.go
+++ b/relay/outgoing.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file defines a request as it goes to an upstream. The invariant: the headers
-// that the box sets are its own, whatever the caller sent under these names.
+// This file defines the request sent to an upstream. The invariant: headers that the box sets never
+// have values from the caller, whatever the caller sent under these names.
 
 import (
 	"bytes"
@@ -17,35 +17,35 @@
 	"github.com/doormast/doormast/route"
 )
 
-// runParams is what differs from one runParams of a request to the next.
+// runParams are the parameters that differ between the runs of a request.
 type runParams struct {
 	upstream balance.Upstream
 	timeLeft time.Duration
 	urgency  int
 	customer *route.Customer
-	fetch    string // IP:port of an upstream that keeps the prompt, or empty
-	memory   string // the copy that the run goes on from, or empty
-	lastSeen string // id of the last event that the caller has, or empty
+	fetch    string // IP:port of an upstream that has the prompt cached, or empty
+	memory   string // copy of a run's memory from which to continue, or empty
+	lastSeen string // ID of the last event that the caller has received, or empty
 }
 
-// outgoing writes the request for a run.
-func (r *Relay) outgoing(q *request, n runParams) outgoing {
+// outgoing builds the request of a run.
+func (r *Relay) outgoing(q *request, params runParams) outgoing {
 	p := &r.cfg.Protocol
 	var b bytes.Buffer
 	b.WriteString(q.method + " " + q.uri + " HTTP/1.1\r\n")
 	writeHeader(&b, "Host", q.host)
 	b.Write(q.forwardedHeaders)
-	writeHeader(&b, p.TimeLeft, strconv.FormatInt(max(1, n.timeLeft.Milliseconds()), 10))
-	writeHeader(&b, p.Instance, n.upstream.ID)
-	if n.customer != nil {
-		writeHeader(&b, p.Customer, n.customer.Name)
+	writeHeader(&b, p.TimeLeft, strconv.FormatInt(max(1, params.timeLeft.Milliseconds()), 10))
+	writeHeader(&b, p.Instance, params.upstream.ID)
+	if params.customer != nil {
+		writeHeader(&b, p.Customer, params.customer.Name)
 	}
 	if len(q.prompt.Parts) > 0 {
-		writeHeader(&b, p.Priority, strconv.Itoa(n.urgency))
-		writeHeader(&b, p.FetchFrom, n.fetch)
-		writeHeader(&b, p.KVHandle, n.memory)
+		writeHeader(&b, p.Priority, strconv.Itoa(params.urgency))
+		writeHeader(&b, p.FetchFrom, params.fetch)
+		writeHeader(&b, p.KVHandle, params.memory)
 	}
-	writeHeader(&b, p.LastEvent, n.lastSeen)
+	writeHeader(&b, p.LastEvent, params.lastSeen)
 	if len(q.body) > 0 || q.method != fasthttp.MethodGet && q.method != fasthttp.MethodHead {
 		writeHeader(&b, "Content-Length", strconv.Itoa(len(q.body)))
 	}
@@ -53,7 +53,7 @@
 	return outgoing{head: b.Bytes(), body: q.body, id: q.id}
 }
 
-// writeHeader writes a header's line; one without a name or a value is left out.
+// writeHeader writes a header line, unless the name or the value is empty.
 func writeHeader(b *bytes.Buffer, name, value string) {
 	if name == "" || value == "" {
 		return
@@ -64,25 +64,25 @@
 	b.WriteString("\r\n")
 }
 
-// outgoing is what is sent to an upstream.
+// outgoing is a serialized request.
 type outgoing struct {
 	head []byte
 	body []byte
-	id   string // comes back in the answer
+	id   string // request ID, which the response repeats
 }
 
-// asyncBodyBytes is from how many bytes on a body is sent while the answer is awaited,
-// since an upstream may answer before it has read it all.
+// asyncBodyBytes is the size above which a request is written while the response is awaited, since an
+// upstream may answer before it has read the whole request.
 const asyncBodyBytes = 8 << 10
 
-// requestWrite is a request on its way out.
+// requestWrite is the write of a request to an upstream.
 type requestWrite struct {
 	began   time.Time
 	done    chan error
-	written atomic.Pointer[time.Time] // when all was; nil: not yet, or it failed
+	written atomic.Pointer[time.Time] // when all bytes were written; nil: not yet, or the write failed
 }
 
-// send writes the request; a large one goes on being written in the background.
+// send writes the request; one larger than asyncBodyBytes is written in the background.
 func (c *conn) send(o outgoing) *requestWrite {
 	s := &requestWrite{began: time.Now(), done: make(chan error, 1)}
 	if len(o.head)+len(o.body) <= asyncBodyBytes {
@@ -91,14 +91,14 @@
 		return s
 	}
 	go func() {
-		parts := net.Buffers{o.head, o.body} // a large body is not copied
+		parts := net.Buffers{o.head, o.body} // avoids copying a large body
 		_, err := parts.WriteTo(c.Conn)
 		s.finish(err)
 	}()
 	return s
 }
 
-// finish notes the finish of the writing.
+// finish records the result of the write.
 func (s *requestWrite) finish(err error) {
 	if err == nil {
 		now := time.Now()
@@ -107,7 +107,7 @@
 	s.done <- err
 }
 
-// succeeded reports whether all was written without an error.
+// succeeded reports whether the whole request has been written without an error.
 func (s *requestWrite) succeeded() bool {
 	select {
 	case err := <-s.done:
--- a/relay/pace.go
+++ b/relay/pace.go
@@ -1,24 +1,22 @@
 package relay
 
-// This file defines how closely a stream's events followed each other, as the box passed
-// them on. The invariant: only pauses between events of one answer count, not the wait for
-// the first.
+// This file defines how the pauses between a stream's events are measured when the box forwards them.
+// The invariant: only pauses between events of one response count, not the wait for the first event.
 
 import "time"
 
-// recentWeight is the share of the newest pause in the mean of those of late.
+// recentWeight is the weight of the newest pause in the moving average of the pauses.
 const recentWeight = 0.25
 
-// pace measures the pauses between events.
+// pace measures the pauses between a stream's events.
 type pace struct {
-	last    time.Time // when events last came; zero before the first
+	last    time.Time // when events last arrived; zero before the first
 	longest time.Duration
-	recent  time.Duration // of late, from one event to the next
+	recent  time.Duration // moving average of the pauses
 	late    int           // pauses that were longer than the route allows
 }
 
-// observe takes in that observe came; allowed is the longest pause that is in time, 0 where
-// none is stated.
+// observe records that events arrived. A pause longer than allowed is counted as late; 0: no limit.
 func (p *pace) observe(now time.Time, allowed time.Duration) {
 	if !p.last.IsZero() {
 		pause := now.Sub(p.last)
--- a/relay/pausequeue.go
+++ b/relay/pausequeue.go
@@ -1,7 +1,9 @@
 package relay
 
-// This file defines how requests wait for the end of a pause where no other upstream takes them. The invariants: places go to the more
-// urgent first, and then to those that came first; and whoever can no longer be served in its time hears it at once.
+// This file defines how requests wait for the end of an upstream's pause if no other upstream accepts
+// them. The invariants: free places go to the more urgent requests first, and among equally urgent
+// ones to those that arrived first; and a request that can no longer be served before its deadline is
+// refused at once.
 
 import (
 	"cmp"
@@ -13,55 +15,58 @@
 )
 
 const (
-	// pauseReason is why a request is refused where all upstreams that are left ask for a pause.
+	// pauseReason is the reason of a refusal if all remaining upstreams ask for a pause.
 	pauseReason = "upstreams ask for a pause"
-	// maxPauseRetryAfter bounds when a caller shall come back after a pause.
+	// maxPauseRetryAfter is the maximum time after which a caller is told to retry because of a pause.
 	maxPauseRetryAfter = time.Minute
-	// retryAfterJitter is the part by which the times differ that callers are told who are refused for the same cause.
+	// retryAfterJitter is the maximum share by which the retry times of callers refused for the same
+	// cause are increased at random.
 	retryAfterJitter = 0.25
 )
 
-// requestsWaited counts the requests that waited for the end of a pause.
+// requestsWaited is the metric that counts requests that waited for the end of a pause.
 const requestsWaited = "requests_waited_for_pauses"
 
-// addJitter lengthens the time after which a caller shall come back, differently for each.
+// addJitter increases a retry time at random, so that callers do not return all at once.
 func addJitter(d time.Duration) time.Duration {
 	return d + time.Duration(rand.Float64()*retryAfterJitter*float64(d))
 }
 
-// waiter is a request that waits.
+// waiter is a request in a pauseQueue.
 type waiter struct {
 	exchange *exchange
 	placed   balance.Request
-	woken    chan struct{} // closed when it is to be placed, or given up
+	woken    chan struct{} // closed when the request is to be placed again or given up
 }
 
-// pauseQueue is the requests of a service that wait. The relay's mu guards it.
+// pauseQueue holds the waiting requests of a service. It is guarded by Relay.mu.
 type pauseQueue struct {
-	list  []*waiter // in the order in which they get places
+	list  []*waiter // in the order in which they are placed
 	timer *time.Timer
-	due   time.Duration // when the timer wakes the first
+	due   time.Duration // when the timer fires
 }
 
-// compareWaiters sorts waiters.
+// compareWaiters orders waiters by urgency, then by arrival.
 func compareWaiters(a, b *waiter) int {
 	return cmp.Or(cmp.Compare(a.placed.Urgency, b.placed.Urgency), a.exchange.arrived.Compare(b.exchange.arrived))
 }
 
-// pauseLeft is how long it takes until the request may have a place after a pause; 0 where none keeps it from one. Upstreams that it was
-// sent to before count as well where it is about to come back.
+// pauseLeft returns the time until a pause that keeps the request from being placed ends; 0 if none
+// does. Upstreams in tried are excluded. tried is nil when the time for a caller's retry is worked
+// out, since the retry may go to any of them.
 func (x *exchange) pauseLeft(tried []string) time.Duration {
 	return x.relay.fleet.PauseLeft(x.relay.now(), x.placement(), tried)
 }
 
-// canWait reports whether the request can still be served after a pause that lasts so long. On a box that is stopping none waits: its
-// grace may be over first.
+// canWait reports whether the request can still be served after a pause of the given length. While the
+// box is stopping no request waits, since the grace period may end first.
 func (x *exchange) canWait(left time.Duration) bool {
 	return left > 0 && left+minTimeLeft <= x.timeLeft() && !x.relay.stopping.Load()
 }
 
-// awaitPauseEnd waits until the request may be placed after a pause. False: it need not, or cannot in its time. One that was sent before is
-// not sent again to an upstream that turned it away: its caller is told when to come back.
+// awaitPauseEnd waits until the request may be placed after a pause. It returns false if there is no
+// pause or the pause is too long. A request that was already sent does not wait, since it is not sent
+// again to an upstream that refused it; its caller is told when to retry.
 func (x *exchange) awaitPauseEnd() bool {
 	r := x.relay
 	if x.runsSent > 0 || !x.canWait(x.pausedFor) {
@@ -84,7 +89,7 @@
 	return true
 }
 
-// enqueue adds a waiter, who is woken at a moment at the latest. The caller holds the relay's mu.
+// enqueue adds a waiter, which is woken at due at the latest. The caller holds r.mu.
 func (r *Relay) enqueue(w *waiter, due time.Duration) {
 	service := w.placed.Service
 	q := r.pauseQueues[service]
@@ -98,7 +103,7 @@
 	r.scheduleWake(service, q, due)
 }
 
-// dequeue takes a waiter out, if it is still there. The caller holds the relay's mu.
+// dequeue removes a waiter if it is still queued. The caller holds r.mu.
 func (r *Relay) dequeue(w *waiter) {
 	service := w.placed.Service
 	q := r.pauseQueues[service]
@@ -117,7 +122,8 @@
 	}
 }
 
-// scheduleWake has waiters of a service woken at a moment, unless they are before. The caller holds the relay's mu.
+// scheduleWake sets the timer of a service's queue to due, unless it is set to an earlier time in the
+// future. The caller holds r.mu.
 func (r *Relay) scheduleWake(service string, q *pauseQueue, due time.Duration) {
 	if q.timer != nil && q.due <= due && q.due > r.now() {
 		return
@@ -133,8 +139,8 @@
 	})
 }
 
-// wakeReady wakes as many of the requests that wait as there may be places for, and those that cannot be served in their time any
-// more. The caller holds the relay's mu.
+// wakeReady wakes as many waiting requests as there may be places for, and those that can no longer be
+// served before their deadlines. The caller holds r.mu.
 func (r *Relay) wakeReady(service string) {
 	q := r.pauseQueues[service]
 	if q == nil {
@@ -158,7 +164,7 @@
 	}
 }
 
-// wakeAll wakes all waiters of all services.
+// wakeAll wakes all waiting requests of all services.
 func (r *Relay) wakeAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,7 +175,7 @@
 	}
 }
 
-// wakeWaiter wakes a waiter. The caller holds the relay's mu.
+// wakeWaiter removes a waiter from its queue and wakes it. The caller holds r.mu.
 func (r *Relay) wakeWaiter(w *waiter) {
 	r.dequeue(w)
 	close(w.woken)
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -20,11 +20,11 @@
 )
 
 // sendRefusal sends a refusal with the request's ID.
-func (r *Relay) sendRefusal(ctx *fasthttp.RequestCtx, q *request, no refusal) {
+func (r *Relay) sendRefusal(ctx *fasthttp.RequestCtx, q *request, refused refusal) {
 	if q.id != "" {
 		ctx.Response.Header.Set(r.cfg.Protocol.RequestID, q.id)
 	}
-	writeRefusal(ctx, no)
+	writeRefusal(ctx, refused)
 }
 
 // callerLeft is the reason logged for a request whose caller has disconnected.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -134,7 +134,7 @@
 	var err error
 	if r.members, err = newMembers(r); err != nil {
 		cancel()
-		return nil, &Error{Op: "listen to other boxes", Kind: KindListen, Err: err}
+		return nil, &Error{Op: "listen for datagrams", Kind: KindListen, Err: err}
 	}
 	r.startTasks(ctx)
 	r.cfg.Log.Event("box", "start", Fields{"box": cfg.Box, "domain": cfg.Domain, "off": cfg.Disabled.Names()})
--- a/relay/response.go
+++ b/relay/response.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines an upstream's answer: how its head is read, and what becomes of
-// its connection. The invariant: an answer that names another request is passed on to
-// nobody, and a connection is kept only where its answer was read to its end.
+// This file defines an upstream's response: how its header is read, and what happens to its
+// connection. The invariants: a response with the ID of another request is never forwarded, and a
+// connection is reused only if its response was read to the end.
 
 import (
 	"bytes"
@@ -15,20 +15,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// response is an upstream's response, its head read.
+// response is an upstream's response whose header has been read.
 type response struct {
 	conn   *conn
 	header fasthttp.ResponseHeader
-	body   io.Reader // without its framing; io.EOF only after a whole body
-	reuse  bool      // the connection can carry another request after the body
+	body   io.Reader // decoded; io.EOF only after the whole body
+	reuse  bool      // the connection can carry another request after this body
 	sent   *requestWrite
 }
 
-// maxForeignResponses is how many answers to other requests are skipped on a
-// connection before it is given up.
+// maxForeignResponses is the number of responses to other requests that are skipped on a connection
+// before it is given up.
 const maxForeignResponses = 2
 
-// roundTrip makes a call of the box's own on a connection and reads the head of its answer.
+// roundTrip makes a call of the box itself on a connection and reads the header of the response.
 func (r *Relay) roundTrip(c *conn, o outgoing) (*response, error) {
 	if r.isPaused(c.life) {
 		return nil, errNotAccepting
@@ -36,84 +36,83 @@
 	return r.readResponse(c, o.id, c.send(o))
 }
 
-// readResponse reads the head of the answer to a request that is being sent.
+// readResponse reads the header of the response to a request that is being sent.
 func (r *Relay) readResponse(c *conn, request string, sent *requestWrite) (*response, error) {
 	for skipped := 0; ; skipped++ {
-		a, err := r.readHead(c)
+		resp, err := r.readHead(c)
 		if err != nil {
 			return nil, err
 		}
-		a.sent = sent
-		r.noteSaid(a, request)
-		id := headerValue(&a.header, r.cfg.Protocol.RequestID)
+		resp.sent = sent
+		r.noteSaid(resp, request)
+		id := headerValue(&resp.header, r.cfg.Protocol.RequestID)
 		if id == "" || id == request {
-			a.reuse = a.reuse && skipped == 0
-			r.noteLimit(a, request)
-			return a, nil
+			resp.reuse = resp.reuse && skipped == 0
+			r.noteLimit(resp, request)
+			return resp, nil
 		}
-		// An answer to an earlier request came late: it belongs to nobody.
-		if skipped == maxForeignResponses || !a.hasFraming() {
-			return nil, &Error{Op: "read answer", Kind: KindMalformed, Err: errors.New("an answer to another request")}
+		// A late response to an earlier request: it is discarded.
+		if skipped == maxForeignResponses || !resp.hasFraming() {
+			return nil, &Error{Op: "read response", Kind: KindMalformed, Err: errors.New("response to another request")}
 		}
-		if _, err := io.Copy(io.Discard, a.body); err != nil {
+		if _, err := io.Copy(io.Discard, resp.body); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// readHead reads a head and sets up the body's reader.
+// readHead reads a header and sets up the reader of the body.
 func (r *Relay) readHead(c *conn) (*response, error) {
 	if err := checkStatusLine(c); err != nil {
 		return nil, err
 	}
-	a := &response{conn: c}
-	a.header.DisableNormalizing()
-	a.header.SetNoDefaultContentType(true)
-	if err := a.header.Read(c.reader); err != nil {
-		return nil, &Error{Op: "read answer", Kind: KindMalformed, Err: err}
+	resp := &response{conn: c}
+	resp.header.DisableNormalizing()
+	resp.header.SetNoDefaultContentType(true)
+	if err := resp.header.Read(c.reader); err != nil {
+		return nil, &Error{Op: "read response", Kind: KindMalformed, Err: err}
 	}
-	a.body = bodyReader(c, &a.header)
-	a.reuse = a.hasFraming() && !a.header.ConnectionClose()
-	return a, nil
+	resp.body = bodyReader(c, &resp.header)
+	resp.reuse = resp.hasFraming() && !resp.header.ConnectionClose()
+	return resp, nil
 }
 
-// statusPrefix begins every answer.
+// statusPrefix starts every response.
 var statusPrefix = []byte("HTTP/1.")
 
-// checkStatusLine refuses bytes that do not begin an answer; the header's parser
-// is more lenient.
+// checkStatusLine rejects bytes that do not start a response; the header parser is more lenient.
 func checkStatusLine(c *conn) error {
 	b, err := c.reader.Peek(len("HTTP/1.1 200"))
 	if err != nil {
-		return &Error{Op: "read answer", Kind: KindTruncated, Err: err}
+		return &Error{Op: "read response", Kind: KindTruncated, Err: err}
 	}
 	space, class := b[len("HTTP/1.1")], b[len("HTTP/1.1 ")]
 	if !bytes.HasPrefix(b, statusPrefix) || space != ' ' || class < '1' || class > '5' {
-		return &Error{Op: "read answer", Kind: KindMalformed, Err: errors.New("no status line")}
+		return &Error{Op: "read response", Kind: KindMalformed, Err: errors.New("no status line")}
 	}
 	return nil
 }
 
-// What fasthttp gives as the length of a body whose header states none.
+// The lengths that fasthttp returns for a body whose header states none.
 const (
-	lengthChunked = -1 // it comes in chunks
-	lengthUnknown = -2 // it ends with the connection
+	lengthChunked = -1 // chunked encoding
+	lengthUnknown = -2 // the body ends when the connection is closed
 )
 
-// hasFraming reports whether the body's end can be told without the connection's.
-func (a *response) hasFraming() bool { return a.header.ContentLength() != lengthUnknown }
+// hasFraming reports whether the end of the body can be found without the connection being closed.
+func (r *response) hasFraming() bool { return r.header.ContentLength() != lengthUnknown }
 
-// releaseConn ends the use of an answer's connection: it is kept if the answer was read
-// to its end and nothing speaks against it.
-func (r *Relay) releaseConn(a *response, whole bool) {
-	if whole && a.reuse && a.sent.succeeded() {
-		r.conns.keep(a.conn, keepAliveTimeout(&a.header))
+// releaseConn ends the use of a response's connection. The connection is kept for reuse if the whole
+// response was read, the request was written completely, and the response allows reuse.
+func (r *Relay) releaseConn(resp *response, whole bool) {
+	if whole && resp.reuse && resp.sent.succeeded() {
+		r.conns.keep(resp.conn, keepAliveTimeout(&resp.header))
 		return
 	}
-	r.conns.drop(a.conn)
+	r.conns.drop(resp.conn)
 }
 
-// keepAliveTimeout reads how long the upstream keeps the connection; 0 if it does not say.
+// keepAliveTimeout returns how long the upstream keeps the connection open; 0 if not stated.
 func keepAliveTimeout(h *fasthttp.ResponseHeader) time.Duration {
 	_, rest, ok := strings.Cut(headerValue(h, "Keep-Alive"), "timeout=")
 	if !ok {
@@ -127,7 +126,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// saysNotRun reports whether the answer says that the upstream did not run the request.
+// saysNotRun reports whether the response states that the upstream did not run the request.
 func (r *Relay) saysNotRun(h *fasthttp.ResponseHeader) bool {
 	return h.StatusCode() == fasthttp.StatusMisdirectedRequest || headerValue(h, r.cfg.Protocol.NotExecuted) != ""
 }
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -1,24 +1,26 @@
 package relay
 
-// This file defines how a retry is taken from its service's retry budget. The invariants: each run after a request's first
-// is taken from it, a move when it is ordered and any other as it is sent; and a request that is given up since the budget is used
-// up has a line that says by what.
+// This file defines how retries are taken from the retry budget of their service. The invariants: each
+// run after a request's first is taken from the budget, for a move when it is started and otherwise
+// when it is sent; and a request that is given up because the budget is used up has a log line with
+// the budget's use.
 
 import (
 	"github.com/doormast/doormast/balance"
 	"github.com/doormast/doormast/wire"
 )
 
-// Counters of retries, of all services.
+// Metric names of the retry counters, which cover all services.
 const (
 	retriesSent   = "retries_sent"
 	retriesDenied = "retries_denied"
 )
 
-// errBudget says that other requests used the retry budget up while this one waited for a connection.
+// errBudget reports that other requests used up the retry budget while this one waited for a
+// connection.
 var errBudget = &Error{Op: "retry", Kind: KindExhausted}
 
-// hasRetry reports whether the budget has a retry left for the request, and logs that it has none.
+// hasRetry reports whether the budget allows the request another retry, and logs it if not.
 func (x *exchange) hasRetry() bool {
 	r := x.relay
 	r.mu.Lock()
@@ -34,8 +36,8 @@
 	return false
 }
 
-// spendRetry takes the run that is about to be sent from the budget; false: there is no retry left. A first run
-// and a move that was ordered cost nothing here.
+// spendRetry takes the run that is about to be sent from the budget; false means that no retry is
+// left. A request's first run costs nothing, and a move was already paid for when it was started.
 func (x *exchange) spendRetry() bool {
 	if x.runsSent == 0 {
 		return true
@@ -51,14 +53,14 @@
 	return true
 }
 
-// logNotRetried writes the line of a request that the budget allows no retry.
+// logNotRetried logs a request that the budget denies a retry.
 func (x *exchange) logNotRetried(use balance.BudgetUse) {
 	x.relay.cfg.Log.Event("run", "not retried", Fields{"id": x.request.id, "upstream": x.upstream.ID, "service": x.service, "reason": "retry budget used up",
 		"taken": use.Taken, "spent": use.Spent, "boxes": use.Boxes, "window_ms": x.relay.cfg.Budget.Window.Milliseconds()})
 }
 
-// retryRows are the budgets as operators read them, and the fewest retries that one has left; 0 where none
-// is in use. The caller holds the relay's mu.
+// retryRows returns the state of the budgets for operators, and the fewest retries that any of them
+// has left; 0 if no budget is in use. The caller holds r.mu.
 func (r *Relay) retryRows() (rows []*wire.RetryRow, fewest uint32) {
 	now, boxes := r.now(), r.divisor()
 	for _, service := range r.budgets.Services() {
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines how a request is run on one upstream after another until one
-// answers. The invariant: a request that may have run is only sent again where its
-// route allows that, and each time it is sent again is taken from its service's budget.
+// This file defines how a request is sent to one upstream after another until one answers. The
+// invariant: a request that may have run is sent again only if its route allows that, and each
+// repetition is taken from the service's retry budget.
 
 import (
 	"errors"
@@ -13,19 +13,19 @@
 )
 
 const (
-	// minTimeLeft is the least time left with which a request is sent (again).
+	// minTimeLeft is the minimum remaining time with which a request is sent or sent again.
 	minTimeLeft = 20 * time.Millisecond
-	// maxUnreachable is how many upstreams may be unreachable before a request is given up.
+	// maxUnreachable is the number of unreachable upstreams after which a request is given up.
 	maxUnreachable = 4
-	// maxRetryAfter bounds when a caller shall come back where all upstreams are cold.
+	// maxRetryAfter is the maximum time after which a caller is told to retry if all upstreams are cold.
 	maxRetryAfter = 3 * time.Second
-	// bytesPerToken is what an answer takes for each of its tokens: some 4 bytes of text, and the
-	// frame of an event around each few tokens.
+	// bytesPerToken estimates the size of a response per token: about 4 bytes of text, plus the framing
+	// of an event for every few tokens.
 	bytesPerToken = 16
 )
 
-// runUntilAnswered sends the request to upstreams until one answers, or it is given up. The
-// body is that of an answer that is no stream.
+// runUntilAnswered sends the request to upstreams until one answers or the request is given up. It
+// returns the body of a response that is not a stream.
 func (x *exchange) runUntilAnswered() ([]byte, *refusal) {
 	for {
 		choice, ok := x.place()
@@ -47,8 +47,8 @@
 	}
 }
 
-// unanswered ends a request that no upstream answered well: with the failure of one,
-// or with the box's own answer.
+// unanswered ends a request that no upstream answered successfully: with the last error response of an
+// upstream, or else with a refusal by the box.
 func (x *exchange) unanswered(reason string) ([]byte, *refusal) {
 	if body, ok := x.lastFailure(); ok {
 		return body, nil
@@ -56,7 +56,7 @@
 	return nil, x.finalRefusal(reason)
 }
 
-// place chooses an upstream and counts the request there.
+// place chooses an upstream and reserves capacity for the request there.
 func (x *exchange) place() (balance.Choice, bool) {
 	x.pausedFor = 0
 	if x.ctx.Err() != nil {
@@ -93,7 +93,7 @@
 	return choice, true
 }
 
-// placement is what the fleet looks at to place the request.
+// placement returns the properties of the request by which the fleet places it.
 func (x *exchange) placement() balance.Request {
 	p := &x.request.prompt
 	return balance.Request{
@@ -111,34 +111,34 @@
 	}
 }
 
-// canFetchPrompts reports whether the service's upstreams can fetch prompts from each other.
+// canFetchPrompts reports whether the service's upstreams can fetch cached prompts from each other.
 func (x *exchange) canFetchPrompts() bool {
 	s := x.doc.Service(x.service)
 	return s != nil && s.Moves
 }
 
-// cameBackShare is the share of the route's time below which a request has come back
-// after a refusal: a first attempt has all of it.
+// cameBackShare is the share of the route's timeout below which the remaining time marks a request as
+// a retry after a refusal: a first attempt has all of it.
 const cameBackShare = 0.95
 
-// admission is what the fleet looks at to decide whether the request would come late.
+// admission returns the properties by which the fleet decides whether the request would be late.
 func (x *exchange) admission() balance.Admission {
 	x.cameBack = float64(x.timeLeft()) < cameBackShare*float64(x.route.Timeout)
 	return balance.Admission{Target: x.route.Target, Retried: x.cameBack}
 }
 
-// runOn runs the request on the upstream that was chosen.
+// runOn runs the request on the chosen upstream.
 func (x *exchange) runOn(choice balance.Choice) (runState, []byte) {
 	return x.send(x.nextRun(choice.Fetch))
 }
 
-// send sends the request for a run. With runAnswered, either the whole body has been read
-// or the stream's first events are pending.
-func (x *exchange) send(n runParams) (runState, []byte) {
+// send runs the request with the given parameters. With runAnswered, either the whole body has been
+// read or the first events of the stream are pending.
+func (x *exchange) send(params runParams) (runState, []byte) {
 	x.triedInstances = append(x.triedInstances, x.upstream.Incarnation())
-	state, a, err := x.attempt(x.relay.outgoing(x.request, n))
+	state, a, err := x.attempt(x.relay.outgoing(x.request, params))
 	if errors.Is(err, errNotAccepting) {
-		x.triedInstances = x.triedInstances[:len(x.triedInstances)-1] // it may wait for it
+		x.triedInstances = x.triedInstances[:len(x.triedInstances)-1] // it may wait for this upstream's pause
 	}
 	if state != runUnsent {
 		x.runsSent++
@@ -153,10 +153,10 @@
 	return state, body
 }
 
-// nextRun is what the coming run has of its own; fetch is from where its upstream may
-// fetch the prompt.
+// nextRun returns the parameters of the next run; fetch is the address of an upstream from which the
+// prompt can be fetched.
 func (x *exchange) nextRun(fetch string) runParams {
-	n := runParams{
+	params := runParams{
 		upstream: x.upstream,
 		timeLeft: x.timeLeft(),
 		urgency:  x.urgency,
@@ -165,13 +165,13 @@
 		lastSeen: x.request.lastEventID,
 	}
 	if x.events != nil && x.events.hasEvents {
-		n.lastSeen = formatID(x.events.lastID)
+		params.lastSeen = formatID(x.events.lastID)
 	}
-	return n
+	return params
 }
 
-// mayRetry decides whether the request may go to another upstream after a run
-// that came as far as state.
+// mayRetry decides whether the request may be sent to another upstream after a run that ended in
+// state.
 func (x *exchange) mayRetry(state runState) bool {
 	if x.ctx.Err() != nil || x.timeLeft() < minTimeLeft || x.withheldFor() > 0 {
 		return false
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -30,7 +30,7 @@
 	// The server keeps serving its open connections after its shutdown has returned.
 	context.AfterFunc(ctx, func() { r.graceOver.Store(true) })
 	if err := r.callerServer.close(ctx); err != nil {
-		r.cfg.Log.Event("box", "stopped with requests under way", Fields{"open": r.stats.open.Load(), "error": err.Error()})
+		r.cfg.Log.Event("box", "stopped with active requests", Fields{"open": r.stats.open.Load(), "error": err.Error()})
 		r.logRequestsCut()
 	}
 	r.cancel()
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines how a stream goes to the caller, and how it goes on at another
-// upstream when its run breaks off. The invariant: the caller sees one head and each
-// event once; a stream that did not come to its end ends by closing the connection.
+// This file defines how a stream is forwarded to the caller, and how it is resumed on another upstream
+// when its run fails. The invariant: the caller gets one header and each event once; a stream that did
+// not reach its end is ended by closing the connection.
 
 import (
 	"bytes"
@@ -21,26 +21,26 @@
 
 func formatID(id int64) string { return strconv.FormatInt(id, 10) }
 
-// isStream reports whether an answer is a stream of events.
-func (x *exchange) isStream(a *response) bool {
-	return x.route.Repeat == route.Stream && a.header.StatusCode() == fasthttp.StatusOK &&
-		bytes.HasPrefix(a.header.ContentType(), []byte("text/event-stream"))
+// isStream reports whether a response is a stream of events.
+func (x *exchange) isStream(resp *response) bool {
+	return x.route.Repeat == route.Stream && resp.header.StatusCode() == fasthttp.StatusOK &&
+		bytes.HasPrefix(resp.header.ContentType(), []byte("text/event-stream"))
 }
 
-// acceptStream waits for the first events of a stream, so that a run that fails
-// before them can still be answered otherwise.
-func (x *exchange) acceptStream(a *response) (runState, []byte, error) {
-	e := &eventReader{src: a.body, reserve: x.keep}
+// acceptStream waits for the first events of a stream, so that a run that fails before them can still
+// be answered otherwise.
+func (x *exchange) acceptStream(resp *response) (runState, []byte, error) {
+	e := &eventReader{src: resp.body, reserve: x.keep}
 	if x.events != nil {
 		e = x.events
-		e.continueWith(a.body)
+		e.continueWith(resp.body)
 	}
 	x.listen(nil)
 	pending, err := e.next()
 	x.heard()
 	if err != nil && !errors.Is(err, io.EOF) {
 		x.detachConn()
-		x.relay.conns.drop(a.conn)
+		x.relay.conns.drop(resp.conn)
 		return runUnknown, nil, err
 	}
 	if x.firstEventsAfter == 0 {
@@ -53,11 +53,11 @@
 	x.relay.mu.Unlock()
 	wake(x.relay.members.loaded)
 	x.eventsBegan.Store(true)
-	x.response, x.events, x.pendingEvents = a, e, pending
+	x.response, x.events, x.pendingEvents = resp, e, pending
 	return runAnswered, nil, nil
 }
 
-// Read gives the caller's side what comes next of the stream.
+// Read returns the next bytes of the stream for the caller.
 func (x *exchange) Read(p []byte) (int, error) {
 	for len(x.pendingEvents) == 0 {
 		x.listen(nil)
@@ -82,13 +82,13 @@
 	return n, nil
 }
 
-// endRun gives the connection of the current run back.
+// endRun releases the connection of the current run and reports its outcome.
 func (x *exchange) endRun(whole bool, o balance.Outcome) {
 	if x.response == nil || x.response.conn == nil {
 		return
 	}
 	if !x.detachConn() {
-		whole = false // ctx has closed it
+		whole = false // ctx has closed the connection
 	}
 	x.relay.releaseConn(x.response, whole)
 	x.response.conn = nil
@@ -96,8 +96,8 @@
 	x.closeTicket(o)
 }
 
-// outcomeOfDisconnect says what a stream that broke off tells about its upstream: nothing where
-// its caller left, this box was short of memory, or the connection fell silent.
+// outcomeOfDisconnect returns what an interrupted stream says about its upstream: nothing if the
+// caller disconnected, this box lacked memory, or the connection was silent.
 func (x *exchange) outcomeOfDisconnect(cause error) balance.Outcome {
 	if x.watch.disconnected.Load() || errors.Is(cause, errShort) || errors.Is(cause, errSilent) {
 		return balance.Neutral
@@ -108,7 +108,7 @@
 	return balance.Failed
 }
 
-// resume takes a stream up at another upstream after its run broke off.
+// resume continues a stream on another upstream after its run failed.
 func (x *exchange) resume(cause error) bool {
 	head := x.response
 	if x.silent.Load() {
@@ -129,7 +129,7 @@
 	return false
 }
 
-// Close ends the exchange; the caller's side calls it in any case.
+// Close ends the exchange. The server calls it in any case.
 func (x *exchange) Close() error {
 	if x.outcome == "" {
 		x.outcome = "broken off"
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// reportPace tells the fleet how fast the events of the current run came.
+// reportPace reports to the fleet how fast the events of the current run arrived.
 func (x *exchange) reportPace(whole bool) {
 	if x.events == nil || x.ticket == nil {
 		return
