--- a/balance/active_test.go
+++ b/balance/active_test.go
@@ -49,7 +49,7 @@
 				f.Remove(id)
 			case 1:
 				service := rapid.SampledFrom([]string{"s", "other"}).Draw(t, "service")
-				f.Put(now, Upstream{ID: id, Service: service, Slots: rapid.IntRange(1, 9).Draw(t, "slots"), StartedAt: int64(rapid.IntRange(1, 3).Draw(t, "born"))})
+				f.Put(now, Upstream{ID: id, Service: service, Slots: rapid.IntRange(1, 9).Draw(t, "slots"), StartedAt: int64(rapid.IntRange(1, 3).Draw(t, "start time"))})
 			case 2:
 				f.UpdateRemoteLoads(map[LoadKey]Load{{f.keyOf(id), 2}: {Unread: 640 * rapid.IntRange(0, 1).Draw(t, "unread"), Open: 1}})
 			case 3:
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -27,7 +27,7 @@
 	return p
 }
 
-// assumed reports whether a part is assumed to be held by its homes: either it is too small to be
+// assumed reports whether the homes are assumed to hold a part: either it is too small to be
 // reported between boxes, or no upstream is known to hold it and this box may not have received
 // all reports yet.
 func (p *promptCost) assumed(part Part) bool {
@@ -52,14 +52,14 @@
 func (p *promptCost) total(m *member) int {
 	cost := p.fleet.backlog(p.now, m, p.request.urgencyLevel())
 	last := p.request.lastShared()
-	kept := p.cached[len(p.cached)-1]
-	if kept || m != p.homes.near {
+	cached := p.cached[len(p.cached)-1]
+	if cached || m != p.homes.near {
 		cost += p.fleet.networkCost(m.Domain, p.request)
 	}
 	switch {
 	case p.holds(m, last):
 		return cost
-	case kept:
+	case cached:
 		return cost + int(p.fleet.cfg.Tuning.AgainWeight*float64(last.Tokens))
 	}
 	return cost + last.Tokens // it has to be read somewhere, and most requests can use it at the near home
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -38,7 +38,7 @@
 	remoteWork    work    // of all other boxes
 	successor     *member // the same incarnation, listed again; it now holds the work
 	health        health
-	unreachable   bool          // receives no request until a trial connection or an answer succeeds
+	unreachable   bool          // cannot be reached; used only if no other upstream is left
 	byDomain      bool          // became unreachable only because its failure domain was marked unreachable
 	listedAt      time.Duration // when it was first listed
 	key           uint32        // of its incarnation
@@ -145,7 +145,7 @@
 	}
 }
 
-// Get returns the listed upstream with an ID, or nil.
+// Get returns the listed upstream with the given ID, or nil.
 func (f *Fleet) Get(id string) *Upstream {
 	if m := f.byID[id]; m != nil {
 		return &m.Upstream
@@ -153,9 +153,9 @@
 	return nil
 }
 
-// ByKey returns the listed upstream whose incarnation has a key, or false.
-func (f *Fleet) ByKey(life uint32) (Upstream, bool) {
-	if m := f.byKey[life]; m != nil {
+// ByKey returns the listed upstream whose incarnation has the given key, or false.
+func (f *Fleet) ByKey(key uint32) (Upstream, bool) {
+	if m := f.byKey[key]; m != nil {
 		return m.Upstream, true
 	}
 	return Upstream{}, false
--- a/balance/history.go
+++ b/balance/history.go
@@ -23,6 +23,7 @@
 	h.sent = append(h.sent, now)
 }
 
+// forget removes expired requests.
 func (h *history) forget(now time.Duration) {
 	old := 0
 	for old < len(h.sent) && now-h.sent[old] >= historyFor {
--- a/balance/incarnation.go
+++ b/balance/incarnation.go
@@ -64,7 +64,7 @@
 }
 
 // takeOverWork counts the open requests of this box on an incarnation that is listed again.
-// Without it, the upstream's memory bound would be exceeded by what those requests hold.
+// Without it, placement could exceed the upstream's memory by what those requests hold.
 func (f *Fleet) takeOverWork(m *member) {
 	before := f.unlisted[m.ID]
 	if before == nil || before.Incarnation() != m.Incarnation() || isRestart(before.Upstream, m.Upstream) {
@@ -209,8 +209,8 @@
 	if u.Incarnation().After(before.Incarnation()) {
 		return true
 	}
-	unnamed := u.StartedAt == 0 && before.StartedAt == 0
-	return unnamed && u.HasCommandCount && before.HasCommandCount && u.Revision > before.Revision && u.CommandCount < before.CommandCount
+	noStart := u.StartedAt == 0 && before.StartedAt == 0
+	return noStart && u.HasCommandCount && before.HasCommandCount && u.Revision > before.Revision && u.CommandCount < before.CommandCount
 }
 
 // isListed reports whether a member is in the present list. It is false for an earlier
--- a/balance/incarnation_property_test.go
+++ b/balance/incarnation_property_test.go
@@ -26,8 +26,8 @@
 
 // openRun is a request that is open on an incarnation.
 type openRun struct {
-	ticket *Ticket
-	life   Incarnation
+	ticket      *Ticket
+	incarnation Incarnation
 }
 
 // sentNews is a report from one box to another, with the time at which it was sent.
@@ -59,13 +59,13 @@
 
 // entry returns an entry of a random incarnation so far, with a random revision.
 func (w *incarnationModel) entry(id string) Upstream {
-	born := int64(rapid.IntRange(100, int(w.startedAt[id])).Draw(w.t, "born"))
+	startedAt := int64(rapid.IntRange(100, int(w.startedAt[id])).Draw(w.t, "start time"))
 	w.latest++
 	revision := w.latest
 	if rapid.Bool().Draw(w.t, "old") {
 		revision = uint64(rapid.IntRange(1, int(w.latest)).Draw(w.t, "revision"))
 	}
-	return Upstream{ID: id, StartedAt: born, Service: "s", Address: id, Domain: "d1", Slots: 8, Revision: revision,
+	return Upstream{ID: id, StartedAt: startedAt, Service: "s", Address: id, Domain: "d1", Slots: 8, Revision: revision,
 		Leaving: rapid.IntRange(0, 5).Draw(w.t, "leaving") == 0}
 }
 
@@ -77,12 +77,12 @@
 	if !ok {
 		return
 	}
-	life := c.Upstream.Incarnation()
-	if w.sent[life] == nil {
-		w.sent[life] = make(map[uint32]time.Duration)
+	incarnation := c.Upstream.Incarnation()
+	if w.sent[incarnation] == nil {
+		w.sent[incarnation] = make(map[uint32]time.Duration)
 	}
-	w.sent[life][PartKey(r.Parts[0].ID)] = w.now
-	w.open[box] = append(w.open[box], openRun{f.Open(w.now, c.Upstream.ID, r), life})
+	w.sent[incarnation][PartKey(r.Parts[0].ID)] = w.now
+	w.open[box] = append(w.open[box], openRun{f.Open(w.now, c.Upstream.ID, r), incarnation})
 }
 
 // end ends one request, or all that a box has open on an incarnation.
@@ -92,9 +92,9 @@
 	if len(w.open[box]) == 0 {
 		return
 	}
-	on, ended := w.open[box][0].life, 0
+	on, ended := w.open[box][0].incarnation, 0
 	w.open[box] = slices.DeleteFunc(w.open[box], func(o openRun) bool {
-		ends := o.life == on && (all || ended == 0)
+		ends := o.incarnation == on && (all || ended == 0)
 		if ends {
 			ended++
 			o.ticket.Close(w.now, outcome)
@@ -178,23 +178,23 @@
 			}
 			w.seen[i][id] = m.StartedAt
 		}
-		w.checkKept(i, f)
+		w.checkPartIndex(i, f)
 		w.checkLoads(i, f)
 	}
 }
 
-// checkKept verifies that each part indexed for an incarnation was sent to it, and after the last
+// checkPartIndex verifies that each part indexed for an incarnation was sent to it, and after the last
 // sign of a restart.
-func (w *incarnationModel) checkKept(box int, f *Fleet) {
+func (w *incarnationModel) checkPartIndex(box int, f *Fleet) {
 	for part, list := range f.parts.holders {
 		for _, x := range list {
-			life := x.member.Incarnation()
-			at, wasSent := w.sent[life][part]
+			incarnation := x.member.Incarnation()
+			at, wasSent := w.sent[incarnation][part]
 			if !f.isListed(x.member) || !wasSent {
-				w.t.Fatalf("box %d: index says that %v holds part %d, which it was never sent", box, life, part)
+				w.t.Fatalf("box %d: index says that %v holds part %d, which it was never sent", box, incarnation, part)
 			}
-			if sign, had := w.signs[box][life]; had && at < sign {
-				w.t.Fatalf("box %d: index says that %v holds part %d, which was sent before the sign of a restart", box, life, part)
+			if sign, had := w.signs[box][incarnation]; had && at < sign {
+				w.t.Fatalf("box %d: index says that %v holds part %d, which was sent before the sign of a restart", box, incarnation, part)
 			}
 		}
 	}
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -10,8 +10,8 @@
 )
 
 // entryOf returns an entry with a start time.
-func entryOf(id string, born int64, revision uint64) Upstream {
-	return Upstream{ID: id, StartedAt: born, Service: "s", Address: "10.1.0.1:1", Domain: "d1", Slots: 8, Revision: revision}
+func entryOf(id string, startedAt int64, revision uint64) Upstream {
+	return Upstream{ID: id, StartedAt: startedAt, Service: "s", Address: "10.1.0.1:1", Domain: "d1", Slots: 8, Revision: revision}
 }
 
 func leaving(u Upstream) Upstream {
@@ -20,19 +20,19 @@
 }
 
 // withCommandCount adds the number of control commands received to an entry.
-func withCommandCount(u Upstream, orders uint64) Upstream {
-	u.CommandCount, u.HasCommandCount = orders, true
+func withCommandCount(u Upstream, count uint64) Upstream {
+	u.CommandCount, u.HasCommandCount = count, true
 	return u
 }
 
 func TestEntriesOfIncarnations(t *testing.T) {
 	noStart := func(revision uint64) Upstream { return entryOf("u", 0, revision) }
 	for _, c := range []struct {
-		name    string
-		entries []Upstream
-		born    int64
-		leaving bool
-		anew    bool // the last entry discards the earlier state
+		name      string
+		entries   []Upstream
+		startedAt int64
+		leaving   bool
+		discards  bool // the last entry discards the earlier state
 	}{
 		{"a later incarnation", []Upstream{entryOf("u", 100, 1), entryOf("u", 200, 2)}, 200, false, true},
 		{"a later incarnation after leaving", []Upstream{leaving(entryOf("u", 100, 1)), entryOf("u", 200, 2)}, 200, false, true},
@@ -59,9 +59,9 @@
 			before := f.byID["u"]
 			f.Put(time.Minute, c.entries[last])
 			u := f.Get("u")
-			is.Equal(u.StartedAt, c.born)
+			is.Equal(u.StartedAt, c.startedAt)
 			is.Equal(u.Leaving, c.leaving)
-			is.Equal(f.byID["u"] != before, c.anew)
+			is.Equal(f.byID["u"] != before, c.discards)
 		})
 	}
 }
@@ -235,7 +235,7 @@
 }
 
 func TestAddressHolder(t *testing.T) {
-	other := func(u Upstream) Upstream {
+	otherService := func(u Upstream) Upstream {
 		u.Service = "unknown"
 		return u
 	}
@@ -249,8 +249,8 @@
 		{"a copy of an entry under another ID", []Upstream{entryOf("a", 100, 1), entryOf("copy", 100, 9)}, []string{"a"}},
 		{"no start time", []Upstream{entryOf("a", 100, 1), entryOf("b", 0, 9)}, []string{"a"}},
 		{"a start time after an entry without one", []Upstream{entryOf("a", 0, 9), entryOf("b", 100, 3)}, []string{"b"}},
-		{"an entry of a service outside the document", []Upstream{entryOf("a", 100, 1), other(entryOf("b", 200, 9))}, []string{"a", "b"}},
-		{"an entry after one of a service outside the document", []Upstream{other(entryOf("b", 200, 9)), entryOf("a", 100, 1)}, []string{"a", "b"}},
+		{"an entry of a service outside the document", []Upstream{entryOf("a", 100, 1), otherService(entryOf("b", 200, 9))}, []string{"a", "b"}},
+		{"an entry after one of a service outside the document", []Upstream{otherService(entryOf("b", 200, 9)), entryOf("a", 100, 1)}, []string{"a", "b"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -372,10 +372,10 @@
 func TestOpenWorkIsCountedWhenListedAgain(t *testing.T) {
 	renewed := func(f *Fleet) { f.Put(time.Second, entryOf("u", 100, 3)) }
 	for _, c := range []struct {
-		name    string
-		born    int64
-		between func(f *Fleet)
-		counted bool
+		name      string
+		startedAt int64
+		between   func(f *Fleet)
+		counted   bool
 	}{
 		{"its entry is removed and put again", 100, func(f *Fleet) {
 			f.Remove("u")
@@ -409,7 +409,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newInformedFleet(0)
-			f.Put(0, entryOf("u", c.born, 1))
+			f.Put(0, entryOf("u", c.startedAt, 1))
 			first, second := f.Open(0, "u", prompt(7)), f.Open(0, "u", prompt(8))
 			before, told := f.byID["u"].work, f.Loads()
 			is.True(before.upTo(Levels-1).Held > 0)
@@ -454,8 +454,8 @@
 	is := is.New(t)
 	const upstreams = maxIncarnations + 100
 	f := NewFleet(Config{Domain: "d", Tuning: DefaultTuning})
-	entry := func(i int, born int64) Upstream {
-		return Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Domain: "d", Slots: 1, StartedAt: born}
+	entry := func(i int, startedAt int64) Upstream {
+		return Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Domain: "d", Slots: 1, StartedAt: startedAt}
 	}
 	for i := range 2 * upstreams {
 		f.Put(0, entry(i, 2))
--- a/balance/list.go
+++ b/balance/list.go
@@ -61,10 +61,10 @@
 // reported leaving, the report may have come from the new incarnation, which must then be
 // checked.
 func (f *Fleet) startIncarnation(u Upstream) {
-	said := f.incarnations[u.ID].reportedLeaving
+	reported := f.incarnations[u.ID].reportedLeaving
 	delete(f.incarnations, u.ID)
 	delete(f.pauses, u.Incarnation().Key()) // incarnations without a start time share one key
-	f.setIncarnation(lastIncarnation{entry: u, needsLeavingCheck: said})
+	f.setIncarnation(lastIncarnation{entry: u, needsLeavingCheck: reported})
 }
 
 // takesAddressFrom reports whether an entry takes its address from the present holder: it started
@@ -197,12 +197,12 @@
 
 // Named records that the incarnation meant answered with another upstream ID. If the entry of
 // that upstream waits for the address, it takes the address over.
-func (f *Fleet) Named(now time.Duration, meant Incarnation, said string) {
-	m, waits := f.byID[meant.ID], f.addressWaiters[said]
-	if m == nil || m.Incarnation() != meant || waits == nil || waits.Address != m.Address {
+func (f *Fleet) Named(now time.Duration, meant Incarnation, answeredID string) {
+	m, waiter := f.byID[meant.ID], f.addressWaiters[answeredID]
+	if m == nil || m.Incarnation() != meant || waiter == nil || waiter.Address != m.Address {
 		return
 	}
-	u := *waits
+	u := *waiter
 	f.ended(m)
 	f.awaitAddress(m.Upstream)
 	f.Put(now, u)
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -155,23 +155,24 @@
 }
 
 // MemoryLeft returns the estimated time until an upstream that accepts requests has memory for
-// the request. It returns 0 if one has memory now, or if the run time of requests is unknown.
+// the request. It returns 0 if one has memory now, if none accepts requests, or if memory does
+// not limit the request.
 func (f *Fleet) MemoryLeft(now time.Duration, r Request) time.Duration {
 	bound := f.memoryBoundOf(r)
 	if !bound.bound || bound.tooLarge {
 		return 0
 	}
-	mayLeave := f.tight(r)
+	mayLeaveLane := f.tight(r)
 	least := time.Duration(math.MaxInt64)
-	runs := f.serviceOf(r.Service).holding.mean(now)
+	runTime := f.serviceOf(r.Service).holding.mean(now)
 	for _, m := range f.byService[r.Service] {
 		switch {
-		case m.closed() || m.unreachable || !mayLeave && !f.inLane(now, m, false):
+		case m.closed() || m.unreachable || !mayLeaveLane && !f.inLane(now, m, false):
 			continue
 		case bound.fits(m):
 			return 0
 		}
-		least = min(least, bound.waitFor(m, runs))
+		least = min(least, bound.waitFor(m, runTime))
 	}
 	if least == math.MaxInt64 {
 		return 0
@@ -181,10 +182,10 @@
 
 // waitFor returns the estimated time until an upstream has memory for the request, given how long
 // requests run there. They end one after the other.
-func (b memoryBound) waitFor(m *member, runs time.Duration) time.Duration {
+func (b memoryBound) waitFor(m *member, runTime time.Duration) time.Duration {
 	held := m.held()
-	over := min(max(held+b.needs-b.limit, 0), held)
-	return part(runs, float64(over)/float64(max(held, 1)))
+	excess := min(max(held+b.needs-b.limit, 0), held)
+	return part(runTime, float64(excess)/float64(max(held, 1)))
 }
 
 // Made records the number of events of the answer so far. An answer that outgrows the memory
--- a/balance/place.go
+++ b/balance/place.go
@@ -54,10 +54,10 @@
 // requests.
 func (f *Fleet) noteAvailability(now time.Duration, name string, found bool) {
 	s := f.serviceOf(name)
-	leaves := func(m *member) bool { return m.Leaving }
-	stays := func(m *member) bool { return !m.closed() }
+	isLeaving := func(m *member) bool { return m.Leaving }
+	accepts := func(m *member) bool { return !m.closed() }
 	switch {
-	case found || !slices.ContainsFunc(f.byService[name], leaves) || slices.ContainsFunc(f.byService[name], stays):
+	case found || !slices.ContainsFunc(f.byService[name], isLeaving) || slices.ContainsFunc(f.byService[name], accepts):
 		s.unavailableSince = longAgo
 	case s.unavailableSince == longAgo:
 		s.unavailableSince = now
@@ -94,7 +94,7 @@
 // are resting, those that fail least are included.
 func (f *Fleet) usable(now time.Duration, r Request, tried []string) []*member {
 	available := make([]*member, 0, len(f.byService[r.Service]))
-	var resting, out []*member
+	var resting, unreachable []*member
 	limited := false
 	for _, m := range f.byService[r.Service] {
 		switch {
@@ -102,7 +102,7 @@
 		case !f.allows(now, m, r):
 			limited = limited || !m.unreachable
 		case m.unreachable:
-			out = append(out, m)
+			unreachable = append(unreachable, m)
 		case m.health.rests(now) && !f.cfg.Off[Rests]:
 			resting = append(resting, m)
 		default:
@@ -116,7 +116,7 @@
 	if limited {
 		return resting // refuse at once instead of waiting for a connection that is likely to fail
 	}
-	return append(resting, out...)
+	return append(resting, unreachable...)
 }
 
 // preferOwnDomain restricts a list to this box's own domain if an upstream in another domain,
@@ -163,16 +163,16 @@
 // as busier, and so do failing ones: an upstream that fails everything also counts as far away as
 // the most distant one, so that it is not preferred for being near.
 func (f *Fleet) leastBusy(list []*member) *member {
-	held := f.workTime(list[0].Service)
+	runTime := f.workTime(list[0].Service)
 	var furthest float64
 	for _, m := range list {
-		furthest = max(furthest, f.distancePenalty(m.Domain, held))
+		furthest = max(furthest, f.distancePenalty(m.Domain, runTime))
 	}
 	var best *member
 	var bestScore float64
 	for _, m := range list {
 		score := (float64(m.open()) + f.cfg.Tuning.FailWeight*m.health.failing) / float64(max(m.Slots, 1))
-		score += f.distancePenalty(m.Domain, held) + furthest*m.health.failing
+		score += f.distancePenalty(m.Domain, runTime) + furthest*m.health.failing
 		if best == nil || score < bestScore {
 			best, bestScore = m, score
 		}
@@ -194,9 +194,9 @@
 		}
 	}
 	if len(beyond) > 0 && f.tight(r) && !f.cfg.Off[Leaving] {
-		leaving := f.leaveCost(r.Service)
+		leaveCost := f.leaveCost(r.Service)
 		for _, m := range f.candidates(now, r, beyond, f.rank(beyond, sharedKey(r))) {
-			if c := cost.total(m) + leaving; c < least {
+			if c := cost.total(m) + leaveCost; c < least {
 				chosen, least = m, c
 			}
 		}
--- a/balance/rtt.go
+++ b/balance/rtt.go
@@ -13,8 +13,8 @@
 	// rttSpan is the window of the minimum filter. The minimum of the previous window counts too,
 	// so that a longer round-trip time takes effect after two windows.
 	rttSpan = 30 * time.Second
-	// Defaults until samples exist: between failure domains of a region, and between regions of a
-	// continent. They apply for the first few connections only.
+	// Defaults while there are fewer than minRTTSamples: between failure domains of a region, and
+	// between regions of a continent.
 	defaultDomainRTT = 2 * time.Millisecond
 	defaultRegionRTT = 20 * time.Millisecond
 )
@@ -59,13 +59,13 @@
 
 // RTT returns the estimated round-trip time to a failure domain.
 func (f *Fleet) RTT(domain string) time.Duration {
-	guess := f.defaultRTT(domain)
+	fallback := f.defaultRTT(domain)
 	w := f.rtts[domain]
 	switch {
 	case w == nil:
-		return guess
+		return fallback
 	case w.samples < minRTTSamples:
-		return min(guess, w.value())
+		return min(fallback, w.value())
 	}
 	return w.value()
 }
@@ -81,7 +81,8 @@
 	return 0
 }
 
-// proximity is how close two failure domains are in the deployment's layout, the closest first.
+// proximity classifies how far apart two failure domains are in the deployment's layout; smaller
+// values are closer.
 type proximity uint8
 
 const (
@@ -129,7 +130,7 @@
 
 // distancePenalty returns the number of open requests per slot that is added to an upstream of a
 // failure domain, for services without prompts: as many as would run there during the extra
-// round-trip time, and at least Tuning.Away if the domain is not this box's own. held is how long
+// round-trip time, and at least Tuning.Away if the domain is not this box's own. runTime is how long
 // a request runs.
 func (f *Fleet) distancePenalty(domain string, runTime time.Duration) float64 {
 	penalty := 0.0
--- a/balance/service.go
+++ b/balance/service.go
@@ -10,18 +10,18 @@
 	lanes
 	name             string
 	active           []*member     // upstreams that may have work; see active.go
-	listed           int           // number of its upstreams
-	lost             int           // of them: unreachable, or reachable again without a published state
-	slots            int           // of all its upstreams
-	classes          classes       // of its requests
-	refusals         refusals      // of its requests
+	listed           int           // number of its listed upstreams
+	lost             int           // number of them that are unreachable, or reachable again but not yet described by a newer entry
+	slots            int           // sum over its upstreams
+	classes          classes       // statistics of its request classes
+	refusals         refusals      // recent refusals of its requests
 	holding          holding       // how long its requests hold slots
 	plainRunTime     mean          // in ms, of requests without a prompt that found a free slot
-	answers          answers       // of its upstreams
+	answers          answers       // statistics of its answers
 	cold             ColdLimit     // limits for its upstreams while they are cold
 	memory           int           // tokens that the memory of each of its upstreams holds; 0 if unknown
-	wanted           wanted        // number of places that upstreams which state limits have
-	waits            waits         // for the end of a pause
+	wanted           wanted        // until when capacity is reserved for requests of each urgency
+	waits            waits         // requests that wait for the end of a pause
 	unavailableSince time.Duration // when a request first found all listed upstreams leaving; longAgo if they are not
 	meanUnread       float64       // prompt tokens that its upstreams have to read, averaged over them
 }
--- a/balance/slots.go
+++ b/balance/slots.go
@@ -23,16 +23,16 @@
 // disconnected.
 type holding struct {
 	running   int
-	slots     float64 // hold time, summed over requests
-	completed float64 // completed requests
-	at        time.Duration
+	heldTime  float64       // in ns, summed over requests
+	completed float64       // number of completed requests
+	at        time.Duration // when the sums were last updated
 }
 
 // advance brings the sums up to now, decaying earlier contributions.
 func (h *holding) advance(now time.Duration) {
 	past := now - h.at
 	left := math.Exp(-float64(past) / float64(holdDecay))
-	h.slots = h.slots*left + float64(h.running)*float64(past)
+	h.heldTime = h.heldTime*left + float64(h.running)*float64(past)
 	h.completed *= left
 	h.at = now
 }
@@ -52,24 +52,24 @@
 // mean returns the average time that a slot is held.
 func (h *holding) mean(now time.Duration) time.Duration {
 	h.advance(now)
-	return min(time.Duration(h.slots/max(h.completed, 1)), maxHoldTime)
+	return min(time.Duration(h.heldTime/max(h.completed, 1)), maxHoldTime)
 }
 
 // slotWait returns the wait for a slot at an upstream, expressed as the tokens that could be read
 // in that time. It distinguishes an upstream whose slots are all held by streams from a free one,
 // which also has little to read. While all slots are held, they become free one after the other.
 func (f *Fleet) slotWait(now time.Duration, m *member, urgency int) int {
-	over := m.work.upTo(urgency).Open + m.remoteWork.upTo(urgency).Open + 1 - m.Slots
-	if over <= 0 || m.Slots == 0 || f.cfg.Off[Slots] {
+	excess := m.work.upTo(urgency).Open + m.remoteWork.upTo(urgency).Open + 1 - m.Slots
+	if excess <= 0 || m.Slots == 0 || f.cfg.Off[Slots] {
 		return 0
 	}
-	held := f.serviceOf(m.Service).holding.mean(now)
-	wait := float64(held) / float64(time.Millisecond) * float64(over) / float64(m.Slots)
+	holdTime := f.serviceOf(m.Service).holding.mean(now)
+	wait := float64(holdTime) / float64(time.Millisecond) * float64(excess) / float64(m.Slots)
 	return int(wait * f.prefillRate)
 }
 
-// backlog returns the tokens that an upstream reads, or could read, before a request with the
-// given urgency gets its first token there.
+// backlog returns the tokens that an upstream can read before a request with the given urgency
+// gets its first token there: the unread tokens ahead of it and the wait for a slot.
 func (f *Fleet) backlog(now time.Duration, m *member, urgency int) int {
 	return m.unreadAhead(urgency) + f.slotWait(now, m, urgency)
 }
--- a/balance/slots_test.go
+++ b/balance/slots_test.go
@@ -9,7 +9,7 @@
 
 // setHoldTime sets the average time that a slot is held.
 func setHoldTime(f *Fleet, held time.Duration) {
-	f.serviceOf("s").holding = holding{slots: float64(held), completed: 1}
+	f.serviceOf("s").holding = holding{heldTime: float64(held), completed: 1}
 }
 
 func TestHoldTimeIsLearned(t *testing.T) {
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -10,18 +10,18 @@
 	fleet        *Fleet
 	member       *member
 	request      Request
-	unread       int  // prompt tokens counted as not yet read
-	tight        int  // 1 if it counts as a tight stream, else 0
-	held         int  // tokens of the upstream's memory counted for it
-	prefilled    bool // the first event has arrived, so the prompt has been read
-	opened       time.Duration
+	unread       int           // prompt tokens counted as not yet read
+	tight        int           // 1 if it counts as a tight stream, else 0
+	held         int           // tokens of the upstream's memory counted for it
+	prefilled    bool          // the first event has arrived, so the prompt has been read
+	opened       time.Duration // when the request was counted
 	firstEventAt time.Duration // when the first event arrived
 	calm         bool          // the upstream read little when the ticket was opened
 	moved        bool          // the request ran on another upstream before
 	pause        *pause        // the request was sent after this pause; nil once it has been answered
 	wasIdle      bool          // no other request was open on the upstream
 	hadFreeSlot  bool          // a slot was free
-	closed       bool
+	closed       bool          // Close was called
 }
 
 // Open counts a request on an upstream. If the upstream is not listed, it returns a closed
