--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -50,7 +50,7 @@
 	c, _ = f.Place(0, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
 	is.Equal(c.Fetch, next) // the box may not have received all reports of parts yet
-	c, _ = f.Place(2*retellAfter, prompt(7), nil)
+	c, _ = f.Place(2*rereportInterval, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
 	is.Equal(c.Fetch, "")
 }
@@ -70,7 +70,7 @@
 	is.True(!ok)
 }
 
-func TestFailingUpstreamRestsForABoundedTime(t *testing.T) {
+func TestFailingUpstreamIsAvoidedForABoundedTime(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
 	f.Put(0, Upstream{ID: "good", Service: "s", Slots: 8})
@@ -83,12 +83,12 @@
 	}
 	seen := false
 	for shared := range uint64(50) {
-		c, _ := f.Place(time.Second+restMax, prompt(shared), nil)
+		c, _ := f.Place(time.Second+backoffMax, prompt(shared), nil)
 		seen = seen || c.Upstream.ID == "u0"
 	}
 	is.True(seen) // it is tried again
 	c, ok := f.Place(time.Second, prompt(1), []string{"good"})
-	is.True(ok) // a resting upstream is used if no other is left
+	is.True(ok) // an upstream in failure backoff is used if no other is left
 	is.Equal(c.Upstream.ID, "u0")
 }
 
@@ -175,7 +175,7 @@
 		}
 		f.Remove(id)
 	}
-	c, _ := f.Place(now+DefaultTuning.NewFor, prompt(7), nil)
+	c, _ := f.Place(now+DefaultTuning.NewUpstreamPeriod, prompt(7), nil)
 	is.Equal(c.Fetch, "") // by then the new home holds what it needs
 }
 
@@ -230,7 +230,7 @@
 		c, _ := f.Place(time.Second, prompt(shared), nil)
 		is.True(c.Upstream.Domain != "d1")
 	}
-	f.Reached("u7")
+	f.NoteReachableByID("u7")
 	is.Equal(len(f.Unreached()), 2)
 	f.Open(0, "u0", prompt(1)).Close(0, Unreachable)
 	f.Open(0, "u3", prompt(1)).Close(0, Unreachable)
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -185,7 +185,7 @@
 func (b memoryBound) waitFor(m *member, runTime time.Duration) time.Duration {
 	held := m.held()
 	excess := min(max(held+b.needs-b.limit, 0), held)
-	return part(runTime, float64(excess)/float64(max(held, 1)))
+	return fraction(runTime, float64(excess)/float64(max(held, 1)))
 }
 
 // Made records the number of events of the answer so far. An answer that outgrows the memory
--- a/balance/partindex.go
+++ b/balance/partindex.go
@@ -2,7 +2,7 @@
 
 // This file defines the index of prompt parts that upstreams hold in their prefix caches. An
 // upstream is taken to hold a part if this box, or a box that reported it, sent the part there.
-// tell.go defines the reports. Invariant: an upstream that is removed holds nothing, and the size
+// partreport.go defines the reports. Invariant: an upstream that is removed holds nothing, and the size
 // of the index is bounded.
 
 import (
@@ -141,10 +141,10 @@
 	k.holders[part] = list
 }
 
-// holderOf returns an upstream that holds a part, in either lane, is reachable and not resting,
-// and lies in a region the request may run in. It prefers the one nearest to the upstream that
-// fetches the part (nil: nearest to this box), then the least busy. It returns nil if none is
-// known.
+// holderOf returns an upstream that holds a part, in either lane, is reachable and not in failure
+// backoff, and lies in a region the request may run in. It prefers the one nearest to the
+// upstream that fetches the part (nil: nearest to this box), then the least busy. It returns nil
+// if none is known.
 func (f *Fleet) holderOf(now time.Duration, r Request, part Part, to *member) *member {
 	domain := f.cfg.Domain
 	if to != nil {
@@ -153,7 +153,7 @@
 	var best *member
 	for _, x := range f.parts.holders[PartKey(part.ID)] {
 		m := x.member
-		if m == to || m.unreachable || m.health.rests(now) || !x.recent(now) || !f.mayRunIn(m.Domain, r) {
+		if m == to || m.unreachable || m.health.backingOff(now) || !x.recent(now) || !f.mayRunIn(m.Domain, r) {
 			continue
 		}
 		if best == nil || f.fetchOrder(domain, m, best) < 0 {
--- a/balance/service.go
+++ b/balance/service.go
@@ -17,11 +17,11 @@
 	refusals         refusals      // recent refusals of its requests
 	holding          holding       // how long its requests hold slots
 	plainRunTime     mean          // in ms, of requests without a prompt that found a free slot
-	answers          answers       // statistics of its answers
+	answers          answerStats   // statistics of its answers
 	cold             ColdLimit     // limits for its upstreams while they are cold
 	memory           int           // tokens that the memory of each of its upstreams holds; 0 if unknown
-	wanted           wanted        // until when capacity is reserved for requests of each urgency
-	waits            waits         // requests that wait for the end of a pause
+	wanted           urgentHolds   // until when capacity is reserved for requests of each urgency
+	waiters          waits         // requests that wait for the end of a pause
 	unavailableSince time.Duration // when a request first found all listed upstreams leaving; longAgo if they are not
 	meanUnread       float64       // prompt tokens that its upstreams have to read, averaged over them
 }
--- a/relay/lives.go
+++ b/relay/lives.go
@@ -110,8 +110,8 @@
 }
 
 // liesAt is the upstream in whose memory a copy lies.
-func (m *move) liesAt(c Copy) balance.Upstream {
-	if c.Done {
+func (m *move) liesAt(c RunCopy) balance.Upstream {
+	if c.Transferred {
 		return m.to
 	}
 	return m.from
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -21,17 +21,17 @@
 
 // Config configures a Relay.
 type Config struct {
-	Box      string            // its name, as logs and operators see it
-	Domain   string            // its failure domain
-	Regions  map[string]string // of each failure domain, where they are divided into such
-	Callers  net.Listener      // for requests
-	Ready    net.Listener      // for readiness checks
-	Control  net.Listener      // for other boxes' calls; nil where a box has no peers
-	Self     *wire.GroupBox    // the box as the others know it; without an address it has no peers
-	Seeds    []string          // IP:port of boxes that may be there
-	Link     float64           // what the box's link carries, in bytes a second; 0: not known
-	Timing   group.Timing
-	Protocol Protocol
+	Box               string            // its name, as logs and operators see it
+	Domain            string            // its failure domain
+	Regions           map[string]string // of each failure domain, where they are divided into such
+	CallerListener    net.Listener      // for requests
+	ReadinessListener net.Listener      // for readiness checks
+	ControlListener   net.Listener      // for other boxes' calls; nil where a box has no peers
+	Self              *wire.GroupBox    // the box as the others know it; without an address it has no peers
+	Seeds             []string          // IP:port of boxes that may be there
+	Link              float64           // what the box's link carries, in bytes a second; 0: not known
+	Timing            group.Timing
+	Protocol          Protocol
 	// Publisher is read for the document and the list of upstreams, which Decode
 	// makes of what lies there.
 	Publisher mirror.Publisher
@@ -41,7 +41,7 @@
 	Cold      ColdBounds
 	Limits    balance.LimitBounds // of the limits that upstreams name
 	Tuning    balance.Tuning
-	Off       balance.Off // the mechanisms that are switched off
+	Disabled  balance.Off // the mechanisms that are switched off
 	// FirstStart says that no box ran before, so that nothing is left of an
 	// earlier one's budget.
 	FirstStart bool
@@ -126,7 +126,7 @@
 		stats:       newStats(),
 	}
 	r.startWall.Store(r.startedAt.UnixNano())
-	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, Named: cfg.Limits, Off: cfg.Off, FirstStart: cfg.FirstStart})
+	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, Named: cfg.Limits, Off: cfg.Disabled, FirstStart: cfg.FirstStart})
 	r.budgets = balance.NewBudgets(cfg.Budget, r.now(), cfg.FirstStart)
 	r.conns = newConns(r.connectionCap)
 	r.conns.cameUp = r.noteWay
@@ -137,7 +137,7 @@
 		return nil, &Error{Op: "listen to other boxes", Kind: KindListen, Err: err}
 	}
 	r.startTasks(ctx)
-	r.cfg.Log.Event("box", "start", Fields{"box": cfg.Box, "domain": cfg.Domain, "off": cfg.Off.Names()})
+	r.cfg.Log.Event("box", "start", Fields{"box": cfg.Box, "domain": cfg.Domain, "off": cfg.Disabled.Names()})
 	return r, nil
 }
 
@@ -149,11 +149,11 @@
 	if r.cfg.Protocol.ReportCall != nil {
 		r.startTask("silence", func() { r.silenceDuty(ctx) })
 	}
-	if r.cfg.Control != nil {
+	if r.cfg.ControlListener != nil {
 		r.startTask("control", r.serveControl)
 	}
-	r.startTask("callers", func() { r.callerServer.serve(r.cfg.Callers) })
-	r.startTask("ready", func() { r.callerServer.serveReady(r.cfg.Ready) })
+	r.startTask("callers", func() { r.callerServer.serve(r.cfg.CallerListener) })
+	r.startTask("ready", func() { r.callerServer.serveReady(r.cfg.ReadinessListener) })
 }
 
 // maxTasks is how many duties a box has at most.
