--- a/group/node.go
+++ b/group/node.go
@@ -30,7 +30,7 @@
 	Stagger             time.Duration // added to StaleAfter for each stronger box of the domain, five at most
 	WatchTimeout        time.Duration // longest wait of a call to the publisher for a change
 	DelegatedReadPeriod time.Duration // how long a box keeps reading on behalf of a leader that cannot read
-	Gather              time.Duration // delay after a read that returned changes, to collect further ones
+	BatchDelay          time.Duration // delay after a read that returned changes, to collect further ones
 	RestartWait         time.Duration // after a restart, wait for answers of other boxes before reading the publisher
 	PullWait            time.Duration // the same for the first pull, counted from its request
 }
@@ -45,7 +45,7 @@
 	Stagger:             60 * time.Millisecond,
 	WatchTimeout:        time.Second,
 	DelegatedReadPeriod: 3 * time.Second,
-	Gather:              100 * time.Millisecond,
+	BatchDelay:          100 * time.Millisecond,
 	RestartWait:         150 * time.Millisecond,
 	PullWait:            400 * time.Millisecond,
 }
@@ -63,7 +63,7 @@
 func TimingFor(bound time.Duration) Timing {
 	part := max(min(float64(bound)/float64(defaultPropagationBound), 1), minTimingScale)
 	t := DefaultTiming
-	for _, d := range []*time.Duration{&t.HeartbeatInterval, &t.LeaderTimeout, &t.StaleAfter, &t.Stagger, &t.WatchTimeout, &t.Gather} {
+	for _, d := range []*time.Duration{&t.HeartbeatInterval, &t.LeaderTimeout, &t.StaleAfter, &t.Stagger, &t.WatchTimeout, &t.BatchDelay} {
 		*d = time.Duration(part * float64(*d))
 	}
 	return t
--- a/group/simulation_test.go
+++ b/group/simulation_test.go
@@ -324,7 +324,7 @@
 	case !changed:
 		b.node.HandleRead(w.now, b.callStartedAt+b.callTimeout, nil, b.callRevision, false)
 	default:
-		b.nextCallAt = w.now + DefaultTiming.Gather
+		b.nextCallAt = w.now + DefaultTiming.BatchDelay
 		b.node.HandleRead(w.now, b.callStartedAt, items, w.published.Revision(), false)
 	}
 }
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -128,7 +128,7 @@
 	if len(r.items) > 0 {
 		// A hundred entries that change one after the other, as when upstreams start, are
 		// some ten readings with this, and a hundred without.
-		r.pause = m.relay.cfg.Timing.Gather
+		r.pause = m.relay.cfg.Timing.BatchDelay
 	}
 	m.node.HandleRead(now, r.known, r.items, r.revision, r.whole)
 	m.relay.belief.regain(m.relay)
