--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -12,7 +12,7 @@
 )
 
 // NoteLimitStatement records what an answer from an upstream incarnation says about its limit.
-func (f *Fleet) Says(now time.Duration, incarnation Incarnation, s LimitStatement) (LimitChange, bool) {
+func (f *Fleet) NoteLimitStatement(now time.Duration, incarnation Incarnation, s LimitStatement) (LimitChange, bool) {
 	c, changed := f.limits.observe(incarnation.Key(), s)
 	f.applyLimitChanges(now, c)
 	return c, changed
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -25,7 +25,7 @@
 
 // advertiseLimit records an answer from an upstream that advertises a limit.
 func (f *Fleet) advertiseLimit(now time.Duration, id string, perSecond float64) {
-	f.Says(now, f.byID[id].Incarnation(), LimitStatement{Named: true, PerSecond: perSecond, Sent: now - 1, Read: now})
+	f.NoteLimitStatement(now, f.byID[id].Incarnation(), LimitStatement{Named: true, PerSecond: perSecond, Sent: now - 1, Read: now})
 }
 
 func TestLimitAllowance(t *testing.T) {
@@ -211,7 +211,7 @@
 	is.Equal(f.placeAndSend(time.Second, 0), "u0") // the request that probes whether the limit still holds
 	is.Equal(f.placeAndSend(2*time.Second, 0), "")
 	is.True(f.LimitLeft(2*time.Second, "s") > 0)
-	f.Says(3*time.Second, Incarnation{ID: "u0"}, LimitStatement{Sent: 2 * time.Second, Read: 3 * time.Second})
+	f.NoteLimitStatement(3*time.Second, Incarnation{ID: "u0"}, LimitStatement{Sent: 2 * time.Second, Read: 3 * time.Second})
 	is.Equal(f.placeAndSend(3*time.Second, 0), "u0")
 }
 
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -184,7 +184,7 @@
 			return false
 		case b == h.box && !b.dead:
 			h.statement.Read = d.w.now
-			d.fleetOf(h.name).Says(d.w.now, h.life, h.statement)
+			d.fleetOf(h.name).NoteLimitStatement(d.w.now, h.life, h.statement)
 			h.finish()
 		}
 		return true
--- a/group/limits_test.go
+++ b/group/limits_test.go
@@ -13,7 +13,7 @@
 
 // respond lets an upstream answer a box. A negative value announces no limit.
 func (d *limitReplay) respond(box, upstream string, perSecond float64) {
-	d.fleetOf(box).Says(d.w.now, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: perSecond >= 0, PerSecond: max(perSecond, 0),
+	d.fleetOf(box).NoteLimitStatement(d.w.now, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: perSecond >= 0, PerSecond: max(perSecond, 0),
 		Sent: d.w.now - time.Millisecond, Read: d.w.now})
 }
 
--- a/group/sharers_test.go
+++ b/group/sharers_test.go
@@ -147,7 +147,7 @@
 			Regions: map[string]string{domainName(0): "r", domainName(1): "r"}})
 		f.SetSharers(b.node.Sharers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8})
-		f.Says(time.Second, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: true, PerSecond: perSecond, Read: time.Second})
+		f.NoteLimitStatement(time.Second, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: true, PerSecond: perSecond, Read: time.Second})
 		l, _ := f.Limit(time.Second, upstream)
 		sum += l.Ration
 	}
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -75,7 +75,7 @@
 	}
 	r.mu.Lock()
 	now := r.now()
-	c, changed := r.fleet.Says(now, life, balance.LimitStatement{Named: said.named, PerSecond: said.perSecond, Sent: now - time.Since(a.sent.began), Read: now})
+	c, changed := r.fleet.NoteLimitStatement(now, life, balance.LimitStatement{Named: said.named, PerSecond: said.perSecond, Sent: now - time.Since(a.sent.began), Read: now})
 	r.mu.Unlock()
 	if changed {
 		r.logLimit(c, request)
