--- a/group/member_bench_test.go
+++ b/group/member_bench_test.go
@@ -24,7 +24,7 @@
 				}
 			})
 		}
-		run("sharers", func() { n.Sharers(t.now) })
+		run("sharers", func() { n.QuotaPeers(t.now) })
 		run("classes", func() { n.Classes(t.now) })
 		run("reads", func() { n.ShouldRead(t.now) })
 		run("watch", func() { n.WatchTimeout(t.now) })
--- a/group/sharers.go
+++ b/group/sharers.go
@@ -22,9 +22,9 @@
 	maxSharers = 400
 )
 
-// Sharers returns the boxes of the domain that share capacity, including this one, each
+// QuotaPeers returns the boxes of the domain that share capacity, including this one, each
 // identified by a hash of its name. The list is empty while too little is known.
-func (n *Node) Sharers(now time.Duration) balance.QuotaPeers {
+func (n *Node) QuotaPeers(now time.Duration) balance.QuotaPeers {
 	self := balance.Key(n.cfg.Self.Name)
 	s := balance.QuotaPeers{Box: sharerName(self)}
 	if now-n.started < n.cfg.Timing.MemberTimeout || len(n.peers) == 0 && !n.hasNoSeeds() {
--- a/group/sharers_test.go
+++ b/group/sharers_test.go
@@ -22,14 +22,14 @@
 	w := newSimulation(t, 1)
 	w.startFleet(2, 4)
 	w.run(time.Second)
-	is.Equal(w.boxes[boxName(0, 2)].node.Sharers(w.now).Boxes, nil) // it has just started
+	is.Equal(w.boxes[boxName(0, 2)].node.QuotaPeers(w.now).Boxes, nil) // it has just started
 	w.run(4 * time.Second)
 	for i := range 4 {
-		is.Equal(len(w.boxes[boxName(0, i)].node.Sharers(w.now).Boxes), 4)
+		is.Equal(len(w.boxes[boxName(0, i)].node.QuotaPeers(w.now).Boxes), 4)
 	}
 	w.boxes[boxName(0, 3)].dead = true
 	w.run(time.Minute + 15*time.Second)
-	is.Equal(len(w.boxes[boxName(0, 0)].node.Sharers(w.now).Boxes), 3) // it is forgotten after a while
+	is.Equal(len(w.boxes[boxName(0, 0)].node.QuotaPeers(w.now).Boxes), 3) // it is forgotten after a while
 }
 
 func TestBoxThatHearsNoOtherHasNoShare(t *testing.T) {
@@ -38,7 +38,7 @@
 	w.seeds = []string{"nobody"}
 	b := w.start("alone", "domain0", 1, false)
 	w.run(10 * time.Second)
-	is.Equal(b.node.Sharers(w.now).Boxes, nil)
+	is.Equal(b.node.QuotaPeers(w.now).Boxes, nil)
 }
 
 // In a domain with more boxes than a message lists, all boxes have a share and all know the same
@@ -48,17 +48,17 @@
 	w := newSimulation(t, 3)
 	w.startFleet(1, 60)
 	w.run(8 * time.Second)
-	all := w.boxes[boxName(0, 5)].node.Sharers(w.now).Boxes
+	all := w.boxes[boxName(0, 5)].node.QuotaPeers(w.now).Boxes
 	is.Equal(len(all), 60)
 	for i := range 60 {
-		s := w.boxes[boxName(0, i)].node.Sharers(w.now)
+		s := w.boxes[boxName(0, i)].node.QuotaPeers(w.now)
 		is.Equal(s.Boxes, all)
 		is.True(slices.Contains(all, s.Box))
 	}
 	w.boxes[boxName(0, 59)].dead = true
 	w.run(shareWindow + 2*listedTimeouts*DefaultTiming.MemberTimeout + 5*time.Second) // the leader keeps listing it for a while, and the share lasts from then
 	for i := range 59 {
-		is.Equal(len(w.boxes[boxName(0, i)].node.Sharers(w.now).Boxes), 59) // it is forgotten after a while
+		is.Equal(len(w.boxes[boxName(0, i)].node.QuotaPeers(w.now).Boxes), 59) // it is forgotten after a while
 	}
 }
 
@@ -121,7 +121,7 @@
 		}
 		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning})
 		f.SetCold("s", balance.ColdLimit{Lasts: time.Minute, Most: most})
-		f.SetSharers(b.node.Sharers(w.now))
+		f.SetSharers(b.node.QuotaPeers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8, ColdFor: time.Minute})
 		f.Put(0, balance.Upstream{ID: "other", Service: "s", Domain: domainName(1), Slots: 8, Leaving: true})
 		for range most {
@@ -145,7 +145,7 @@
 		}
 		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning, Named: limitBounds,
 			Regions: map[string]string{domainName(0): "r", domainName(1): "r"}})
-		f.SetSharers(b.node.Sharers(w.now))
+		f.SetSharers(b.node.QuotaPeers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8})
 		f.NoteLimitStatement(time.Second, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: true, PerSecond: perSecond, Read: time.Second})
 		l, _ := f.Limit(time.Second, upstream)
