--- a/balance/evacuate.go
+++ b/balance/evacuate.go
@@ -25,7 +25,7 @@
 // EndEvacuation allows requests to the upstreams of a failure domain again, and reports whether
 // it was evacuated. The upstreams count as cold from now on, for as long as after a start: they
 // may have restarted shortly before, and their entries report that up to one heartbeat later.
-func (f *Fleet) TakeBack(now time.Duration, domain string) bool {
+func (f *Fleet) EndEvacuation(now time.Duration, domain string) bool {
 	if !f.evacuated[domain] {
 		return false
 	}
--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -82,8 +82,8 @@
 	is.Equal(len(f.Unreached()), 0) // no probes either
 	is.Equal(f.Evacuated(), []string{"d1"})
 
-	is.True(f.TakeBack(2*time.Second, "d1"))
-	is.True(!f.TakeBack(2*time.Second, "d1"))
+	is.True(f.EndEvacuation(2*time.Second, "d1"))
+	is.True(!f.EndEvacuation(2*time.Second, "d1"))
 	is.Equal(len(f.Unreached()), 1)
 	_, ok = f.Place(2*time.Second, Request{Service: "s"}, nil)
 	is.True(ok)
@@ -99,7 +99,7 @@
 	for _, d := range []string{"d0", "d1", "d2"} {
 		f.Evacuate(d)
 	}
-	f.TakeBack(10*time.Second, "d0")
+	f.EndEvacuation(10*time.Second, "d0")
 	sent := 0
 	for i := range 100 {
 		r := prompt(uint64(i + 1))
--- a/relay/news.go
+++ b/relay/news.go
@@ -132,7 +132,7 @@
 // reached before.
 func (r *Relay) takeBack(domain string) {
 	r.mu.Lock()
-	isNew := r.fleet.TakeBack(r.now(), domain)
+	isNew := r.fleet.EndEvacuation(r.now(), domain)
 	r.mu.Unlock()
 	if isNew {
 		r.cfg.Log.Event("domain", "taken back", Fields{"domain": domain, "age_ms": r.age().Milliseconds()})
