--- a/group/messagekind.go
+++ b/group/messagekind.go
@@ -16,7 +16,7 @@
 	KindChangesRequest Kind = "ask"            // a request for the changes after a revision
 	KindPublished      Kind = "published"      // published data
 	KindLoads          Kind = "loads"          // a complete list of loads
-	KindChanges        Kind = "changed loads"  // changed loads only
+	KindLoadChanges    Kind = "changed loads"  // changed loads only
 	KindParts          Kind = "parts"          // prompt parts sent to upstreams
 	KindSuspects       Kind = "ended under"    // requests that upstreams crash under
 	KindLimits         Kind = "limits"         // rate limits that upstreams announce
@@ -44,7 +44,7 @@
 	case carriesLimits(m):
 		return KindLimits
 	case m.Partial:
-		return KindChanges
+		return KindLoadChanges
 	case m.HasLoads:
 		return KindLoads
 	case m.Pull || len(m.Items) > 0:
--- a/relay/traffic_test.go
+++ b/relay/traffic_test.go
@@ -40,7 +40,7 @@
 		{group.KindPublished, &wire.GroupMessage{Pull: true}},
 		{group.KindPublished, &wire.GroupMessage{Items: []*wire.GroupItem{{}}}},
 		{group.KindLoads, &wire.GroupMessage{HasLoads: true}},
-		{group.KindChanges, &wire.GroupMessage{HasLoads: true, Partial: true}},
+		{group.KindLoadChanges, &wire.GroupMessage{HasLoads: true, Partial: true}},
 		{group.KindParts, &wire.GroupMessage{Kept: []uint32{1, 2}}},
 	}
 	for _, tt := range tests {
