--- a/balance/recovery.go
+++ b/balance/recovery.go
@@ -56,7 +56,7 @@
 
 // NotePublished notes that all entries published up to the time published are known here: an
 // upstream that recovered before then, and is cold, has had the time to say so.
-func (f *Fleet) Told(now, published time.Duration) {
+func (f *Fleet) NotePublished(now, published time.Duration) {
 	for _, m := range f.cold {
 		if m.unsure && published >= m.back+maxPublishDelay {
 			m.setReachability(m.unreachable, false)
--- a/balance/recovery_bench_test.go
+++ b/balance/recovery_bench_test.go
@@ -22,7 +22,7 @@
 				for i := range n / 3 {
 					f.markRecovered(now, f.byID[fmt.Sprint("u", i)])
 				}
-				f.Told(now+5*time.Second, now)
+				f.NotePublished(now+5*time.Second, now)
 				f.Unreached()
 			}
 		})
--- a/balance/recovery_test.go
+++ b/balance/recovery_test.go
@@ -43,7 +43,7 @@
 				u.ColdFor = c.entry
 				f.Put(back, u)
 			}
-			f.Told(back, c.known)
+			f.NotePublished(back, c.known)
 			m := f.byID["u0"]
 			is.Equal(max(0, m.coldTill-back), c.cool)
 			is.Equal(f.coldQuotaLeft(back, m), c.cool == 0 || c.cold.Most == 0) // this box knows no peers yet, so its quota is 0
@@ -66,7 +66,7 @@
 		f.Open(now, id, prompt(1)).Close(now, Unreachable)
 		is.True(f.ReachedLife(now+time.Second, Incarnation{ID: id}))
 		is.True(!f.coldQuotaLeft(now+time.Second, f.byID[id])) // it may have restarted
-		f.Told(now+5*time.Second, 0)
+		f.NotePublished(now+5*time.Second, 0)
 	}
 }
 
@@ -88,7 +88,7 @@
 			case what == 1:
 				f.markCold(now, m, time.Second)
 			case what == 2:
-				f.Told(now, now-time.Duration(rapid.IntRange(0, 3000).Draw(t, "age"))*time.Millisecond)
+				f.NotePublished(now, now-time.Duration(rapid.IntRange(0, 3000).Draw(t, "age"))*time.Millisecond)
 			case what == 3:
 				f.UnreachedLife(now, m.Incarnation())
 			default:
@@ -121,7 +121,7 @@
 		is.True(!f.coldQuotaLeft(time.Second, f.byID[id]))
 	}
 	is.True(f.coldQuotaLeft(time.Second, f.byID["u0"]))
-	f.Told(2*time.Second, time.Second+maxPublishDelay)
+	f.NotePublished(2*time.Second, time.Second+maxPublishDelay)
 	for _, id := range []string{"u1", "u7"} {
 		is.True(f.coldQuotaLeft(2*time.Second, f.byID[id]))
 	}
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -14,7 +14,7 @@
 	m.relay.mu.Lock()
 	defer m.relay.mu.Unlock()
 	m.relay.fleet.SetSharers(m.node.QuotaPeers(m.relay.now()))
-	m.relay.fleet.Told(m.relay.now(), time.Duration(m.relay.belief.confirmed.Load()))
+	m.relay.fleet.NotePublished(m.relay.now(), time.Duration(m.relay.belief.confirmed.Load()))
 	m.relay.fleet.SetBoxes(m.node.BoxCount(), m.node.KnowsOtherLoads(m.relay.now()))
 	m.node.SetLoads(m.relay.fleet.Loads())
 	if m.relay.fleet.NeedsRemoteLoads() { // else changes have brought the fleet up to date
