--- a/group/messagekind.go
+++ b/group/messagekind.go
@@ -11,7 +11,7 @@
 // The kinds of messages.
 const (
 	KindHeartbeat      Kind = "beat"           // the sender is alive, and how old its copy is
-	KindBoxes          Kind = "boxes"          // a heartbeat that lists other boxes
+	KindBoxList        Kind = "boxes"          // a heartbeat that lists other boxes
 	KindHello          Kind = "hail"           // a request for the running boxes
 	KindChangesRequest Kind = "ask"            // a request for the changes after a revision
 	KindPublished      Kind = "published"      // published data
@@ -54,7 +54,7 @@
 	case m.Hello:
 		return KindHello
 	case len(m.Boxes) > 0:
-		return KindBoxes
+		return KindBoxList
 	}
 	return KindHeartbeat
 }
--- a/relay/traffic_test.go
+++ b/relay/traffic_test.go
@@ -34,7 +34,7 @@
 		m    *wire.GroupMessage
 	}{
 		{group.KindHeartbeat, &wire.GroupMessage{}},
-		{group.KindBoxes, &wire.GroupMessage{Boxes: []*wire.GroupBox{{}}}},
+		{group.KindBoxList, &wire.GroupMessage{Boxes: []*wire.GroupBox{{}}}},
 		{group.KindHello, &wire.GroupMessage{Hello: true}},
 		{group.KindChangesRequest, &wire.GroupMessage{Ask: true}},
 		{group.KindPublished, &wire.GroupMessage{Pull: true}},
