--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -78,7 +78,7 @@
 
 // LimitExhausted reports whether an upstream advertises a limit that allows this box no further
 // request now.
-func (f *Fleet) TakesNoMore(now time.Duration, id string) bool {
+func (f *Fleet) LimitExhausted(now time.Duration, id string) bool {
 	m := f.byID[id]
 	if m == nil {
 		return false
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -118,10 +118,10 @@
 	l, isNamed := f.Limit(2*time.Second, "u0")
 	is.True(isNamed)
 	is.Equal(l, LimitOf{PerSecond: 1, Age: time.Second, Ration: 3, Span: 5 * time.Second})
-	is.True(f.TakesNoMore(2*time.Second, "u0"))
-	is.True(!f.TakesNoMore(7*time.Second, "u0")) // the requests have left the time span
-	is.True(!f.TakesNoMore(2*time.Second, "u1"))
-	is.True(!f.TakesNoMore(2*time.Second, "unknown"))
+	is.True(f.LimitExhausted(2*time.Second, "u0"))
+	is.True(!f.LimitExhausted(7*time.Second, "u0")) // the requests have left the time span
+	is.True(!f.LimitExhausted(2*time.Second, "u1"))
+	is.True(!f.LimitExhausted(2*time.Second, "unknown"))
 }
 
 // Requests sent before a limit was known count toward it, and nothing more is sent until the
@@ -133,13 +133,13 @@
 		f.placeAndSend(time.Duration(i)*50*time.Millisecond, 0)
 	}
 	f.advertiseLimit(2*time.Second, "u0", 1)
-	is.True(f.TakesNoMore(2*time.Second, "u0"))
-	is.True(f.TakesNoMore(5900*time.Millisecond, "u0"))
-	is.True(!f.TakesNoMore(7*time.Second, "u0"))
+	is.True(f.LimitExhausted(2*time.Second, "u0"))
+	is.True(f.LimitExhausted(5900*time.Millisecond, "u0"))
+	is.True(!f.LimitExhausted(7*time.Second, "u0"))
 	f.advertiseLimit(8*time.Second, "u0", 0.9) // nearly the same value, so no new first span
-	is.True(!f.TakesNoMore(8*time.Second, "u0"))
+	is.True(!f.LimitExhausted(8*time.Second, "u0"))
 	f.advertiseLimit(9*time.Second, "u0", 200)
-	is.True(!f.TakesNoMore(9*time.Second, "u0")) // far more than the upstream gets
+	is.True(!f.LimitExhausted(9*time.Second, "u0")) // far more than the upstream gets
 }
 
 // Boxes without a report of a limit sent an upstream up to ten requests after it had advertised
@@ -153,9 +153,9 @@
 	}
 	named, reported := 2*time.Second, 2900*time.Millisecond
 	f.TakeNamed(reported, []LimitReport{{Life: f.keyOf("u0"), PerSecond: 1, Since: reported - named, Read: reported - named}})
-	is.True(f.TakesNoMore(named+4100*time.Millisecond, "u0"))
-	is.True(f.TakesNoMore(reported+3900*time.Millisecond, "u0"))
-	is.True(!f.TakesNoMore(named+5*time.Second, "u0"))
+	is.True(f.LimitExhausted(named+4100*time.Millisecond, "u0"))
+	is.True(f.LimitExhausted(reported+3900*time.Millisecond, "u0"))
+	is.True(!f.LimitExhausted(named+5*time.Second, "u0"))
 }
 
 // A limit far above the request rate does not hold back requests when it is first advertised.
@@ -167,8 +167,8 @@
 	}
 	f.advertiseLimit(2*time.Second, "u0", 100)
 	f.advertiseLimit(2*time.Second, "u1", 100)
-	is.True(!f.TakesNoMore(2*time.Second, "u0"))
-	is.True(!f.TakesNoMore(2*time.Second, "u1"))
+	is.True(!f.LimitExhausted(2*time.Second, "u0"))
+	is.True(!f.LimitExhausted(2*time.Second, "u1"))
 }
 
 // A box that does not know the other boxes sends nothing to an upstream that advertises a limit,
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -100,7 +100,7 @@
 func (r *Relay) rejectsRequests(u balance.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.fleet.Accepts(r.now(), u.Incarnation()) || r.fleet.TakesNoMore(r.now(), u.ID)
+	return !r.fleet.Accepts(r.now(), u.Incarnation()) || r.fleet.LimitExhausted(r.now(), u.ID)
 }
 
 // What an upstream came to say while the request waited for a connection.
