--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -48,7 +48,7 @@
 }
 
 // LimitQuota is the limit of an upstream and this box's quota of it.
-type LimitOf struct {
+type LimitQuota struct {
 	PerSecond float64
 	Age       time.Duration // since the limit was last advertised, as far as is known here
 	Ration    int           // requests that this box may send
@@ -65,15 +65,15 @@
 }
 
 // Limit returns the limit that an upstream advertises; false if there is none.
-func (f *Fleet) Limit(now time.Duration, id string) (LimitOf, bool) {
+func (f *Fleet) Limit(now time.Duration, id string) (LimitQuota, bool) {
 	m := f.byID[id]
 	if m == nil || f.limitOf(m) == nil {
-		return LimitOf{}, false
+		return LimitQuota{}, false
 	}
 	f.refreshQuotas(now)
 	x := f.limitOf(m)
 	_, span := f.cfg.Named.allowance(x.perSecond)
-	return LimitOf{PerSecond: x.perSecond, Age: now - x.lastRead, Ration: x.quota, Span: span}, true
+	return LimitQuota{PerSecond: x.perSecond, Age: now - x.lastRead, Ration: x.quota, Span: span}, true
 }
 
 // LimitExhausted reports whether an upstream advertises a limit that allows this box no further
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -117,7 +117,7 @@
 	is.Equal(to["u1"], 7)
 	l, isNamed := f.Limit(2*time.Second, "u0")
 	is.True(isNamed)
-	is.Equal(l, LimitOf{PerSecond: 1, Age: time.Second, Ration: 3, Span: 5 * time.Second})
+	is.Equal(l, LimitQuota{PerSecond: 1, Age: time.Second, Ration: 3, Span: 5 * time.Second})
 	is.True(f.LimitExhausted(2*time.Second, "u0"))
 	is.True(!f.LimitExhausted(7*time.Second, "u0")) // the requests have left the time span
 	is.True(!f.LimitExhausted(2*time.Second, "u1"))
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -169,7 +169,7 @@
 }
 
 // limitOf is what a box keeps to.
-func (b *testBox) limitOf(id string) (balance.LimitOf, bool) {
+func (b *testBox) limitOf(id string) (balance.LimitQuota, bool) {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	return b.relay.fleet.Limit(b.relay.now(), id)
