--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -51,7 +51,7 @@
 type LimitQuota struct {
 	PerSecond float64
 	Age       time.Duration // since the limit was last advertised, as far as is known here
-	Ration    int           // requests that this box may send
+	Quota     int           // requests that this box may send
 	Span      time.Duration // time span of the quota
 }
 
@@ -73,7 +73,7 @@
 	f.refreshQuotas(now)
 	x := f.limitOf(m)
 	_, span := f.cfg.Named.allowance(x.perSecond)
-	return LimitQuota{PerSecond: x.perSecond, Age: now - x.lastRead, Ration: x.quota, Span: span}, true
+	return LimitQuota{PerSecond: x.perSecond, Age: now - x.lastRead, Quota: x.quota, Span: span}, true
 }
 
 // LimitExhausted reports whether an upstream advertises a limit that allows this box no further
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -81,7 +81,7 @@
 					f.Put(0, Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", Domain: "d0", Slots: 8})
 					f.advertiseLimit(time.Second, "u", perSecond)
 					l, _ := f.Limit(time.Second, "u")
-					sum += l.Ration
+					sum += l.Quota
 				}
 			}
 		}
@@ -117,7 +117,7 @@
 	is.Equal(to["u1"], 7)
 	l, isNamed := f.Limit(2*time.Second, "u0")
 	is.True(isNamed)
-	is.Equal(l, LimitQuota{PerSecond: 1, Age: time.Second, Ration: 3, Span: 5 * time.Second})
+	is.Equal(l, LimitQuota{PerSecond: 1, Age: time.Second, Quota: 3, Span: 5 * time.Second})
 	is.True(f.LimitExhausted(2*time.Second, "u0"))
 	is.True(!f.LimitExhausted(7*time.Second, "u0")) // the requests have left the time span
 	is.True(!f.LimitExhausted(2*time.Second, "u1"))
--- a/group/sharers_test.go
+++ b/group/sharers_test.go
@@ -149,7 +149,7 @@
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8})
 		f.NoteLimitStatement(time.Second, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: true, PerSecond: perSecond, Read: time.Second})
 		l, _ := f.Limit(time.Second, upstream)
-		sum += l.Ration
+		sum += l.Quota
 	}
 	return sum
 }
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -99,7 +99,7 @@
 		event, counter = "names no limit any more", limitsEnded
 	}
 	fields := Fields{"upstream": u.ID, "born": u.StartedAt, "per_second": c.PerSecond, "before": c.Before, "source": "seen here", "id": request,
-		"sent_lately": sent, "span_ms": limitSpan.Milliseconds(), "ration": limit.Ration, "ration_span_ms": limit.Span.Milliseconds()}
+		"sent_lately": sent, "span_ms": limitSpan.Milliseconds(), "ration": limit.Quota, "ration_span_ms": limit.Span.Milliseconds()}
 	if c.Told {
 		fields["source"], fields["age_ms"] = "told", c.Age.Milliseconds()
 		delete(fields, "id")
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -270,7 +270,7 @@
 	is.True(known)
 	b.waitFor(func() bool { // a box that has just started has no part
 		l, _ := b.limitOf("u")
-		return l.Ration > 0
+		return l.Quota > 0
 	})
 	b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	_, known = b.limitOf("u")
--- a/relay/state.go
+++ b/relay/state.go
@@ -55,7 +55,7 @@
 	if !isNamed {
 		return nil
 	}
-	return &wire.LimitRow{PerSecond: l.PerSecond, Age: uint64(l.Age.Microseconds()), Ration: uint32(l.Ration), Span: uint64(l.Span.Microseconds())}
+	return &wire.LimitRow{PerSecond: l.PerSecond, Age: uint64(l.Age.Microseconds()), Ration: uint32(l.Quota), Span: uint64(l.Span.Microseconds())}
 }
 
 // repeatNames are the names that operators read.
