--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -182,8 +182,8 @@
 func TestOneLaneIsReservedForTightStreams(t *testing.T) {
 	is := is.New(t)
 	f, g := newDividedFleet(9), newDividedFleet(9)
-	f.SizeLanes(0, LanePlan{Key("s"): {Places: 2}})
-	g.SizeLanes(0, LanePlan{Key("s"): {Places: 2}})
+	f.SizeLanes(0, LanePlan{Key("s"): {Reserved: 2}})
+	g.SizeLanes(0, LanePlan{Key("s"): {Reserved: 2}})
 	lanes := [2]map[string]bool{{}, {}}
 	for shared := uint64(1); shared <= 100; shared++ {
 		for lane, r := range []Request{letter(shared), chat(shared)} {
--- a/balance/lane_test.go
+++ b/balance/lane_test.go
@@ -174,14 +174,14 @@
 	is := is.New(t)
 	f := newDividedFleet(20)
 	f.SetRemoteLoads(loadPerUpstream(20, 20, 2))
-	changes := f.SizeLanes(time.Second, LanePlan{Key("s"): {Places: 2}, Key("unknown"): {Places: 3}})
+	changes := f.SizeLanes(time.Second, LanePlan{Key("s"): {Reserved: 2}, Key("unknown"): {Reserved: 3}})
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Service, "s")
 	is.Equal(changes[0].Places, 2)
 	is.True(changes[0].Told)
 	is.Equal(len(tightUpstreams(f)), 2)
-	is.Equal(len(f.SizeLanes(2*time.Second, LanePlan{Key("s"): {Places: 2}})), 0) // unchanged
-	f.SizeLanes(time.Minute, LanePlan{Key("s"): {Places: 99}})
+	is.Equal(len(f.SizeLanes(2*time.Second, LanePlan{Key("s"): {Reserved: 2}})), 0) // unchanged
+	f.SizeLanes(time.Minute, LanePlan{Key("s"): {Reserved: 99}})
 	is.Equal(len(tightUpstreams(f)), 20) // at most all upstreams
 }
 
@@ -193,8 +193,8 @@
 		small := rapid.IntRange(1, n).Draw(t, "small")
 		great := rapid.IntRange(small, n).Draw(t, "great")
 		a, b := newDividedFleet(n), newDividedFleet(n)
-		a.SizeLanes(0, LanePlan{Key("s"): {Places: small}})
-		b.SizeLanes(0, LanePlan{Key("s"): {Places: great}})
+		a.SizeLanes(0, LanePlan{Key("s"): {Reserved: small}})
+		b.SizeLanes(0, LanePlan{Key("s"): {Reserved: great}})
 		kept := tightUpstreams(b)
 		for id := range tightUpstreams(a) {
 			if !kept[id] {
@@ -221,14 +221,14 @@
 func TestPromptsAreFetchedAfterLaneChange(t *testing.T) {
 	is := is.New(t)
 	f := newDividedFleet(20)
-	f.SizeLanes(0, LanePlan{Key("s"): {Places: 2}})
+	f.SizeLanes(0, LanePlan{Key("s"): {Reserved: 2}})
 	before := make(map[uint64]*Upstream)
 	now := time.Minute
 	for shared := uint64(1); shared <= 100; shared++ {
 		before[shared] = serve(f, now, prompt(shared)).Upstream
 	}
 	now += 10 * time.Second
-	f.SizeLanes(now, LanePlan{Key("s"): {Places: 6}})
+	f.SizeLanes(now, LanePlan{Key("s"): {Reserved: 6}})
 	kept := tightUpstreams(f)
 	moved := 0
 	for shared, old := range before {
@@ -245,7 +245,7 @@
 		is.Equal(again.Fetch, "") // already fetched
 	}
 	is.True(moved > 0)
-	f.SizeLanes(now, LanePlan{Key("s"): {Places: 2}}) // back to the first size: both have the prompt
+	f.SizeLanes(now, LanePlan{Key("s"): {Reserved: 2}}) // back to the first size: both have the prompt
 	for shared := range before {
 		c := serve(f, now, prompt(shared))
 		is.Equal(c.Fetch, "")
@@ -257,14 +257,14 @@
 func TestNewBoxFetchesFromPreviousHome(t *testing.T) {
 	is := is.New(t)
 	f := newDividedFleet(20)
-	f.SizeLanes(0, LanePlan{Key("s"): {Places: 2}})
+	f.SizeLanes(0, LanePlan{Key("s"): {Reserved: 2}})
 	before := make(map[uint64]*Upstream)
 	now := 16 * time.Second
 	for shared := uint64(1); shared <= 100; shared++ {
 		c, _ := f.Place(now, prompt(shared), nil)
 		before[shared] = c.Upstream
 	}
-	f.SizeLanes(now, LanePlan{Key("s"): {Places: 6}})
+	f.SizeLanes(now, LanePlan{Key("s"): {Reserved: 6}})
 	kept := tightUpstreams(f)
 	for shared, old := range before {
 		c, _ := f.Place(now, prompt(shared), nil)
@@ -280,7 +280,7 @@
 func TestNewBoxKeepsReportedLane(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(20)
-	f.SizeLanes(0, LanePlan{Key("s"): {Places: 5}})
+	f.SizeLanes(0, LanePlan{Key("s"): {Reserved: 5}})
 	f.Open(time.Second, "u0", chat(1))
 	f.SizeLanes(time.Second, nil)
 	is.Equal(len(tightUpstreams(f)), 5)
--- a/balance/lanesize.go
+++ b/balance/lanesize.go
@@ -22,8 +22,8 @@
 
 // Lane is the lane for tight streams of one service.
 type Lane struct {
-	Places int      // number of upstreams reserved for tight streams
-	Tight  []uint32 // sorted Keys of the classes of tight streams; empty: not known
+	Reserved int      // number of upstreams reserved for tight streams
+	Tight    []uint32 // sorted Keys of the classes of tight streams; empty: not known
 }
 
 // LanePlan holds the lanes of services by the Key of the service name.
@@ -79,7 +79,7 @@
 	s.classes.chooseDivision()
 	lane, isReported := reported[Key(s.name)]
 	s.classes.assign(lane.Tight)
-	places := lane.Places
+	places := lane.Reserved
 	if !isReported || f.cfg.Off[Lanes] {
 		places = f.wantedLaneSize(s, len(all))
 	}
--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -12,7 +12,7 @@
 func fleetWithout(off Off) *Fleet {
 	f := newDividedFleet(9)
 	f.cfg.Off = off
-	f.SizeLanes(0, LanePlan{Key("s"): {Places: 3}})
+	f.SizeLanes(0, LanePlan{Key("s"): {Reserved: 3}})
 	return f
 }
 
--- a/balance/separation_test.go
+++ b/balance/separation_test.go
@@ -101,7 +101,7 @@
 func TestTightStreamLeavesOverloadedLane(t *testing.T) {
 	is := is.New(t)
 	f := newDividedFleet(9)
-	f.SizeLanes(0, LanePlan{Key("s"): {Places: 3}})
+	f.SizeLanes(0, LanePlan{Key("s"): {Reserved: 3}})
 	tight := tightUpstreams(f)
 	load := func(tokens int) {
 		loads := make(map[LoadKey]Load)
--- a/group/lane.go
+++ b/group/lane.go
@@ -50,7 +50,7 @@
 	}
 	n.lanes, n.lanesAt = make(balance.LanePlan, len(m.Lanes)), now
 	for _, l := range m.Lanes {
-		n.lanes[l.Service] = balance.Lane{Places: int(l.Places), Tight: l.Tight[:min(len(l.Tight), maxClasses)]}
+		n.lanes[l.Service] = balance.Lane{Reserved: int(l.Places), Tight: l.Tight[:min(len(l.Tight), maxClasses)]}
 	}
 }
 
@@ -63,7 +63,7 @@
 	out := make([]*wire.GroupLane, 0, len(lanes))
 	for service, lane := range lanes {
 		tight := lane.Tight[:min(len(lane.Tight), maxClasses)]
-		out = append(out, &wire.GroupLane{Service: service, Places: uint32(max(lane.Places, 0)), Tight: tight})
+		out = append(out, &wire.GroupLane{Service: service, Places: uint32(max(lane.Reserved, 0)), Tight: tight})
 	}
 	slices.SortFunc(out, func(a, b *wire.GroupLane) int { return cmp.Compare(a.Service, b.Service) })
 	return out
--- a/group/lane_test.go
+++ b/group/lane_test.go
@@ -13,7 +13,7 @@
 // number of places.
 func (w *simulation) setOwnLanes() {
 	for i, name := range w.names {
-		w.boxes[name].node.SetLanes(balance.LanePlan{7: {Places: i + 1, Tight: []uint32{uint32(i)}}})
+		w.boxes[name].node.SetLanes(balance.LanePlan{7: {Reserved: i + 1, Tight: []uint32{uint32(i)}}})
 	}
 }
 
@@ -21,9 +21,9 @@
 func (w *simulation) places(name string) int {
 	n := w.boxes[name].node
 	if announced := n.Lanes(w.now); announced != nil {
-		return announced[7].Places
+		return announced[7].Reserved
 	}
-	return n.ownLanes[7].Places
+	return n.ownLanes[7].Reserved
 }
 
 // checkAgreement checks that all running boxes of the domains use the same division, and returns
