--- a/balance/incarnation.go
+++ b/balance/incarnation.go
@@ -185,9 +185,9 @@
 	return m == nil || m.Incarnation() != l || !m.closed()
 }
 
-// Present returns the current entry of an upstream, or false if there is none. It includes
+// Entry returns the current entry of an upstream, or false if there is none. It includes
 // entries that wait for an address that another upstream holds.
-func (f *Fleet) Present(id string) (Upstream, bool) {
+func (f *Fleet) Entry(id string) (Upstream, bool) {
 	if u := f.entry(id); u != nil {
 		return *u, true
 	}
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -49,7 +49,7 @@
 			for _, do := range c.then {
 				do(f)
 			}
-			if u, known := f.Present("u"); known {
+			if u, known := f.Entry("u"); known {
 				f.NoteLeavingChecked(u.Incarnation()) // asked, it does not report leaving again
 			}
 			choice, used := f.Place(2*time.Second, Request{Service: "s"}, nil)
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -65,7 +65,7 @@
 	is := is.New(t)
 	m := newCutOffMember(t, "lead")
 	for i := 1; i < 6; i += 2 {
-		u, _ := m.relay.fleet.Present(fmt.Sprintf("u%d", i))
+		u, _ := m.relay.fleet.Entry(fmt.Sprintf("u%d", i))
 		m.relay.probeOne(context.Background(), u) // nobody listens there
 	}
 	is.Equal(m.relay.fleet.CutOff(), nil)
--- a/relay/news.go
+++ b/relay/news.go
@@ -74,7 +74,7 @@
 	var c entryChange
 	c.before, _ = r.listed(u.ID)
 	c.other = r.fleet.Put(r.now(), u)
-	if o, known := r.fleet.Present(c.other); known && !o.Leaving {
+	if o, known := r.fleet.Entry(c.other); known && !o.Leaving {
 		life := o.Incarnation()
 		c.otherEnded = &life
 	}
