--- a/balance/incarnation.go
+++ b/balance/incarnation.go
@@ -64,7 +64,7 @@
 }
 
 // takeOverWork counts the open requests of this box on an incarnation that is listed again.
-// Without it, the upstream's memory bound would be exceeded by what those requests hold.
+// Without it, placement could exceed the upstream's memory by what those requests hold.
 func (f *Fleet) takeOverWork(m *member) {
 	before := f.unlisted[m.ID]
 	if before == nil || before.Incarnation() != m.Incarnation() || isRestart(before.Upstream, m.Upstream) {
@@ -185,9 +185,9 @@
 	return m == nil || m.Incarnation() != l || !m.closed()
 }
 
-// Present returns the current entry of an upstream, or false if there is none. It includes
+// Entry returns the current entry of an upstream, or false if there is none. It includes
 // entries that wait for an address that another upstream holds.
-func (f *Fleet) Present(id string) (Upstream, bool) {
+func (f *Fleet) Entry(id string) (Upstream, bool) {
 	if u := f.entry(id); u != nil {
 		return *u, true
 	}
@@ -209,8 +209,8 @@
 	if u.Incarnation().After(before.Incarnation()) {
 		return true
 	}
-	unnamed := u.StartedAt == 0 && before.StartedAt == 0
-	return unnamed && u.HasCommandCount && before.HasCommandCount && u.Revision > before.Revision && u.CommandCount < before.CommandCount
+	noStart := u.StartedAt == 0 && before.StartedAt == 0
+	return noStart && u.HasCommandCount && before.HasCommandCount && u.Revision > before.Revision && u.CommandCount < before.CommandCount
 }
 
 // isListed reports whether a member is in the present list. It is false for an earlier
--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -12,7 +12,7 @@
 )
 
 // NoteLimitStatement records what an answer from an upstream incarnation says about its limit.
-func (f *Fleet) Says(now time.Duration, incarnation Incarnation, s LimitStatement) (LimitChange, bool) {
+func (f *Fleet) NoteLimitStatement(now time.Duration, incarnation Incarnation, s LimitStatement) (LimitChange, bool) {
 	c, changed := f.limits.observe(incarnation.Key(), s)
 	f.applyLimitChanges(now, c)
 	return c, changed
@@ -48,10 +48,10 @@
 }
 
 // LimitQuota is the limit of an upstream and this box's quota of it.
-type LimitOf struct {
+type LimitQuota struct {
 	PerSecond float64
 	Age       time.Duration // since the limit was last advertised, as far as is known here
-	Ration    int           // requests that this box may send
+	Quota     int           // requests that this box may send
 	Span      time.Duration // time span of the quota
 }
 
@@ -65,20 +65,20 @@
 }
 
 // Limit returns the limit that an upstream advertises; false if there is none.
-func (f *Fleet) Limit(now time.Duration, id string) (LimitOf, bool) {
+func (f *Fleet) Limit(now time.Duration, id string) (LimitQuota, bool) {
 	m := f.byID[id]
 	if m == nil || f.limitOf(m) == nil {
-		return LimitOf{}, false
+		return LimitQuota{}, false
 	}
 	f.refreshQuotas(now)
 	x := f.limitOf(m)
 	_, span := f.cfg.Named.allowance(x.perSecond)
-	return LimitOf{PerSecond: x.perSecond, Age: now - x.lastRead, Ration: x.quota, Span: span}, true
+	return LimitQuota{PerSecond: x.perSecond, Age: now - x.lastRead, Quota: x.quota, Span: span}, true
 }
 
 // LimitExhausted reports whether an upstream advertises a limit that allows this box no further
 // request now.
-func (f *Fleet) TakesNoMore(now time.Duration, id string) bool {
+func (f *Fleet) LimitExhausted(now time.Duration, id string) bool {
 	m := f.byID[id]
 	if m == nil {
 		return false
--- a/balance/partindex.go
+++ b/balance/partindex.go
@@ -141,10 +141,10 @@
 	k.holders[part] = list
 }
 
-// holderOf returns an upstream that holds a part, in either lane, is reachable and not resting,
-// and lies in a region the request may run in. It prefers the one nearest to the upstream that
-// fetches the part (nil: nearest to this box), then the least busy. It returns nil if none is
-// known.
+// holderOf returns an upstream that holds a part, in either lane, is reachable and not in failure
+// backoff, and lies in a region the request may run in. It prefers the one nearest to the
+// upstream that fetches the part (nil: nearest to this box), then the least busy. It returns nil
+// if none is known.
 func (f *Fleet) holderOf(now time.Duration, r Request, part Part, to *member) *member {
 	domain := f.cfg.Domain
 	if to != nil {
--- a/balance/place.go
+++ b/balance/place.go
@@ -3,8 +3,8 @@
 // This file defines placement. Invariant: a request is never placed at an upstream that is
 // leaving or evacuated, that it was already sent to, that lies outside the regions it may run in,
 // that accepts no more while it is cold or under its stated limit, or that has no memory for it.
-// A resting upstream is chosen only if more than the allowed share of upstreams rests, and an
-// unreachable one only if no other is left.
+// An upstream in failure backoff is chosen only if more than the allowed share of upstreams is,
+// and an unreachable one only if no other is left.
 
 import (
 	"cmp"
@@ -54,10 +54,10 @@
 // requests.
 func (f *Fleet) noteAvailability(now time.Duration, name string, found bool) {
 	s := f.serviceOf(name)
-	leaves := func(m *member) bool { return m.Leaving }
-	stays := func(m *member) bool { return !m.closed() }
+	isLeaving := func(m *member) bool { return m.Leaving }
+	accepts := func(m *member) bool { return !m.closed() }
 	switch {
-	case found || !slices.ContainsFunc(f.byService[name], leaves) || slices.ContainsFunc(f.byService[name], stays):
+	case found || !slices.ContainsFunc(f.byService[name], isLeaving) || slices.ContainsFunc(f.byService[name], accepts):
 		s.unavailableSince = longAgo
 	case s.unavailableSince == longAgo:
 		s.unavailableSince = now
@@ -91,10 +91,10 @@
 }
 
 // usable returns the upstreams a request may go to, regardless of their free memory. If too many
-// are resting, those that fail least are included.
+// are in failure backoff, those that fail least are included.
 func (f *Fleet) usable(now time.Duration, r Request, tried []string) []*member {
 	available := make([]*member, 0, len(f.byService[r.Service]))
-	var resting, out []*member
+	var backingOff, unreachable []*member
 	limited := false
 	for _, m := range f.byService[r.Service] {
 		switch {
@@ -102,21 +102,21 @@
 		case !f.allowedByLimits(now, m, r):
 			limited = limited || !m.unreachable
 		case m.unreachable:
-			out = append(out, m)
+			unreachable = append(unreachable, m)
 		case m.health.backingOff(now) && !f.cfg.Off[FailureBackoff]:
-			resting = append(resting, m)
+			backingOff = append(backingOff, m)
 		default:
 			available = append(available, m)
 		}
 	}
-	available = append(available, excessResting(resting, len(available))...)
+	available = append(available, excessBackingOff(backingOff, len(available))...)
 	if len(available) > 0 {
 		return available
 	}
 	if limited {
-		return resting // refuse at once instead of waiting for a connection that is likely to fail
+		return backingOff // refuse at once instead of waiting for a connection that is likely to fail
 	}
-	return append(resting, out...)
+	return append(backingOff, unreachable...)
 }
 
 // preferOwnDomain restricts a list to this box's own domain if an upstream in another domain,
@@ -146,33 +146,33 @@
 	return !m.closed() && !slices.Contains(tried, m.ID) && f.mayRunIn(m.Domain, r) && f.coldQuotaLeft(now, m)
 }
 
-// excessResting returns the resting upstreams that are used anyway because more rest than the
-// allowed share: the ones that fail least.
-func excessResting(resting []*member, available int) []*member {
-	allowed := (available + len(resting)) * maxBackoffPercent / percent
-	if len(resting) <= allowed {
+// excessBackingOff returns the upstreams in failure backoff that are used anyway because more
+// than the allowed share are: the ones that fail least.
+func excessBackingOff(backingOff []*member, available int) []*member {
+	allowed := (available + len(backingOff)) * maxBackoffPercent / percent
+	if len(backingOff) <= allowed {
 		return nil
 	}
-	slices.SortStableFunc(resting, func(a, b *member) int {
+	slices.SortStableFunc(backingOff, func(a, b *member) int {
 		return cmp.Or(cmp.Compare(b.health.failureRate, a.health.failureRate), cmp.Compare(a.ID, b.ID))
 	})
-	return resting[allowed:]
+	return backingOff[allowed:]
 }
 
 // leastBusy returns the upstream with the fewest open requests per slot. Distant upstreams count
 // as busier, and so do failing ones: an upstream that fails everything also counts as far away as
 // the most distant one, so that it is not preferred for being near.
 func (f *Fleet) leastBusy(list []*member) *member {
-	held := f.serviceTime(list[0].Service)
+	runTime := f.serviceTime(list[0].Service)
 	var furthest float64
 	for _, m := range list {
-		furthest = max(furthest, f.distancePenalty(m.Domain, held))
+		furthest = max(furthest, f.distancePenalty(m.Domain, runTime))
 	}
 	var best *member
 	var bestScore float64
 	for _, m := range list {
 		score := (float64(m.open()) + f.cfg.Tuning.FailWeight*m.health.failureRate) / float64(max(m.Slots, 1))
-		score += f.distancePenalty(m.Domain, held) + furthest*m.health.failureRate
+		score += f.distancePenalty(m.Domain, runTime) + furthest*m.health.failureRate
 		if best == nil || score < bestScore {
 			best, bestScore = m, score
 		}
@@ -194,9 +194,9 @@
 		}
 	}
 	if len(beyond) > 0 && f.tight(r) && !f.cfg.Off[LaneExit] {
-		leaving := f.laneExitCost(r.Service)
+		exitCost := f.laneExitCost(r.Service)
 		for _, m := range f.candidates(now, r, beyond, f.rank(beyond, sharedKey(r))) {
-			if c := cost.total(m) + leaving; c < least {
+			if c := cost.total(m) + exitCost; c < least {
 				chosen, least = m, c
 			}
 		}
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -129,7 +129,7 @@
 		}
 		f := d.fleetOf(name)
 		if (int(now/step)+i)%stepsPerTick == 0 {
-			f.SetSharers(b.node.Sharers(now))
+			f.SetSharers(b.node.QuotaPeers(now))
 			f.SetBoxes(b.node.BoxCount(), true)
 			f.ForgetNamed(now)
 			b.node.SetLimits(f.NamedAll(now))
@@ -184,7 +184,7 @@
 			return false
 		case b == h.box && !b.dead:
 			h.statement.Read = d.w.now
-			d.fleetOf(h.name).Says(d.w.now, h.life, h.statement)
+			d.fleetOf(h.name).NoteLimitStatement(d.w.now, h.life, h.statement)
 			h.finish()
 		}
 		return true
--- a/relay/news.go
+++ b/relay/news.go
@@ -74,7 +74,7 @@
 	var c entryChange
 	c.before, _ = r.listed(u.ID)
 	c.other = r.fleet.Put(r.now(), u)
-	if o, known := r.fleet.Present(c.other); known && !o.Leaving {
+	if o, known := r.fleet.Entry(c.other); known && !o.Leaving {
 		life := o.Incarnation()
 		c.otherEnded = &life
 	}
@@ -132,7 +132,7 @@
 // reached before.
 func (r *Relay) takeBack(domain string) {
 	r.mu.Lock()
-	isNew := r.fleet.TakeBack(r.now(), domain)
+	isNew := r.fleet.EndEvacuation(r.now(), domain)
 	r.mu.Unlock()
 	if isNew {
 		r.cfg.Log.Event("domain", "taken back", Fields{"domain": domain, "age_ms": r.age().Milliseconds()})
--- a/relay/traffic_test.go
+++ b/relay/traffic_test.go
@@ -34,13 +34,13 @@
 		m    *wire.GroupMessage
 	}{
 		{group.KindHeartbeat, &wire.GroupMessage{}},
-		{group.KindBoxes, &wire.GroupMessage{Boxes: []*wire.GroupBox{{}}}},
+		{group.KindBoxList, &wire.GroupMessage{Boxes: []*wire.GroupBox{{}}}},
 		{group.KindHello, &wire.GroupMessage{Hello: true}},
 		{group.KindChangesRequest, &wire.GroupMessage{Ask: true}},
 		{group.KindPublished, &wire.GroupMessage{Pull: true}},
 		{group.KindPublished, &wire.GroupMessage{Items: []*wire.GroupItem{{}}}},
 		{group.KindLoads, &wire.GroupMessage{HasLoads: true}},
-		{group.KindChanges, &wire.GroupMessage{HasLoads: true, Partial: true}},
+		{group.KindLoadChanges, &wire.GroupMessage{HasLoads: true, Partial: true}},
 		{group.KindParts, &wire.GroupMessage{Kept: []uint32{1, 2}}},
 	}
 	for _, tt := range tests {
