--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -19,7 +19,7 @@
 }
 
 // MergeLimits merges reports of limits from other boxes and returns the changes.
-func (f *Fleet) TakeNamed(now time.Duration, list []LimitReport) []LimitChange {
+func (f *Fleet) MergeLimits(now time.Duration, list []LimitReport) []LimitChange {
 	changes := f.limits.mergeReports(now, list)
 	f.applyLimitChanges(now, changes...)
 	return changes
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -152,7 +152,7 @@
 		f.Open(time.Duration(i)*50*time.Millisecond, "u1", Request{Service: "s"}).Close(time.Duration(i)*50*time.Millisecond, Answered)
 	}
 	named, reported := 2*time.Second, 2900*time.Millisecond
-	f.TakeNamed(reported, []LimitReport{{Life: f.keyOf("u0"), PerSecond: 1, Since: reported - named, Read: reported - named}})
+	f.MergeLimits(reported, []LimitReport{{Life: f.keyOf("u0"), PerSecond: 1, Since: reported - named, Read: reported - named}})
 	is.True(f.LimitExhausted(named+4100*time.Millisecond, "u0"))
 	is.True(f.LimitExhausted(reported+3900*time.Millisecond, "u0"))
 	is.True(!f.LimitExhausted(named+5*time.Second, "u0"))
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -134,7 +134,7 @@
 			f.ForgetNamed(now)
 			b.node.SetLimits(f.NamedAll(now))
 		}
-		f.TakeNamed(now, b.node.DrainLimits())
+		f.MergeLimits(now, b.node.DrainLimits())
 		if news := f.NamedNews(now); len(news) > 0 {
 			b.node.AnnounceLimits(news)
 			b.node.SetLimits(f.NamedAll(now))
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -114,7 +114,7 @@
 	heard := m.node.DrainLimits()
 	now := r.now()
 	r.mu.Lock()
-	changes := r.fleet.TakeNamed(now, heard)
+	changes := r.fleet.MergeLimits(now, heard)
 	if news := r.fleet.NamedNews(now); len(news) > 0 {
 		m.node.AnnounceLimits(news)
 		m.node.SetLimits(r.fleet.NamedAll(now))
