--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -271,7 +271,7 @@
 func TestAddressReturnsToItsUpstream(t *testing.T) {
 	for name, end := range map[string]func(f *Fleet){
 		"the upstream answers with its ID": func(f *Fleet) {
-			f.Named(time.Second, Incarnation{"false", 900}, "true")
+			f.NoteIdentity(time.Second, Incarnation{"false", 900}, "true")
 		},
 		"the entry is removed": func(f *Fleet) { f.Remove("false") },
 	} {
@@ -291,7 +291,7 @@
 			f.Put(time.Second, entryOf("false", 900, 5)) // a replaced incarnation takes no address
 			is.Equal(f.IDs(), []string{"true"})
 			f.Remove("true")
-			f.Named(time.Second, Incarnation{"none", 1}, "true")
+			f.NoteIdentity(time.Second, Incarnation{"none", 1}, "true")
 		})
 	}
 }
@@ -344,7 +344,7 @@
 				receiver.Put(0, u)
 			}
 			receiver.Put(0, entryOf("false", 900, 2))
-			finder.Named(time.Second, Incarnation{"false", 900}, "true")
+			finder.NoteIdentity(time.Second, Incarnation{"false", 900}, "true")
 			receiver.NoteKept(time.Second, finder.KeptNews())
 			for _, u := range c.then {
 				receiver.Put(2*time.Second, u)
--- a/balance/list.go
+++ b/balance/list.go
@@ -195,9 +195,9 @@
 // is known of its incarnation.
 func (f *Fleet) isLeaving(u Upstream) bool { return u.Leaving || f.knownLeaving(u.Incarnation()) }
 
-// Named records that the incarnation meant answered with another upstream ID. If the entry of
+// NoteIdentity records that the incarnation meant answered with another upstream ID. If the entry of
 // that upstream waits for the address, it takes the address over.
-func (f *Fleet) Named(now time.Duration, meant Incarnation, answeredID string) {
+func (f *Fleet) NoteIdentity(now time.Duration, meant Incarnation, answeredID string) {
 	m, waiter := f.byID[meant.ID], f.addressWaiters[answeredID]
 	if m == nil || m.Incarnation() != meant || waiter == nil || waiter.Address != m.Address {
 		return
--- a/relay/lives.go
+++ b/relay/lives.go
@@ -132,7 +132,7 @@
 // takeName takes in that an upstream that was meant answered that it is another.
 func (r *Relay) takeName(meant balance.Incarnation, said string) {
 	r.mu.Lock()
-	r.fleet.Named(r.now(), meant, said)
+	r.fleet.NoteIdentity(r.now(), meant, said)
 	r.mu.Unlock()
 	r.cfg.Log.Event("upstream", "is another", Fields{"upstream": meant.ID, "born": meant.StartedAt, "said": said})
 }
