--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -37,7 +37,7 @@
 }
 
 // TakeLimitNews returns the limits to report to other boxes since the last call.
-func (f *Fleet) NamedNews(now time.Duration) []LimitReport { return f.limits.takeReports(now) }
+func (f *Fleet) TakeLimitNews(now time.Duration) []LimitReport { return f.limits.takeReports(now) }
 
 // KnownLimits returns all known limits, and separately those that are in force.
 func (f *Fleet) NamedAll(now time.Duration) (known, inForce []LimitReport) { return f.limits.all(now) }
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -135,7 +135,7 @@
 			b.node.SetLimits(f.NamedAll(now))
 		}
 		f.MergeLimits(now, b.node.DrainLimits())
-		if news := f.NamedNews(now); len(news) > 0 {
+		if news := f.TakeLimitNews(now); len(news) > 0 {
 			b.node.AnnounceLimits(news)
 			b.node.SetLimits(f.NamedAll(now))
 		}
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -115,7 +115,7 @@
 	now := r.now()
 	r.mu.Lock()
 	changes := r.fleet.MergeLimits(now, heard)
-	if news := r.fleet.NamedNews(now); len(news) > 0 {
+	if news := r.fleet.TakeLimitNews(now); len(news) > 0 {
 		m.node.AnnounceLimits(news)
 		m.node.SetLimits(r.fleet.NamedAll(now))
 	}
