--- a/relay/caller_test.go
+++ b/relay/caller_test.go
@@ -19,10 +19,10 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// withMemoryBound gives a box a bound of memory.
+// withMemoryBound sets the memory bound of a box.
 func withMemoryBound(bytes int64) func(*Config) { return func(c *Config) { c.Memory = bytes } }
 
-// dialBox connects to the box as a caller whose kernel keeps little.
+// dialBox connects to the box as a caller with a small receive buffer.
 func (b *testBox) dialBox() *net.TCPConn {
 	b.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
@@ -35,7 +35,7 @@
 	return c
 }
 
-// rawRequest writes a request as it goes over the wire.
+// rawRequest returns a request in wire format.
 func rawRequest(path, body string, header ...string) string {
 	head := []string{"POST " + path + " HTTP/1.1", "Host: h.example", "X-Id: id-" + path, "X-Key: secret", "X-Left: 4000"}
 	if body != "" {
@@ -44,25 +44,26 @@
 	return strings.Join(append(head, header...), "\r\n") + "\r\n\r\n" + body
 }
 
-// isIdle reports whether the box keeps nothing but its callers' connections.
+// isIdle reports whether no request is active and only the given number of callers' connections is
+// charged to the memory account.
 func (b *testBox) isIdle(connections int64) bool {
 	return b.relay.stats.open.Load() == 0 && b.relay.account.Used() == connections*callerBytes
 }
 
-// endlessStream sends events without end, 1,000 bytes each.
+// endlessStream writes events of 1,000 bytes until the connection fails.
 func endlessStream(c net.Conn, r stubRequest) bool {
 	startStream(c, r)
 	text := strings.Repeat("x", 1000)
 	for i := 1; ; i++ {
 		if _, err := fmt.Fprintf(c, "%x\r\nid: %d\ndata: %s\n\n\r\n", len(fmt.Sprintf("id: %d\ndata: %s\n\n", i, text)), i, text); err != nil {
-			return true // the next read finds the connection's end
+			return true // the next read detects the closed connection
 		}
 	}
 }
 
-// activeHandlers is how many goroutines serve connections of the box's callers; others rest in their
-// pool. It is the server's own count: one over all stacks of the process counted what tests before
-// had left behind as well.
+// activeHandlers returns the number of goroutines that serve callers' connections, as counted by this
+// box's server. Counting the stacks of the whole process would include goroutines left over from
+// earlier tests.
 func (b *testBox) activeHandlers() int {
 	return int(b.relay.callerServer.server.GetCurrentConcurrency())
 }
@@ -78,13 +79,13 @@
 	}
 	b.waitFor(func() bool { return b.activeHandlers() == callers })
 	for range callers {
-		<-u.closed // the upstream's connection is closed, well before the route's time
+		<-u.closed // the upstream's connection is closed well before the route's timeout
 	}
 	b.waitFor(func() bool { return b.isIdle(0) })
 	b.waitFor(func() bool { return b.activeHandlers() == 0 })
 	is.Equal(b.relay.stats.counted(callersCutOff), uint64(callers))
 	b.waitFor(func() bool { return b.log.contains(`"msg":"request: caller does not read"`) })
-	is.True(!b.log.contains(`"msg":"run: failed"`)) // nothing is said against the upstream
+	is.True(!b.log.contains(`"msg":"run: failed"`)) // the upstream is not blamed
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	for _, row := range b.relay.fleet.View(b.relay.now()) {
@@ -92,7 +93,7 @@
 	}
 }
 
-// A plain answer whose caller does not read ends its connection as well.
+// A caller that does not read a response is cut off also if the response is not a stream.
 func TestUnreadNonStreamResponseIsCutOff(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", respondOK(strings.Repeat("x", 2<<20)))
@@ -103,7 +104,7 @@
 	b.waitFor(func() bool { return b.log.contains("takes nothing") })
 }
 
-// A caller that takes little at a time gets all of its answer, however long that lasts.
+// A caller that reads slowly but steadily gets the whole response, however long it takes.
 func TestSlowlyReadingCallerIsNotCutOff(t *testing.T) {
 	is := is.New(t)
 	whole := strings.Repeat("x", 700<<10)
@@ -116,7 +117,7 @@
 	buf := make([]byte, 64<<10)
 	resp, err := http.ReadResponse(bufio.NewReaderSize(c, 1<<10), nil)
 	is.NoErr(err)
-	for range 8 { // 4 s, twice what a caller may take nothing for
+	for range 8 { // 4 s, twice the time that a caller may read nothing
 		n, err := io.ReadFull(resp.Body, buf)
 		is.NoErr(err)
 		read += n
@@ -150,7 +151,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	answer()
-	// Several at once, and a part of the next; small bodies and large ones.
+	// Several requests at once and part of another one, with small and large bodies.
 	large := strings.Repeat("l", 2*maxCollectedBody)
 	all := rawRequest("/once/b", "one") + rawRequest("/once/c", large) + rawRequest("/once/d", "") + rawRequest("/once/e", "last")
 	cut := len(all) - len("HTTP/1.1\r\n") - 40
@@ -169,16 +170,17 @@
 	b.waitFor(func() bool { return b.isIdle(0) })
 }
 
-// What does not fit is refused before it is read, and has not run.
+// A request whose body does not fit into memory is refused before the body is read, and reported as
+// not run.
 func TestBodyBeyondMemoryBoundIsRefused(t *testing.T) {
 	body := strings.Repeat("x", 900<<10)
 	for _, c := range []struct {
 		name   string
 		change func(r *http.Request)
 	}{
-		{"of a known length", func(*http.Request) {}},
-		{"in chunks", func(r *http.Request) { r.ContentLength, r.Body = -1, io.NopCloser(strings.NewReader(body)) }},
-		{"sent when it is asked for", func(r *http.Request) { r.Header.Set("Expect", "100-continue") }},
+		{"known length", func(*http.Request) {}},
+		{"chunked", func(r *http.Request) { r.ContentLength, r.Body = -1, io.NopCloser(strings.NewReader(body)) }},
+		{"sent after 100 Continue", func(r *http.Request) { r.Header.Set("Expect", "100-continue") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -201,7 +203,7 @@
 	}
 }
 
-// Where little is left, the most urgent are still served.
+// When little memory is left, the most urgent requests are still served.
 func TestMostUrgentRequestsAreRefusedLast(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", respondOK("ok"))
@@ -222,7 +224,7 @@
 	is.Equal(b.do(b.request("POST", "/once/x", "")).status, 200)
 }
 
-// An upstream that does not read a body holds it no longer than the request's time.
+// An upstream that does not read a request's body delays the request no longer than its timeout.
 func TestUpstreamReadingBodySlowlyIsBoundedByTimeout(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
@@ -235,7 +237,7 @@
 		}
 		_ = c.(*net.TCPConn).SetReadBuffer(4 << 10)
 		buf := make([]byte, 16)
-		for err == nil { // until the box resets it
+		for err == nil { // until the box resets the connection
 			_, err = c.Read(buf)
 			time.Sleep(time.Millisecond)
 		}
@@ -246,13 +248,13 @@
 	b.publisher.set("u1", balance.Upstream{ID: "u1", Service: "s", Address: l.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.waitFor(func() bool { return b.lists("u1") && !b.lists("other") })
 	a := b.do(b.request("POST", "/brief/x", strings.Repeat("x", 1<<20)))
-	is.Equal(a.status, 504) // it may have run
+	is.Equal(a.status, 504) // the request may have run
 	b.waitFor(func() bool { return b.isIdle(0) })
 	ended.Wait()
 }
 
-// A large body that is still being sent when its answer has come is not mixed with the
-// next one that the server reads.
+// If the response arrives while a large body is still being sent, the server must not reuse the body's
+// buffer for the next request.
 func TestEarlyResponseDoesNotMixBodies(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
@@ -273,7 +275,7 @@
 				}
 				mine := []byte(r.Header.Get("X-Body"))
 				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: 2\r\n\r\nok", r.Header.Get("X-Id"))
-				body, _ := io.ReadAll(r.Body) // up to where the box drops the connection
+				body, _ := io.ReadAll(r.Body) // until the box drops the connection
 				if len(bytes.Trim(body, string(mine))) > 0 {
 					mixed.Add(1)
 				}
@@ -300,7 +302,7 @@
 	is.Equal(mixed.Load(), int64(0))
 }
 
-// lists reports whether the box has an upstream on its list.
+// lists reports whether the box lists an upstream that is not leaving.
 func (b *testBox) lists(id string) bool {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
@@ -312,7 +314,8 @@
 	return false
 }
 
-// addSlowCallers are callers that read and send at a few bytes a second, or not at all.
+// addSlowCallers adds callers that read nothing of a stream (readers), or send a few bytes per second
+// (senders).
 func (b *testBox) addSlowCallers(readers, senders int) {
 	b.t.Helper()
 	for i := range readers {
@@ -338,7 +341,7 @@
 	}
 }
 
-// slowStream sends an event of 1,000 bytes each 2 ms.
+// slowStream writes an event of 1,000 bytes every 2 ms.
 func slowStream(c net.Conn, r stubRequest) bool {
 	if !strings.HasPrefix(r.URL.Path, "/flow") {
 		return respondOK("ok")(c, r)
@@ -346,7 +349,7 @@
 	startStream(c, r)
 	if strings.HasPrefix(r.URL.Path, "/flow/quiet") {
 		writeChunk(c, event(1))
-		_, _ = c.Read(make([]byte, 1)) // until the box ends it
+		_, _ = c.Read(make([]byte, 1)) // until the box closes the connection
 		return false
 	}
 	text := strings.Repeat("x", 1000)
@@ -360,7 +363,8 @@
 	return false
 }
 
-// Sound callers are served beside hundreds that read and send at a few bytes a second.
+// Normal callers are served beside hundreds of callers that read nothing or send a few bytes per
+// second.
 func TestHealthyCallersAreServedBesideSlowOnes(t *testing.T) {
 	is := is.New(t)
 	const bound = 40 << 20
@@ -385,7 +389,7 @@
 	is.Equal(b.relay.stats.counted(callersTurnedAway), uint64(0))
 }
 
-// A connection rests, and a head arrives, no longer than the document allows.
+// The document limits how long a connection may be idle and how long a header may take to arrive.
 func TestDocumentBoundsHeaderAndIdleTimes(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", respondOK("ok"))
@@ -397,10 +401,10 @@
 	for _, c := range []struct {
 		name string
 		sent string
-		want []int // statuses, before the connection is closed
+		want []int // statuses of the responses before the connection is closed
 	}{
-		{"it rests", rawRequest("/once/x", "body"), []int{200}},
-		{"its head does not come whole", "POST /once/x HTTP/1.1\r\nHost: h", []int{408}},
+		{"idle", rawRequest("/once/x", "body"), []int{200}},
+		{"incomplete header", "POST /once/x HTTP/1.1\r\nHost: h", []int{408}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -418,7 +422,7 @@
 			is.Equal(err, io.EOF)
 		})
 	}
-	// The body of a request has more time than its head.
+	// A body may take longer to arrive than a header.
 	conn := b.dialBox()
 	whole := rawRequest("/once/y", "a body that is late")
 	_, err := io.WriteString(conn, whole[:len(whole)-4])
@@ -431,7 +435,7 @@
 	is.Equal(resp.StatusCode, 200)
 }
 
-// Operators see what is kept, turned away and cut off.
+// The state for operators reports used memory, refused requests and disconnected callers.
 func TestStateReportsMemory(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", respondOK("ok"))
--- a/relay/callercost_test.go
+++ b/relay/callercost_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// BenchmarkSlowCallers names what callers that rest, or that read nothing of a stream,
-// take of the heap and of stacks, at their peak.
+// BenchmarkSlowCallers reports the peak heap and stack memory used for callers that are idle or do not
+// read their streams.
 func BenchmarkSlowCallers(b *testing.B) {
 	for _, c := range []struct {
 		name                    string
@@ -45,7 +45,7 @@
 	}
 }
 
-// heapAndStacks is what lives on the heap and what stacks take.
+// heapAndStacks returns the size of live heap objects and stacks in bytes.
 func heapAndStacks() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -53,12 +53,12 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// BenchmarkUnreadStream names how much of a stream that nobody reads is taken from its
-// upstream, and for how long the upstream is held.
+// BenchmarkUnreadStream reports how much of an unread stream the box reads from the upstream, and how
+// long the upstream is occupied.
 func BenchmarkUnreadStream(b *testing.B) {
 	var taken atomic.Int64
 	count := func(c net.Conn, r stubRequest) bool {
-		_ = c.(*net.TCPConn).SetWriteBuffer(16 << 10) // what waits there is not the box's
+		_ = c.(*net.TCPConn).SetWriteBuffer(16 << 10) // data in this buffer has not been read by the box
 		startStream(c, r)
 		text := strings.Repeat("x", 1000)
 		for i := 1; ; i++ {
--- a/relay/collect_test.go
+++ b/relay/collect_test.go
@@ -7,25 +7,25 @@
 	"github.com/matryer/is"
 )
 
-// A request is handed on once it is complete, whatever the steps in which it comes.
+// A request is passed to the server once it is complete, in whatever pieces it arrives.
 func TestRequestBufferComplete(t *testing.T) {
 	long := strings.Repeat("x", maxCollectedBody+1)
 	for _, c := range []struct {
 		name string
 		sent string
-		at   int // bytes with which it is handed on; 0: it is not
+		at   int // number of bytes after which the request is complete; 0: never
 		more bool
 	}{
 		{"no body", "GET / HTTP/1.1\r\nHost: h\r\n\r\n", 27, false},
-		{"lines without returns", "GET / HTTP/1.1\nHost: h\n\n", 24, false},
-		{"a body", "POST / HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc", 41, false},
-		{"a body that has not come whole", "POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nabc", 0, false},
-		{"a long body", "POST / HTTP/1.1\r\nContent-Length: 32769\r\n\r\n" + long, 42, true},
-		{"a body in chunks", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3", 47, true},
-		{"a body that waits to be asked for", "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n", 60, true},
-		{"no length", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n", 38, true},
-		{"no end of the head", "GET / HTTP/1.1\r\nHost: h\r\n", 0, false},
-		{"a head that is too long", "GET /" + strings.Repeat("x", maxHeaderBytes), maxHeaderBytes, false},
+		{"lines ending in LF", "GET / HTTP/1.1\nHost: h\n\n", 24, false},
+		{"body", "POST / HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc", 41, false},
+		{"incomplete body", "POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nabc", 0, false},
+		{"large body", "POST / HTTP/1.1\r\nContent-Length: 32769\r\n\r\n" + long, 42, true},
+		{"chunked body", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3", 47, true},
+		{"body after 100 Continue", "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n", 60, true},
+		{"invalid length", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n", 38, true},
+		{"incomplete header", "GET / HTTP/1.1\r\nHost: h\r\n", 0, false},
+		{"header too long", "GET /" + strings.Repeat("x", maxHeaderBytes), maxHeaderBytes, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -40,7 +40,7 @@
 			is.Equal(at, c.at)
 			is.Equal(b.bodyFollows, c.more)
 			whole := requestBuffer{buf: []byte(c.sent)}
-			is.Equal(whole.complete(), c.at > 0) // all at once
+			is.Equal(whole.complete(), c.at > 0) // all bytes at once
 		})
 	}
 }
--- a/relay/connectioncap_test.go
+++ b/relay/connectioncap_test.go
@@ -8,8 +8,8 @@
 	"github.com/doormast/doormast/route"
 )
 
-// A box that started again within a cut opened as many connections to an upstream as if the boxes that it heard of were all
-// there are. Found by looking for the cause of an incident with retry budgets elsewhere.
+// A box that restarted while it was cut off from other boxes opened as many connections to an upstream
+// as if the boxes it had heard from were all there are.
 func TestConnectionCapCountsUnheardBoxes(t *testing.T) {
 	const assumed = 10
 	for _, tt := range []struct {
@@ -17,9 +17,9 @@
 		boxes, divisor int64
 		want           int
 	}{
-		{"all are known", 12, 12, 30},
-		{"one domain of three is", 4, 12, 30},
-		{"nobody is", 1, 0, 36},
+		{"all boxes heard", 12, 12, 30},
+		{"one domain of three heard", 4, 12, 30},
+		{"no box heard", 1, 0, 36},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r := &Relay{cfg: Config{Boxes: assumed}, members: new(members), belief: newBelief()}
--- a/relay/documentwait_test.go
+++ b/relay/documentwait_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// newTestBoxWithoutDocument starts a box that knows an upstream, and no document yet.
+// newTestBoxWithoutDocument starts a box that knows an upstream but no document yet.
 func newTestBoxWithoutDocument(t *testing.T) (*testBox, *stub) {
 	t.Helper()
 	s := newStub(t, "u1", respondOK("fine"))
@@ -23,10 +23,10 @@
 	return b, s
 }
 
-// waitedForDocument is how many requests waited for a document.
+// waitedForDocument returns the number of requests that waited for a document.
 func (b *testBox) waitedForDocument() uint64 { return b.relay.stats.counted("held_starting") }
 
-// A request that comes before a box knows the document is served as soon as it does.
+// A request that arrives before the box has a document is served when the document arrives.
 func TestRequestWaitsForDocument(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBoxWithoutDocument(t)
@@ -39,7 +39,7 @@
 	is.Equal(a.body, "fine")
 }
 
-// Where none comes, it is refused: it has not run, and its caller is told when to come back.
+// If no document arrives, the request is refused as not run, with a Retry-After header.
 func TestRequestIsRefusedWithoutDocument(t *testing.T) {
 	is := is.New(t)
 	b, s := newTestBoxWithoutDocument(t)
@@ -51,7 +51,7 @@
 	is.Equal(len(s.requests()), 0)
 }
 
-// A request whose caller leaves while it is held is sent nowhere.
+// A request whose caller disconnects while it waits is sent to no upstream.
 func TestWaitingRequestEndsWhenCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	b, s := newTestBoxWithoutDocument(t)
@@ -69,14 +69,14 @@
 	is.Equal(len(s.requests()), 1)
 }
 
-// The time that a request is held comes out of its own.
+// The wait for the document counts towards the request's timeout.
 func TestDocumentWaitCountsTowardsTimeout(t *testing.T) {
 	is := is.New(t)
 	b, s := newTestBoxWithoutDocument(t)
 	got := make(chan callerResponse, 1)
 	go func() { got <- b.do(b.request("POST", "/once/a", "", "X-Left", "4000")) }()
 	b.waitFor(func() bool { return b.waitedForDocument() == 1 })
-	time.Sleep(300 * time.Millisecond) // it is held for as long
+	time.Sleep(300 * time.Millisecond) // the request waits at least this long
 	b.publisher.set("document", testDocument(1), false)
 	is.Equal((<-got).status, 200)
 	left, err := strconv.Atoi(s.requests()[0].Header.Get("X-Left"))
@@ -84,7 +84,7 @@
 	is.True(left <= 3700)
 }
 
-// A caller that sent its next request early has not left.
+// A caller that sends its next request early is not taken for disconnected.
 func TestPipelinedRequestIsNoDisconnect(t *testing.T) {
 	is := is.New(t)
 	b, _ := newTestBoxWithoutDocument(t)
--- a/relay/header_test.go
+++ b/relay/header_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Headers that only a box may set never reach an upstream as a caller sent them, however
-// they are spelled, doubled, or named among those of the connection.
+// Headers reserved for the box never reach an upstream with a caller's values, whatever their case, if
+// they are repeated, or if the Connection header names them.
 func TestCallerCannotSetReservedHeaders(t *testing.T) {
 	u := newStub(t, "u1", respondOK("ok"))
 	b := newTestBox(t, u)
@@ -17,11 +17,11 @@
 			name   string
 			header []string
 		}{
-			{"as it is written", []string{name, "forged"}},
-			{"in lower case", []string{strings.ToLower(name), "forged"}},
-			{"in upper case", []string{strings.ToUpper(name), "forged"}},
-			{"doubled", []string{name, "forged", strings.ToUpper(name), "forged"}},
-			{"of the connection", []string{name, "forged", "Connection", name}},
+			{"as configured", []string{name, "forged"}},
+			{"lower case", []string{strings.ToLower(name), "forged"}},
+			{"upper case", []string{strings.ToUpper(name), "forged"}},
+			{"repeated", []string{name, "forged", strings.ToUpper(name), "forged"}},
+			{"named in Connection", []string{name, "forged", "Connection", name}},
 		} {
 			if name == testProtocol.Key {
 				continue // TestRequestIsForwardedUnchanged shows that a valid key is not forwarded
@@ -39,12 +39,12 @@
 				got := u.requests()[before:]
 				is.Equal(len(got), 1)
 				if name == testProtocol.LastEvent {
-					return // it is the caller's to say, and set anew; checked below
+					return // set by callers, and forwarded; see TestBrokenStreamResumesOnAnotherUpstream
 				}
 				for sent, values := range got[0].Header {
 					for _, v := range values {
 						if strings.EqualFold(sent, name) && v == "forged" {
-							t.Fatalf("%s: %s reached the upstream", sent, v)
+							t.Fatalf("header %s with the caller's value %s reached the upstream", sent, v)
 						}
 					}
 				}
@@ -53,8 +53,8 @@
 	}
 }
 
-// What says which request it is goes on even where the caller claims that it concerns its
-// connection only.
+// Headers that identify or describe the request are forwarded even if the caller names them in its
+// Connection header.
 func TestDescribingHeadersAreAlwaysForwarded(t *testing.T) {
 	u := newStub(t, "u1", respondOK("ok"))
 	b := newTestBox(t, u)
--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -15,7 +15,7 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// movingProtocol is testProtocol of a deployment whose upstreams copy runs.
+// movingProtocol is testProtocol for a deployment whose upstreams can copy runs.
 func movingProtocol() Protocol {
 	p := testProtocol
 	p.MoveCall = func(request, to string) UpstreamCall {
@@ -28,20 +28,20 @@
 	return p
 }
 
-// respondCall answers a call to an upstream.
+// respondCall responds to a call of the box itself.
 func respondCall(c net.Conn, status int, body string) {
 	writeWire(c, fmt.Sprintf("HTTP/1.1 %d X\nContent-Length: %d\n\n%s", status, len(body), body))
 }
 
-// movingTestBox is a relay before two upstreams: a stream begins at the slow one, which is the only one
-// listed at first and gives an event each 60 ms, of 100 that are expected.
+// movingTestBox is a relay with two upstreams. A stream of 100 expected events starts on slow, which
+// is the only one listed at first and sends an event every 60 ms.
 type movingTestBox struct {
 	*testBox
 	slow, fast *stub
-	stopped    chan struct{} // closed: the slow one's stream breaks off
+	stopped    chan struct{} // closed to end slow's stream
 }
 
-// newMovingTestBox makes the two; copied answers the call to copy the run.
+// newMovingTestBox creates the box and its upstreams; copied responds to the call to copy the run.
 func newMovingTestBox(t *testing.T, copied func(c net.Conn, stop func())) *movingTestBox {
 	m := &movingTestBox{stopped: make(chan struct{})}
 	m.slow = newStub(t, "slow", func(c net.Conn, r stubRequest) bool {
@@ -76,7 +76,7 @@
 	return m
 }
 
-// respondRest answers with the events behind the last that was seen, and the end.
+// respondRest sends all events after the last one seen, and the end of the stream.
 func (m *movingTestBox) respondRest(c net.Conn, r stubRequest) bool {
 	startStream(c, r)
 	var last int
@@ -88,9 +88,9 @@
 	return true
 }
 
-// trainFleet lets the relay know how long answers are, and that those which moved had 20 ms from one
-// event to the next: a stream of 100 events has to move when between 4.5 and 2.2 s of its 4.8 s
-// are left, so that a machine that stands still for a second does not decide the test.
+// trainFleet tells the fleet how long responses are, and that moved streams take 20 ms per event. A
+// stream of 100 events then has to move when between 4.5 and 2.2 s of its 4.8 s are left, so that the
+// test tolerates a machine that stalls for a second.
 func (m *movingTestBox) trainFleet() {
 	r := m.relay
 	r.mu.Lock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// stream asks for a long answer, and lists the fast upstream once the slow one runs it.
+// stream requests a long response, and lists fast once slow runs the request.
 func (m *movingTestBox) stream(path string) <-chan callerResponse {
 	done := make(chan callerResponse, 1)
 	go func() {
@@ -116,7 +116,7 @@
 	return done
 }
 
-// allEvents is all events, each once.
+// allEvents returns all events, each once.
 func allEvents() string {
 	var b strings.Builder
 	for i := 1; i <= 100; i++ {
@@ -126,7 +126,7 @@
 }
 
 func TestLateStreamMovesAndEndsInTime(t *testing.T) {
-	for _, path := range []string{"/flow/x", "/fixed/x", "/single/x"} { // whatever may be run again
+	for _, path := range []string{"/flow/x", "/fixed/x", "/single/x"} { // independent of whether the route allows repetition
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
 			m := newMovingTestBox(t, func(c net.Conn, stop func()) {
@@ -135,7 +135,7 @@
 			})
 			is.Equal((<-m.stream(path)).body, allEvents())
 			calls := m.slow.requests()
-			is.Equal(len(calls), 2) // the request, and the call to copy it
+			is.Equal(len(calls), 2) // the request, and the call to copy its run
 			var call string
 			is.NoErr(json.Unmarshal([]byte(calls[1].body), &call))
 			is.Equal(call, "id-"+path+" "+m.fast.listener.Addr().String())
@@ -149,7 +149,8 @@
 	}
 }
 
-// An upstream that has stopped a run, and found no room for it at the other, goes on with it.
+// An upstream that stopped a run but found no room for its copy on the other upstream continues the
+// run itself.
 func TestMoveWithoutRoomContinuesOnOriginalUpstream(t *testing.T) {
 	is := is.New(t)
 	m := newMovingTestBox(t, func(c net.Conn, stop func()) {
@@ -163,17 +164,17 @@
 	is.Equal(len(m.fast.requests()), 0)
 }
 
-// A run that is not copied goes on, and is not asked for again.
+// A run that could not be copied continues, and no second copy is requested.
 func TestFailedCopyDoesNotInterruptRun(t *testing.T) {
 	is := is.New(t)
 	m := newMovingTestBox(t, func(c net.Conn, _ func()) { respondCall(c, 404, "") })
 	a := <-m.stream("/single/x")
-	is.True(a.err != nil) // its caller's time was over
+	is.True(a.err != nil) // the caller's timeout expired
 	is.Equal(len(m.slow.requests()), 2)
 	is.Equal(len(m.fast.requests()), 0)
 }
 
-// A copy that nobody goes on with is freed.
+// A copy from which no run continues is freed.
 func TestUnusedCopyIsFreed(t *testing.T) {
 	is := is.New(t)
 	m := newMovingTestBox(t, func(c net.Conn, _ func()) { respondCall(c, 200, "h7") }) // its stream does not stop
@@ -186,8 +187,8 @@
 	is.Equal(len(m.fast.requests()), 0)
 }
 
-// Of a copy and the end of its request that come together the end goes first, whichever is
-// seen: the copy stays for whoever gives it up.
+// If a copy and the end of its request coincide, the end takes precedence: the copy stays in the
+// channel for freeCopy.
 func TestCopyIsKeptForCleanupAfterRequestEnds(t *testing.T) {
 	is := is.New(t)
 	ended, cancel := context.WithCancel(context.Background())
--- a/relay/outcome_test.go
+++ b/relay/outcome_test.go
@@ -15,30 +15,30 @@
 func TestOutcomeOfStatus(t *testing.T) {
 	tests := []struct {
 		status int
-		time   time.Duration // that the caller waits; the route gives 12 s
+		time   time.Duration // timeout of the caller; that of the route is 12 s
 		want   balance.Outcome
 	}{
 		{200, 12 * time.Second, balance.Answered},
-		{404, 12 * time.Second, balance.Answered}, // its own business with the caller
+		{404, 12 * time.Second, balance.Answered}, // concerns the caller, not the upstream
 		{500, 12 * time.Second, balance.Failed},
 		{500, 400 * time.Millisecond, balance.Failed},
 		{504, 12 * time.Second, balance.Failed},
-		{504, 400 * time.Millisecond, balance.Neutral}, // a probe's time ran out
+		{504, 400 * time.Millisecond, balance.Neutral}, // the caller's short timeout expired
 	}
 	for _, tt := range tests {
 		is := is.New(t)
 		x := &exchange{route: &route.Route{Timeout: 12 * time.Second}, arrived: time.Unix(1, 0)}
 		x.deadline = x.arrived.Add(tt.time)
-		is.Equal(x.outcomeOf(tt.status), tt.want) // as in the table
+		is.Equal(x.outcomeOf(tt.status), tt.want) // as listed above
 		x.ctx = context.Background()
-		if tt.status >= 500 { // where the request may be sent again, it comes as a failure
+		if tt.status >= 500 { // on a route that may repeat requests, the status is an error
 			is.Equal(x.outcomeOfFailure(runUnknown, statusError(tt.status)), tt.want)
 		}
 	}
 }
 
-// A run that could not be sent to an earlier life of an upstream closes no connection to the
-// present one, and no loss is put down to it; one on the present life does both.
+// A run that could not be sent to an earlier instance of an upstream neither closes connections to the
+// current instance nor marks that one as unreachable. A failed run on the current instance does both.
 func TestFailureOfEarlierInstanceKeepsCurrentConnections(t *testing.T) {
 	is := is.New(t)
 	u, v := newStub(t, "u", respondOK("ok")), newStub(t, "v", respondOK("ok"))
@@ -67,7 +67,7 @@
 	lost := r.fleet.NewlyLost()
 	x.ticket = r.fleet.Open(r.now(), "u", balance.Request{Service: "s"})
 	r.mu.Unlock()
-	is.Equal(len(lost), 1) // nobody has put it down to u
+	is.Equal(len(lost), 1) // not yet attributed to u
 	x.upstream.StartedAt = 200
 	x.recordFailure(runUnsent, syscall.ECONNREFUSED)
 	is.Equal(resting(), 0)
--- a/relay/pace_test.go
+++ b/relay/pace_test.go
@@ -10,16 +10,16 @@
 func TestPaceMeasuresPauses(t *testing.T) {
 	tests := []struct {
 		name    string
-		at      []int // ms
+		at      []int // arrival of events in ms
 		allowed time.Duration
 		longest time.Duration
 		late    int
 	}{
-		{"none", nil, 200 * time.Millisecond, 0, 0},
-		{"the wait for the first is no pause", []int{5000}, 200 * time.Millisecond, 0, 0},
+		{"no events", nil, 200 * time.Millisecond, 0, 0},
+		{"wait for the first event", []int{5000}, 200 * time.Millisecond, 0, 0},
 		{"in time", []int{0, 100, 300}, 200 * time.Millisecond, 200 * time.Millisecond, 0},
 		{"late twice", []int{0, 201, 300, 900}, 200 * time.Millisecond, 600 * time.Millisecond, 2},
-		{"none is stated", []int{0, 5000}, 0, 5 * time.Second, 0},
+		{"no limit", []int{0, 5000}, 0, 5 * time.Second, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -63,13 +63,14 @@
 		status int
 	}{
 		{"no route", "/nowhere/", "h.example", "secret", "", 404},
-		{"no host", "/safe/", "other.example", "secret", "", 404},
+		{"unknown host", "/safe/", "other.example", "secret", "", 404},
 		{"unknown key", "/safe/", "h.example", "wrong", "", 401},
 		{"no key", "/safe/", "h.example", "", "", 401},
-		{"public", "/open/", "h.example", "", "", 200},
-		{"too large", "/once/", "h.example", "secret", strings.Repeat("x", 2<<20), 413},
-		// The stub puts the path into a header as well.
-		{"headers that fit", "/open/?" + strings.Repeat("x", 3<<10), "h.example", "", "", 200},
+		{"public route without key", "/open/", "h.example", "", "", 200},
+		{"body too large", "/once/", "h.example", "secret", strings.Repeat("x", 2<<20), 413},
+		// The stub repeats the path in a header, so these requests have about twice the size of their
+		// paths.
+		{"headers within the limit", "/open/?" + strings.Repeat("x", 3<<10), "h.example", "", "", 200},
 		{"headers too large", "/open/?" + strings.Repeat("x", 5<<10), "h.example", "", "", 431},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,7 +108,7 @@
 					writeChunk(c, event(1))
 				}
 				close(started)
-				return true // and nothing more comes
+				return true // no response follows
 			})
 			b := newTestBox(t, u)
 			ctx, cancel := context.WithCancel(context.Background())
@@ -117,7 +118,7 @@
 			}()
 			a := b.do(b.request("POST", path, "").WithContext(ctx))
 			is.True(a.err != nil)
-			<-u.closed // the upstream sees the end
+			<-u.closed // the upstream sees its connection closed
 			b.waitFor(func() bool { return b.relay.stats.open.Load() == 0 })
 		})
 	}
@@ -125,7 +126,7 @@
 
 func TestRouteTimeoutBoundsRequest(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", func(net.Conn, stubRequest) bool { return true }) // silence
+	u := newStub(t, "u1", func(net.Conn, stubRequest) bool { return true }) // never responds
 	b := newTestBox(t, u)
 	a := b.do(b.request("POST", "/brief/x", ""))
 	is.Equal(a.status, 504)
@@ -144,7 +145,7 @@
 	b := newTestBox(t, u1, u2)
 	a := b.do(b.request("POST", "/once/x", ""))
 	is.Equal(a.status, 503)
-	is.Equal(len(u1.requests())+len(u2.requests()), 2) // the first said that it had not run it
+	is.Equal(len(u1.requests())+len(u2.requests()), 2) // the first upstream stated that it had not run the request
 
 	foreign := newStub(t, "u3", func(c net.Conn, r stubRequest) bool {
 		writeWire(c, "HTTP/1.1 200 OK\nx-id: another\nContent-Length: 3\n\nold")
--- a/relay/retry_test.go
+++ b/relay/retry_test.go
@@ -11,7 +11,7 @@
 	"github.com/doormast/doormast/route"
 )
 
-// withoutRetries configures a relay that has no retry left.
+// withoutRetries configures a relay whose retry budget is always empty.
 func withoutRetries(c *Config) { c.Budget = balance.BudgetConfig{Window: 10 * time.Second} }
 
 func TestDeniedRetryIsLogged(t *testing.T) {
@@ -29,15 +29,15 @@
 	is.Equal(rows[0].Taken, uint32(1))
 }
 
-// respond500 answers each request with a failure of the upstream's own.
+// respond500 answers each request with status 500.
 func respond500(c net.Conn, r stubRequest) bool {
 	writeWire(c, "HTTP/1.1 500 Broken\nX-Id: "+r.Header.Get("X-Id")+"\nX-Sign: bad\nContent-Length: 2\n\nno")
 	return true
 }
 
-// A service whose upstreams failed got more retries than its requests allow, and a sound one none, where both were served
-// by the same boxes: a box kept one budget for all services. Lines "run: not retried" of both services, with the same
-// figures, settled it.
+// With one retry budget for all services of a box, a failing service used up the retries that the
+// requests of a healthy service had earned, and the healthy one got none. The "run: not retried" lines
+// of both services then show the same figures.
 func TestRetryBudgetIsPerService(t *testing.T) {
 	is := is.New(t)
 	sound := newStub(t, "sound", respondOK("ok"))
@@ -57,18 +57,19 @@
 		is.Equal(b.do(b.request("GET", "/safe/x", "")).status, 500)
 	}
 	if arrivals := len(bad1.requests()) + len(bad2.requests()); arrivals > 15 {
-		t.Fatalf("%d arrivals of 10 requests, half as many retries are allowed", arrivals)
+		t.Fatalf("10 requests arrived %d times at upstreams; at most 5 retries are allowed", arrivals)
 	}
 }
 
-// A retry that found no connection was taken from the budget when it was decided, though nothing arrived anywhere, and one
-// that waited for a connection counted in a window before the one it arrived in. Found by reading.
+// A retry must be taken from the budget when it is sent. Taken when it is decided, a retry without a
+// connection was counted although no upstream received it, and one that waited for a connection was
+// counted in an earlier window than the one it arrived in.
 func TestUnsentRetryIsNotTakenFromBudget(t *testing.T) {
 	is := is.New(t)
 	bad, dead := newStub(t, "bad", respond500), newStub(t, "dead", respondOK(""))
 	is.NoErr(dead.listener.Close())
 	b := newTestBox(t, bad, dead)
-	for len(bad.requests()) == 0 { // what is placed at dead first is sent to bad as its first run
+	for len(bad.requests()) == 0 { // a request placed at dead first reaches bad as its first run
 		is.Equal(b.do(b.request("GET", "/safe/x", "")).status, 500)
 	}
 	is.Equal(b.relay.state().Retries[0].Spent, uint32(0))
--- a/relay/runs_test.go
+++ b/relay/runs_test.go
@@ -9,8 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// What upstreams may do to a request, and what becomes of it: how often it reaches
-// an upstream in all, and what its caller is told.
+// For each kind of failed run: how many runs the request has in total, and what the caller is told.
 func TestFailedRuns(t *testing.T) {
 	reset := func(net.Conn, stubRequest) bool { return false }
 	cut := func(c net.Conn, r stubRequest) bool {
@@ -41,20 +40,20 @@
 		status int
 		ran    string
 	}{
-		{"full, once", "/once/x", respondNotRun(503), 2, 503, "no"},
-		{"full, repeatable", "/safe/x", respondNotRun(503), 2, 503, "no"},
-		{"another start of it", "/once/x", respondNotRun(421), 2, 503, "no"},
+		{"refused, once", "/once/x", respondNotRun(503), 2, 503, "no"},
+		{"refused, repeatable", "/safe/x", respondNotRun(503), 2, 503, "no"},
+		{"replaced by another instance", "/once/x", respondNotRun(421), 2, 503, "no"},
 		{"reset, once", "/once/x", reset, 1, 502, "unknown"},
 		{"reset, repeatable", "/safe/x", reset, 2, 502, "unknown"},
 		{"reset, stream", "/fixed/x", reset, 1, 502, "unknown"},
-		{"reset, stream that resumes", "/flow/x", reset, 2, 502, "unknown"},
-		{"cut, once", "/once/x", cut, 1, 502, "unknown"},
-		{"cut, repeatable", "/safe/x", cut, 2, 502, "unknown"},
-		{"cut chunks", "/once/x", cutChunk, 1, 502, "unknown"},
-		{"garbage, once", "/once/x", garbage, 1, 502, "unknown"},
-		{"foreign answer, once", "/once/x", foreign, 1, 502, "unknown"},
-		{"failing, once", "/once/x", failing, 1, 500, ""},
-		{"failing, repeatable", "/safe/x", failing, 2, 500, ""},
+		{"reset, resumable stream", "/flow/x", reset, 2, 502, "unknown"},
+		{"truncated, once", "/once/x", cut, 1, 502, "unknown"},
+		{"truncated, repeatable", "/safe/x", cut, 2, 502, "unknown"},
+		{"truncated chunks", "/once/x", cutChunk, 1, 502, "unknown"},
+		{"not HTTP, once", "/once/x", garbage, 1, 502, "unknown"},
+		{"response to another request, once", "/once/x", foreign, 1, 502, "unknown"},
+		{"status 500, once", "/once/x", failing, 1, 500, ""},
+		{"status 500, repeatable", "/safe/x", failing, 2, 500, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -164,7 +163,7 @@
 	is.True(p.reserve("u", 2))
 }
 
-// respond500First fails the first request it gets and answers the others.
+// respond500First returns a script that fails its first request and answers all others.
 func respond500First() func(net.Conn, stubRequest) bool {
 	first := true
 	return func(c net.Conn, r stubRequest) bool {
@@ -187,7 +186,7 @@
 		return b.relay.budgets.Of("s").Left(b.relay.now(), b.relay.divisor())
 	}
 	before := left()
-	first := b.do(b.request("GET", "/safe/x", "")) // both fail their first one
+	first := b.do(b.request("GET", "/safe/x", "")) // both upstreams fail their first request
 	is.Equal(first.status, 500)
 	is.Equal(before-left(), 1)
 }
--- a/relay/stop_test.go
+++ b/relay/stop_test.go
@@ -27,12 +27,12 @@
 	close(release)
 	a := <-result
 	is.Equal(a.body, "whole")
-	is.Equal(a.header.Get("Connection"), "") // net/http takes the close of the connection off
+	is.Equal(a.header.Get("Connection"), "") // net/http removes "Connection: close" from the headers
 	<-stopped
 }
 
-// After the grace of a planned stop, a connection that was busy until then may bring
-// another request: it is told that it has not run, instead of being taken and lost.
+// After the grace period of a planned stop, a connection that was busy until then may deliver another
+// request. It must be refused as not run; accepted, it would be lost when the process ends.
 func TestRequestsAreRefusedAfterGracePeriod(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", respondOK("ok"))
@@ -44,8 +44,8 @@
 	is.Equal(len(u.requests()), 0)
 }
 
-// What is still under way when the grace is over is cut by the process's end: a line tells
-// of each such request.
+// A request still active at the end of the grace period is cut off when the process exits. The log
+// must report each of them.
 func TestStopLogsEachRequestItCuts(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -31,25 +31,25 @@
 	for i := 1; i <= 3; i++ {
 		n, err := resp.Body.Read(buf)
 		is.NoErr(err)
-		is.Equal(string(buf[:n]), event(i)) // before the next one was made
+		is.Equal(string(buf[:n]), event(i)) // before the next event was sent
 		next <- struct{}{}
 	}
 	_, err = resp.Body.Read(buf)
 	is.Equal(err, io.EOF)
 }
 
-// A stream breaks off in several ways; the caller sees each event once, or no end.
+// However a stream is interrupted, the caller gets each event once, or an incomplete response.
 func TestBrokenStreamResumesOnAnotherUpstream(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		tail string // what the first upstream sends behind two events
+		tail string // sent by the first upstream after two events
 		path string
 		want string
 		fail bool
 	}{
 		{"between events", "", "/flow/x", event(1) + event(2) + event(3) + event(4), false},
 		{"within an event", "id: 3\nda", "/flow/x", event(1) + event(2) + event(3) + event(4), false},
-		{"a stream that may not go on", "id: 3\nda", "/fixed/x", event(1) + event(2), true},
+		{"stream that is not resumable", "id: 3\nda", "/fixed/x", event(1) + event(2), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -57,7 +57,7 @@
 				startStream(conn, r)
 				if last := r.Header.Get("X-Last"); last != "" {
 					from, _ := strconv.Atoi(last)
-					writeChunk(conn, event(from)) // once more: it must not come twice
+					writeChunk(conn, event(from)) // repeated; the caller must not get it twice
 					for i := from + 1; i <= 4; i++ {
 						writeChunk(conn, event(i))
 					}
@@ -91,7 +91,7 @@
 		startStream(c, r)
 		if r.Header.Get("X-Last") == "" {
 			writeChunk(c, event(1))
-			<-silent // cut off: neither an event nor an end
+			<-silent // neither an event nor an end follows
 			return false
 		}
 		writeChunk(c, event(2))
@@ -112,7 +112,7 @@
 		first = u2
 	}
 	is.NoErr(first.listener.Close())
-	b.relay.try(context.Background(), first.id, first.listener.Addr().String()) // a trial that fails
+	b.relay.try(context.Background(), first.id, first.listener.Addr().String()) // a connection trial that fails
 	rest, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
 	is.Equal(string(rest), event(2))
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -21,7 +21,7 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// testProtocol is a deployment's words in these tests.
+// testProtocol is the protocol of the deployment that the tests use.
 var testProtocol = Protocol{
 	RequestID: "X-Id", TimeLeft: "X-Left", Key: "X-Key", Customer: "X-Customer", Instance: "X-Instance", CurrentInstance: "X-Started", NotExecuted: "X-Not-Run", Limit: "X-Limit", Leaving: "X-Leaving", RetryAfter: "Retry-After",
 	Signature: "X-Sign", Priority: "X-Priority", LastEvent: "X-Last", FetchFrom: "X-Fetch", KVHandle: "X-Memory", Priorities: 10,
@@ -42,21 +42,21 @@
 	},
 }
 
-// stubRequest is what an upstream was sent.
+// stubRequest is a request received by an upstream.
 type stubRequest struct {
 	*http.Request
 	body string
 }
 
-// stub is an upstream that answers as a script says.
+// stub is an upstream whose responses a script writes.
 type stub struct {
 	id       string
 	listener net.Listener
-	script   func(c net.Conn, r stubRequest) bool // false: the connection is closed
+	script   func(c net.Conn, r stubRequest) bool // returns false to close the connection
 
 	mu       sync.Mutex
 	received []stubRequest
-	closed   chan struct{} // gets an entry for each connection that its other side closed
+	closed   chan struct{} // receives a value for each connection that the box closed
 }
 
 func newStub(t testing.TB, id string, script func(net.Conn, stubRequest) bool) *stub {
@@ -108,12 +108,12 @@
 	return append([]stubRequest(nil), s.received...)
 }
 
-// writeWire writes an answer's lines; a line break stands for one on the wire.
+// writeWire writes the lines of a response with CRLF line endings.
 func writeWire(c net.Conn, text string) {
 	_, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
 }
 
-// respondOK answers with a whole body.
+// respondOK returns a script that responds with the given body.
 func respondOK(body string) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
 		writeWire(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nContent-Length: %d\n\n%s", r.Header.Get("X-Id"), len(body), body))
@@ -121,7 +121,7 @@
 	}
 }
 
-// respondNotRun answers that it did not run the request.
+// respondNotRun returns a script that responds that the request was not run.
 func respondNotRun(status int) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
 		writeWire(c, fmt.Sprintf("HTTP/1.1 %d No\nX-Id: %s\nX-Not-Run: 1\nContent-Length: 0\n\n", status, r.Header.Get("X-Id")))
@@ -129,12 +129,12 @@
 	}
 }
 
-// startStream begins a stream of events.
+// startStream writes the header of an event stream.
 func startStream(c net.Conn, r stubRequest) {
 	writeWire(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n", r.Header.Get("X-Id")))
 }
 
-// writeChunk sends bytes of a stream.
+// writeChunk writes a chunk of a chunked body.
 func writeChunk(c net.Conn, text string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: d%d\n\n", id, id) }
@@ -204,8 +204,8 @@
 	return items, b.copy.Revision(), nil
 }
 
-// decodeItem reads the board's items: a document, that a domain is evacuated, or upstreams by
-// their ids.
+// decodeItem decodes the published items: the document, an evacuated domain, or an upstream, whose key
+// is its ID.
 func decodeItem(it mirror.Item) (Update, error) {
 	if it.Key == "document" {
 		var d route.Document
@@ -231,17 +231,17 @@
 	return Update{Upstream: u}, nil
 }
 
-// testBox is a relay with what surrounds it.
+// testBox is a running relay with its publisher, addresses and log.
 type testBox struct {
 	t         testing.TB
 	relay     *Relay
 	publisher *fakePublisher
 	url       string
 	ready     string
-	log       lockedBuffer // what the relay wrote to its log
+	log       lockedBuffer // the log written by the relay
 }
 
-// lockedBuffer is text that one goroutine writes and another reads.
+// lockedBuffer is a text buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -280,20 +280,20 @@
 	}
 }
 
-// newTestBox starts a relay before the stubs; none of them listed and no document
-// published where stubs is nil.
+// newTestBox starts a relay in front of the stubs. If stubs is nil, no upstream is listed and no
+// document is published.
 func newTestBox(t *testing.T, stubs ...*stub) *testBox {
 	t.Helper()
 	return newTestBoxWithProtocol(t, testProtocol, stubs...)
 }
 
-// newTestBoxWithProtocol is the same with a deployment's words.
+// newTestBoxWithProtocol is newTestBox with another protocol.
 func newTestBoxWithProtocol(t *testing.T, words Protocol, stubs ...*stub) *testBox {
 	t.Helper()
 	return newTestBoxWithConfig(t, func(c *Config) { c.Protocol = words }, stubs...)
 }
 
-// newTestBoxWithConfig is the same with a configuration that differs.
+// newTestBoxWithConfig is newTestBox with a configuration modified by change.
 func newTestBoxWithConfig(t testing.TB, change func(*Config), stubs ...*stub) *testBox {
 	t.Helper()
 	b := &testBox{t: t, publisher: newFakePublisher()}
@@ -342,7 +342,7 @@
 	return len(b.relay.fleet.IDs())
 }
 
-// waitFor waits for something that is bound to come.
+// waitFor waits up to 10 s for a condition and fails the test if it does not become true.
 func (b *testBox) waitFor(done func() bool) {
 	b.t.Helper()
 	for range 2000 {
@@ -351,15 +351,15 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	b.t.Fatal("it did not come")
+	b.t.Fatal("timed out waiting for a condition")
 }
 
-// callerResponse is a caller's answer.
+// callerResponse is the response that a caller received.
 type callerResponse struct {
 	status int
 	header http.Header
 	body   string
-	err    error // of the body
+	err    error // reading the body
 }
 
 func (b *testBox) request(method, path, body string, header ...string) *http.Request {
--- a/relay/suspension_test.go
+++ b/relay/suspension_test.go
@@ -13,7 +13,7 @@
 	"github.com/doormast/doormast/internal/timer"
 )
 
-// suspendableClock is a machine's clock that also counts the time for which it was suspended.
+// suspendableClock is a clock whose boot time includes simulated suspensions.
 type suspendableClock struct {
 	timer.SystemClock
 	suspended atomic.Int64 // time.Duration
@@ -25,11 +25,12 @@
 	return c.SystemClock.Boot() + time.Duration(c.suspended.Load())
 }
 
-// suspend has the machine suspended for a time, of which the steady clock knows nothing.
+// suspend simulates a suspension, which the monotonic clock does not count.
 func (c *suspendableClock) suspend(d time.Duration) { c.suspended.Add(int64(d)) }
 
-// A machine was suspended for some seconds. The steady clock stood still, and so did all that went by it: a
-// request under way was held beyond its time by as long, and sent on with as much more than its caller waited.
+// The monotonic clock stands still while the machine is suspended. Deadlines that only follow it would
+// hold an active request past its timeout by the length of the suspension, and would tell the next
+// upstream more time than the caller still waits.
 func TestSuspensionCountsTowardsRequestTimeout(t *testing.T) {
 	is := is.New(t)
 	clock := new(suspendableClock)
@@ -37,7 +38,7 @@
 	defer close(ended)
 	hang := func(net.Conn, stubRequest) bool {
 		began <- struct{}{}
-		<-ended // it does not answer
+		<-ended // does not respond
 		return false
 	}
 	b := newTestBoxWithConfig(t, func(c *Config) { c.Clock = clock }, newStub(t, "u", hang))
@@ -81,29 +82,30 @@
 	is.Equal((<-got).status, http.StatusOK)
 	ms, err := strconv.Atoi(<-left)
 	is.NoErr(err)
-	is.True(ms <= 2000) // of 4,000, two seconds of which the machine was suspended
+	is.True(ms <= 2000) // of 4,000 ms, of which the machine was suspended for two seconds
 }
 
-// Ages count what the machine was suspended for: what is known is not taken for new.
+// Ages include suspensions; otherwise old information would be taken for new.
 func TestSuspensionCountsTowardsAges(t *testing.T) {
 	is := is.New(t)
 	clock := new(suspendableClock)
 	b := newTestBoxWithConfig(t, func(c *Config) { c.Clock = clock }, newStub(t, "u", respondOK("")))
 	b.publisher.mu.Lock()
-	b.publisher.unavailable = true // nothing confirms what is known
+	b.publisher.unavailable = true // no read confirms the known state
 	b.publisher.mu.Unlock()
 	clock.suspend(time.Hour)
 	b.waitFor(func() bool { return b.relay.age() >= time.Hour })
 	is.True(b.relay.now() >= time.Hour)
 }
 
-// A request that comes after its machine was suspended, before the box has noticed, keeps its time.
+// A request that arrives after a suspension, but before the box has detected it, keeps its full
+// timeout.
 func TestRequestAfterSuspensionKeepsItsTime(t *testing.T) {
 	is := is.New(t)
 	clock := new(suspendableClock)
 	b := newTestBoxWithConfig(t, func(c *Config) { c.Clock = clock }, newStub(t, "u", respondOK("well")))
 	clock.suspend(time.Hour)
-	b.relay.startWall.Add(-int64(time.Hour)) // the time of day has gone on
+	b.relay.startWall.Add(-int64(time.Hour)) // the wall clock went on during the suspension
 	x, no := b.relay.admit(&request{method: http.MethodGet, host: "h.example", uri: "/safe/x", customerKey: "secret", timeLeft: time.Minute}, nil)
 	is.Equal(no, nil)
 	is.True(x.timeLeft() > 0)
