--- a/relay/arrival.go
+++ b/relay/arrival.go
@@ -17,7 +17,7 @@
 const defaultTimeout = 60 * time.Second
 
 // handle serves one request.
-func (f *front) handle(ctx *fasthttp.RequestCtx) {
+func (f *callerServer) handle(ctx *fasthttp.RequestCtx) {
 	r := f.relay
 	q := r.readRequest(ctx)
 	if r.stopping.Load() {
@@ -54,7 +54,7 @@
 		r.logTurnedAway(x.request.id, "request")
 		return &refusal{fasthttp.StatusServiceUnavailable, shortReason, defaultRetryAfter}
 	}
-	c.answerDeadline = x.deadline.Add(lateAnswerTimeout)
+	c.writeDeadline = x.deadline.Add(lateWriteTimeout)
 	x.caller = c
 	return nil
 }
@@ -76,12 +76,12 @@
 func (r *Relay) admit(q *request, conn net.Conn) (*exchange, *refusal) {
 	arrived := time.Now()
 	r.detectSuspensionBefore(arrived)
-	slept := r.suspendedFor.Load()
+	suspended := r.suspendedFor.Load()
 	if r.graceOver.Load() {
 		return nil, &refusal{fasthttp.StatusServiceUnavailable, "stopping", defaultRetryAfter}
 	}
-	doc, left := r.awaitDocument(q, conn)
-	if left {
+	doc, disconnected := r.awaitDocument(q, conn)
+	if disconnected {
 		return nil, &refusal{status: fasthttp.StatusBadGateway, reason: callerLeft}
 	}
 	if doc == nil {
@@ -111,7 +111,7 @@
 		urgency:  doc.Urgency(rt, customer, r.cfg.Protocol.Priorities),
 		arrived:  arrived,
 
-		suspendedBefore: slept,
+		suspendedBefore: suspended,
 	}
 	x.deadline = x.arrived.Add(requestTimeout(rt, q))
 	return x, nil
@@ -120,12 +120,12 @@
 // requestTimeout returns the time a request may take: the route's timeout, but at most the time that
 // the caller waits.
 func requestTimeout(rt *route.Route, q *request) time.Duration {
-	hold := defaultTimeout
+	timeout := defaultTimeout
 	if rt.Timeout > 0 {
-		hold = rt.Timeout
+		timeout = rt.Timeout
 	}
 	if q.timeLeft > 0 {
-		hold = min(hold, q.timeLeft)
+		timeout = min(timeout, q.timeLeft)
 	}
-	return hold
+	return timeout
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -43,7 +43,7 @@
 // attempt runs the request on the chosen upstream. It returns a response only with runAnswered. The
 // exchange's ctx ends when the caller disconnects or the deadline passes, which closes the connection
 // and so ends any read from it.
-func (x *exchange) attempt(o outgoing) (runState, *response, error) {
+func (x *exchange) attempt(o outgoingRequest) (runState, *response, error) {
 	r := x.relay
 	open := r.conns.get
 	if x.distrusts() {
@@ -114,9 +114,9 @@
 
 // replacedBy returns the ID of the upstream that now has the address, with errReplaced, if a refusal
 // names another upstream than the intended one; otherwise it returns no error.
-func (r *Relay) replacedBy(h *fasthttp.ResponseHeader, meant string) (id string, err error) {
+func (r *Relay) replacedBy(h *fasthttp.ResponseHeader, addressed string) (id string, err error) {
 	started := headerValue(h, r.cfg.Protocol.CurrentInstance)
-	if h.StatusCode() == fasthttp.StatusMisdirectedRequest && started != "" && started != meant {
+	if h.StatusCode() == fasthttp.StatusMisdirectedRequest && started != "" && started != addressed {
 		return started, errReplaced
 	}
 	return "", nil
--- a/relay/caller.go
+++ b/relay/caller.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c := newCaller(l.relay, conn)
+		c := newCallerConn(l.relay, conn)
 		if c.lease.Grow(callerBytes, wholeShare) {
 			return c, nil
 		}
@@ -68,14 +68,14 @@
 	raw   syscall.RawConn // nil if the connection does not provide one
 	lease *account.Lease
 
-	pending        []byte    // part of a request that was read but not yet returned by Read
-	readErr        error     // returned by Read after pending
-	memoryShare    float64   // share of the memory bound up to which the request may allocate
-	requestID      string    // ID of the current request; empty if not known yet
-	answerDeadline time.Time // when the response must have been written; zero: not set
-	reused         bool      // a request was awaited on this connection before
-	requestCharged bool      // a request is active, or was since the lease was last shrunk
-	aborted        atomic.Bool
+	pending        []byte      // part of a request that was read but not yet returned by Read
+	readErr        error       // returned by Read after pending
+	memoryShare    float64     // share of the memory bound up to which the request may allocate
+	requestID      string      // ID of the current request; empty if not known yet
+	writeDeadline  time.Time   // when the response must have been written; zero: not set
+	reused         bool        // a request was awaited on this connection before
+	requestCharged bool        // a request is active, or was since the lease was last shrunk
+	aborted        atomic.Bool // the caller was disconnected because it does not read
 }
 
 var (
@@ -83,7 +83,7 @@
 	_ syscall.Conn = (*callerConn)(nil)
 )
 
-func newCaller(r *Relay, conn net.Conn) *callerConn {
+func newCallerConn(r *Relay, conn net.Conn) *callerConn {
 	c := &callerConn{Conn: conn, relay: r, lease: r.account.Lease()}
 	if sc, ok := conn.(syscall.Conn); ok {
 		c.raw, _ = sc.SyscallConn() // raw is nil on an error
@@ -136,11 +136,11 @@
 	if err != nil {
 		return n, err
 	}
-	headWait := limits.HeaderWait
-	if headWait == 0 {
-		headWait = readTimeout
+	headerWait := limits.HeaderWait
+	if headerWait == 0 {
+		headerWait = readTimeout
 	}
-	_ = c.SetReadDeadline(time.Now().Add(headWait))
+	_ = c.SetReadDeadline(time.Now().Add(headerWait))
 	c.collect(first[0])
 	return n, nil
 }
@@ -156,7 +156,7 @@
 // releaseRequest releases the memory charged for the previous request.
 func (c *callerConn) releaseRequest() {
 	c.lease.Shrink(callerBytes)
-	c.memoryShare, c.requestID, c.answerDeadline, c.requestCharged = leastShare, "", time.Time{}, false
+	c.memoryShare, c.requestID, c.writeDeadline, c.requestCharged = leastShare, "", time.Time{}, false
 }
 
 // collect reads a request until it can be passed to the server.
--- a/relay/callerwrite.go
+++ b/relay/callerwrite.go
@@ -17,9 +17,9 @@
 	writeStallTimeout = 2 * time.Second
 	// writeCheckInterval is the interval at which a blocked write checks for progress.
 	writeCheckInterval = 250 * time.Millisecond
-	// lateAnswerTimeout is how long after its deadline a request's response may still be written,
+	// lateWriteTimeout is how long after its deadline a request's response may still be written,
 	// however slowly.
-	lateAnswerTimeout = 10 * time.Second
+	lateWriteTimeout = 10 * time.Second
 )
 
 // errNotReading reports that a caller does not read its response.
@@ -76,7 +76,7 @@
 			return sent, err
 		case now.Sub(taken) >= writeStallTimeout:
 			return sent, c.cutOff(len(p)-sent, "takes nothing")
-		case !c.answerDeadline.IsZero() && now.After(c.answerDeadline):
+		case !c.writeDeadline.IsZero() && now.After(c.writeDeadline):
 			return sent, c.cutOff(len(p)-sent, "too slow")
 		}
 	}
--- a/relay/documentwait.go
+++ b/relay/documentwait.go
@@ -23,23 +23,23 @@
 // first. Most callers of a box that has just started lost their connection when its previous process
 // ended, and their next attempt is often the last: a refusal sent 0.2 s before the box could serve
 // would fail the request.
-func (r *Relay) awaitDocument(q *request, conn net.Conn) (doc *route.Document, left bool) {
+func (r *Relay) awaitDocument(q *request, conn net.Conn) (doc *route.Document, disconnected bool) {
 	if d := r.belief.document(); d != nil {
 		return d, false
 	}
-	hold := maxDocumentWait
+	maxWait := maxDocumentWait
 	if q.timeLeft > 0 {
-		hold = min(hold, q.timeLeft/documentWaitDivisor)
+		maxWait = min(maxWait, q.timeLeft/documentWaitDivisor)
 	}
 	r.stats.count("held_starting")
-	timer := time.NewTimer(hold)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
-	gone := make(chan struct{})
-	watch := watchDisconnect(conn, func() { close(gone) })
+	callerGone := make(chan struct{})
+	watch := watchDisconnect(conn, func() { close(callerGone) })
 	select {
 	case <-r.belief.known:
 	case <-timer.C:
-	case <-gone:
+	case <-callerGone:
 	}
 	watch.stop()
 	return r.belief.document(), watch.disconnected.Load()
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -46,7 +46,7 @@
 	replacement    string                // ID of the upstream that sent it, if another one than addressed
 	ticket         *balance.Ticket
 	upstream       balance.Upstream
-	fetchOffered   bool          // the upstream was told another one that has the prompt cached
+	fetchOffered   bool          // the upstream was told of another one that has the prompt cached
 	prefixCached   bool          // the upstream is assumed to have the prompt's shared prefix cached
 	backlog        int           // prompt tokens that the upstream has to process first
 	tooLate        bool          // it would have been served too late
--- a/relay/move.go
+++ b/relay/move.go
@@ -69,13 +69,13 @@
 	}
 	p := balance.Progress{Events: x.events.total, Between: x.pace.recent, Left: x.timeLeft()}
 	q := x.placement()
-	m, aside := x.planMove(q, p)
-	if aside == nil {
+	m, reservation := x.planMove(q, p)
+	if reservation == nil {
 		return
 	}
 	r.cfg.Log.Event("run", "moves", Fields{"id": x.request.id, "upstream": x.upstream.ID, "to": m.To.ID, "events": p.Events,
 		"here_ms": m.Here.Milliseconds(), "there_ms": m.There.Milliseconds(), "left_ms": p.Left.Milliseconds()})
-	x.move = &move{from: x.upstream, to: m.To, copied: make(chan RunCopy, 1), reservation: aside}
+	x.move = &move{from: x.upstream, to: m.To, copied: make(chan RunCopy, 1), reservation: reservation}
 	go r.requestCopy(x.move, x.request.id, x.service)
 }
 
@@ -158,7 +158,7 @@
 	x.upstream = m.liesAt(c)
 	x.openMoved()
 	params := x.nextRun("")
-	params.memory = c.Memory
+	params.runCopy = c.Memory
 	if state, _ := x.send(params); state != runAnswered {
 		x.relay.discardCopy(m, c, x)
 		return false
@@ -215,7 +215,7 @@
 }
 
 // buildCall serializes a call to an upstream.
-func (r *Relay) buildCall(u balance.Upstream, call UpstreamCall) outgoing {
+func (r *Relay) buildCall(u balance.Upstream, call UpstreamCall) outgoingRequest {
 	var req fasthttp.Request
 	req.Header.SetMethod(call.Method)
 	req.SetRequestURI(call.Path)
@@ -225,5 +225,5 @@
 		req.Header.SetContentType("application/json")
 	}
 	req.Header.SetContentLength(len(call.Body))
-	return outgoing{head: req.Header.Header(), body: call.Body}
+	return outgoingRequest{head: req.Header.Header(), body: call.Body}
 }
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -52,8 +52,8 @@
 
 // failedResponse is a 5xx response of an upstream. The caller gets it if no other upstream succeeds.
 type failedResponse struct {
-	answer *response
-	body   []byte
+	response *response
+	body     []byte
 }
 
 // lastFailure returns the body of the error response to forward to the caller, if there is one.
@@ -61,7 +61,7 @@
 	if x.failure == nil || x.ctx.Err() != nil {
 		return nil, false
 	}
-	x.response = x.failure.answer
+	x.response = x.failure.response
 	return x.failure.body, true
 }
 
--- a/relay/outgoing.go
+++ b/relay/outgoing.go
@@ -19,17 +19,17 @@
 
 // runParams are the parameters that differ between the runs of a request.
 type runParams struct {
-	upstream balance.Upstream
-	timeLeft time.Duration
-	urgency  int
-	customer *route.Customer
-	fetch    string // IP:port of an upstream that has the prompt cached, or empty
-	memory   string // copy of a run's memory from which to continue, or empty
-	lastSeen string // ID of the last event that the caller has received, or empty
+	upstream    balance.Upstream
+	timeLeft    time.Duration
+	urgency     int
+	customer    *route.Customer
+	fetchFrom   string // IP:port of an upstream that has the prompt cached, or empty
+	runCopy     string // copy of a run's memory from which to continue, or empty
+	lastEventID string // ID of the last event that the caller has received, or empty
 }
 
-// outgoing builds the request of a run.
-func (r *Relay) outgoing(q *request, params runParams) outgoing {
+// buildRequest builds the request of a run.
+func (r *Relay) buildRequest(q *request, params runParams) outgoingRequest {
 	p := &r.cfg.Protocol
 	var b bytes.Buffer
 	b.WriteString(q.method + " " + q.uri + " HTTP/1.1\r\n")
@@ -42,15 +42,15 @@
 	}
 	if len(q.prompt.Parts) > 0 {
 		writeHeader(&b, p.Priority, strconv.Itoa(params.urgency))
-		writeHeader(&b, p.FetchFrom, params.fetch)
-		writeHeader(&b, p.KVHandle, params.memory)
+		writeHeader(&b, p.FetchFrom, params.fetchFrom)
+		writeHeader(&b, p.KVHandle, params.runCopy)
 	}
-	writeHeader(&b, p.LastEvent, params.lastSeen)
+	writeHeader(&b, p.LastEvent, params.lastEventID)
 	if len(q.body) > 0 || q.method != fasthttp.MethodGet && q.method != fasthttp.MethodHead {
 		writeHeader(&b, "Content-Length", strconv.Itoa(len(q.body)))
 	}
 	b.WriteString("\r\n")
-	return outgoing{head: b.Bytes(), body: q.body, id: q.id}
+	return outgoingRequest{head: b.Bytes(), body: q.body, id: q.id}
 }
 
 // writeHeader writes a header line, unless the name or the value is empty.
@@ -64,8 +64,8 @@
 	b.WriteString("\r\n")
 }
 
-// outgoing is a serialized request.
-type outgoing struct {
+// outgoingRequest is a serialized request.
+type outgoingRequest struct {
 	head []byte
 	body []byte
 	id   string // request ID, which the response repeats
@@ -83,7 +83,7 @@
 }
 
 // send writes the request; one larger than asyncBodyBytes is written in the background.
-func (c *conn) send(o outgoing) *requestWrite {
+func (c *conn) send(o outgoingRequest) *requestWrite {
 	s := &requestWrite{began: time.Now(), done: make(chan error, 1)}
 	if len(o.head)+len(o.body) <= asyncBodyBytes {
 		_, err := c.Write(slices.Concat(o.head, o.body))
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -77,15 +77,15 @@
 
 // writeRefusal writes the response. Statuses 502 and 504 refer to an upstream, so the request may have
 // run.
-func writeRefusal(ctx *fasthttp.RequestCtx, f refusal) {
-	body := refusalBody{Error: f.reason, Ran: "no"}
-	if f.status == fasthttp.StatusBadGateway || f.status == fasthttp.StatusGatewayTimeout {
+func writeRefusal(ctx *fasthttp.RequestCtx, refused refusal) {
+	body := refusalBody{Error: refused.reason, Ran: "no"}
+	if refused.status == fasthttp.StatusBadGateway || refused.status == fasthttp.StatusGatewayTimeout {
 		body.Ran = "unknown"
 	}
 	ctx.Response.ResetBody()
-	ctx.SetStatusCode(f.status)
-	if f.retryAfter > 0 {
-		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 2, 64))
+	ctx.SetStatusCode(refused.status)
+	if refused.retryAfter > 0 {
+		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 2, 64))
 	}
 	ctx.SetContentType("application/json")
 	text, err := json.Marshal(body)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -32,7 +32,8 @@
 	Link              float64           // bandwidth of the box's network link in bytes per second; 0: unknown
 	Timing            group.Timing
 	Protocol          Protocol
-	// Publisher provides the routing document and the list of upstreams as items, which Decode parses.
+	// Publisher provides the routing document and the list of upstreams as items; Decode parses one
+	// item.
 	Publisher mirror.Publisher
 	Decode    func(mirror.Item) (Update, error)
 	Log       *Log // not closed by the relay
@@ -80,7 +81,7 @@
 	account      *account.Account // memory used for callers and upstreams
 	conns        *conns
 	stats        stats
-	callerServer *front
+	callerServer *callerServer
 
 	members    *members
 	pullClient *http.Client
@@ -130,7 +131,7 @@
 	r.budgets = balance.NewBudgets(cfg.Budget, r.now(), cfg.FirstStart)
 	r.conns = newConns(r.connectionCap)
 	r.conns.cameUp = r.noteWay
-	r.callerServer = newFront(r)
+	r.callerServer = newCallerServer(r)
 	var err error
 	if r.members, err = newMembers(r); err != nil {
 		cancel()
@@ -160,11 +161,11 @@
 const maxTasks = 8
 
 // startTask runs f in a goroutine and sends the task's name to endedTasks when f returns.
-func (r *Relay) startTask(duty string, f func()) {
+func (r *Relay) startTask(name string, f func()) {
 	r.runningTasks++
 	go func() {
 		f()
-		r.endedTasks <- duty
+		r.endedTasks <- name
 	}()
 }
 
--- a/relay/response.go
+++ b/relay/response.go
@@ -29,7 +29,7 @@
 const maxForeignResponses = 2
 
 // roundTrip makes a call of the box itself on a connection and reads the header of the response.
-func (r *Relay) roundTrip(c *conn, o outgoing) (*response, error) {
+func (r *Relay) roundTrip(c *conn, o outgoingRequest) (*response, error) {
 	if r.isPaused(c.life) {
 		return nil, errNotAccepting
 	}
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -136,7 +136,7 @@
 // read or the first events of the stream are pending.
 func (x *exchange) send(params runParams) (runState, []byte) {
 	x.triedInstances = append(x.triedInstances, x.upstream.Incarnation())
-	state, a, err := x.attempt(x.relay.outgoing(x.request, params))
+	state, resp, err := x.attempt(x.relay.buildRequest(x.request, params))
 	if errors.Is(err, errNotAccepting) {
 		x.triedInstances = x.triedInstances[:len(x.triedInstances)-1] // it may wait for this upstream's pause
 	}
@@ -145,7 +145,7 @@
 	}
 	var body []byte
 	if state == runAnswered {
-		state, body, err = x.accept(a)
+		state, body, err = x.accept(resp)
 	}
 	if state != runAnswered {
 		x.recordFailure(state, err)
@@ -157,15 +157,15 @@
 // prompt can be fetched.
 func (x *exchange) nextRun(fetch string) runParams {
 	params := runParams{
-		upstream: x.upstream,
-		timeLeft: x.timeLeft(),
-		urgency:  x.urgency,
-		customer: x.customer,
-		fetch:    fetch,
-		lastSeen: x.request.lastEventID,
+		upstream:    x.upstream,
+		timeLeft:    x.timeLeft(),
+		urgency:     x.urgency,
+		customer:    x.customer,
+		fetchFrom:   fetch,
+		lastEventID: x.request.lastEventID,
 	}
 	if x.events != nil && x.events.hasEvents {
-		params.lastSeen = formatID(x.events.lastID)
+		params.lastEventID = formatID(x.events.lastID)
 	}
 	return params
 }
--- a/relay/runs_test.go
+++ b/relay/runs_test.go
@@ -21,7 +21,7 @@
 		return false
 	}
 	garbage := func(c net.Conn, _ stubRequest) bool {
-		writeWire(c, "\x01\x02 what is this, surely no answer\n\n")
+		writeWire(c, "\x01\x02 this is not an HTTP response\n\n")
 		return false
 	}
 	foreign := func(c net.Conn, _ stubRequest) bool {
--- a/relay/server.go
+++ b/relay/server.go
@@ -26,14 +26,14 @@
 )
 
 // callerServer serves callers and the load balancer's readiness checks.
-type front struct {
+type callerServer struct {
 	relay  *Relay
 	server *fasthttp.Server
 	ready  *fasthttp.Server
 }
 
-func newFront(r *Relay) *front {
-	f := &front{relay: r}
+func newCallerServer(r *Relay) *callerServer {
+	f := &callerServer{relay: r}
 	f.server = &fasthttp.Server{
 		Handler:                       f.handle,
 		ErrorHandler:                  f.handleReadError,
@@ -64,15 +64,15 @@
 // Printf implements fasthttp.Logger.
 func (noLogger) Printf(string, ...any) {}
 
-func (f *front) serve(l net.Listener) {
+func (f *callerServer) serve(l net.Listener) {
 	boundCallers(l)
 	_ = f.server.Serve(callerListener{l, f.relay})
 }
 
-func (f *front) serveReady(l net.Listener) { _ = f.ready.Serve(l) }
+func (f *callerServer) serveReady(l net.Listener) { _ = f.ready.Serve(l) }
 
 // close stops accepting connections, closes idle ones and waits for the others until ctx ends.
-func (f *front) close(ctx context.Context) error {
+func (f *callerServer) close(ctx context.Context) error {
 	err := f.server.ShutdownWithContext(ctx)
 	if closeErr := f.relay.cfg.ReadinessListener.Close(); err == nil {
 		err = closeErr
@@ -80,7 +80,7 @@
 	return err
 }
 
-func (f *front) handleReady(ctx *fasthttp.RequestCtx) {
+func (f *callerServer) handleReady(ctx *fasthttp.RequestCtx) {
 	if !f.relay.Ready() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
@@ -88,7 +88,7 @@
 
 // handleExpect decides on a request with "Expect: 100-continue" whether its caller is to send the
 // body.
-func (f *front) handleExpect(ctx *fasthttp.RequestCtx) int {
+func (f *callerServer) handleExpect(ctx *fasthttp.RequestCtx) int {
 	if c := callerOf(ctx); c != nil && c.readErr != nil {
 		f.refuseForMemory(ctx, c)
 		return fasthttp.StatusServiceUnavailable
@@ -97,14 +97,14 @@
 }
 
 // refuseForMemory refuses a request for lack of memory and closes its connection.
-func (f *front) refuseForMemory(ctx *fasthttp.RequestCtx, c *callerConn) {
+func (f *callerServer) refuseForMemory(ctx *fasthttp.RequestCtx, c *callerConn) {
 	f.relay.logTurnedAway(c.requestID, "request")
 	ctx.SetConnectionClose()
 	f.relay.sendRefusal(ctx, &request{id: c.requestID}, refusal{fasthttp.StatusServiceUnavailable, shortReason, defaultRetryAfter})
 }
 
 // handleReadError answers input that could not be read as a request.
-func (f *front) handleReadError(ctx *fasthttp.RequestCtx, err error) {
+func (f *callerServer) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	if c := callerOf(ctx); c != nil && errors.Is(c.readErr, errShort) {
 		f.refuseForMemory(ctx, c)
 		return
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// acceptLinger is how long a stopping box still accepts connections: two missed readiness checks, 1
-	// s each, and a margin.
+	// acceptLinger is how long a stopping box still accepts connections: two missed readiness
+	// checks, one per second, and a margin.
 	acceptLinger = 2500 * time.Millisecond
 	// graceMargin is the part of the grace period that is reserved for the end of the process.
 	graceMargin = 500 * time.Millisecond
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -110,7 +110,7 @@
 
 // resume continues a stream on another upstream after its run failed.
 func (x *exchange) resume(cause error) bool {
-	head := x.response
+	previous := x.response
 	if x.silent.Load() {
 		cause = errSilent
 	}
@@ -121,7 +121,7 @@
 		if !ok {
 			return false
 		}
-		if state, _ := x.runOn(choice); state == runAnswered && x.response != head {
+		if state, _ := x.runOn(choice); state == runAnswered && x.response != previous {
 			x.relay.stats.count("streams_resumed")
 			return true
 		}
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -142,7 +142,7 @@
 // fakePublisher is a publisher whose items the test sets.
 type fakePublisher struct {
 	mu          sync.Mutex
-	copy        *mirror.Mirror
+	mirror      *mirror.Mirror
 	changed     chan struct{}
 	unavailable bool
 }
@@ -152,8 +152,8 @@
 var errUnavailable = errors.New("down")
 
 func newFakePublisher() *fakePublisher {
-	b := &fakePublisher{copy: mirror.New(), changed: make(chan struct{})}
-	b.copy.Load(nil, 1)
+	b := &fakePublisher{mirror: mirror.New(), changed: make(chan struct{})}
+	b.mirror.Load(nil, 1)
 	return b
 }
 
@@ -164,8 +164,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.copy.Revision()
-	b.copy.Apply(r, r+1, []mirror.Item{{Key: key, Value: value, Revision: r + 1, Gone: gone}})
+	r := b.mirror.Revision()
+	b.mirror.Apply(r, r+1, []mirror.Item{{Key: key, Value: value, Revision: r + 1, Gone: gone}})
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
@@ -176,13 +176,13 @@
 	if b.unavailable {
 		return nil, 0, errUnavailable
 	}
-	return b.copy.Items(), b.copy.Revision(), nil
+	return b.mirror.Items(), b.mirror.Revision(), nil
 }
 
 func (b *fakePublisher) Changes(ctx context.Context, after uint64, wait time.Duration) ([]mirror.Item, uint64, error) {
 	b.mu.Lock()
 	changed := b.changed
-	now := b.copy.Revision()
+	now := b.mirror.Revision()
 	b.mu.Unlock()
 	if now == after {
 		select {
@@ -197,11 +197,11 @@
 	if b.unavailable {
 		return nil, 0, errUnavailable
 	}
-	items, ok := b.copy.Since(after)
+	items, ok := b.mirror.Since(after)
 	if !ok {
 		return nil, 0, mirror.ErrForgotten
 	}
-	return items, b.copy.Revision(), nil
+	return items, b.mirror.Revision(), nil
 }
 
 // decodeItem decodes the published items: the document, an evacuated domain, or an upstream, whose key
--- a/relay/suspension.go
+++ b/relay/suspension.go
@@ -38,13 +38,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	boot := r.cfg.Clock.Boot() // read first: a delay between the two readings must not look like a suspension
-	slept := boot - r.startBoot - time.Since(r.startedAt)
+	suspended := boot - r.startBoot - time.Since(r.startedAt)
 	before := time.Duration(r.suspendedFor.Load())
-	if slept-before < minSuspension {
+	if suspended-before < minSuspension {
 		return
 	}
-	r.suspendedFor.Store(int64(slept))
-	r.cfg.Log.Event("box", "was suspended", Fields{"for_ms": (slept - before).Milliseconds(), "open": r.stats.open.Load()})
+	r.suspendedFor.Store(int64(suspended))
+	r.cfg.Log.Event("box", "was suspended", Fields{"for_ms": (suspended - before).Milliseconds(), "open": r.stats.open.Load()})
 	for x := range r.runConns {
 		x.cancelAtDeadline()
 	}
