--- a/group/changes_test.go
+++ b/group/changes_test.go
@@ -37,11 +37,11 @@
 			r := w.published.Revision()
 			w.published.Apply(r, r+uint64(changes), upstreamEntries(changes, r+1))
 			w.run(100 * time.Millisecond)
-			w.calls, w.snapshotsPulled = 0, 0
+			w.publisherCalls, w.snapshotsPulled = 0, 0
 			w.run(400 * time.Millisecond)
 			is.Equal(w.staleBoxes(), nil)
 			is.Equal(w.snapshotsPulled, 0)
-			is.True(w.calls <= 4) // of the box that reads for all
+			is.True(w.publisherCalls <= 4) // of the box that reads for all
 		})
 	}
 }
@@ -132,7 +132,7 @@
 	w.run(4 * time.Second)
 	is.Equal(w.staleBoxes(), nil)
 	random := rand.New(rand.NewPCG(1, 2))
-	w.calls, w.snapshotsPulled, w.pages.calls = 0, 0, 0
+	w.publisherCalls, w.snapshotsPulled, w.pages.calls = 0, 0, 0
 	for range 3 {
 		document := make([]byte, 4*maxItemBytes)
 		for i := range document {
--- a/group/domain_bench_test.go
+++ b/group/domain_bench_test.go
@@ -18,8 +18,8 @@
 					w := newSimulation(b, 1)
 					w.startFleet(1, boxes)
 					w.run(5 * time.Second)
-					w.bytes, w.calls = 0, 0
-					clear(w.sent)
+					w.totalBytes, w.publisherCalls = 0, 0
+					clear(w.bytesByBox)
 					const span = 10
 					for s := range span * 5 {
 						if busy {
@@ -27,10 +27,10 @@
 						}
 						w.run(200 * time.Millisecond)
 					}
-					lead := w.sent[boxName(0, 0)]
-					b.ReportMetric(float64(lead)/span, "lead-B/s")
-					b.ReportMetric(float64(w.bytes-lead)/span/float64(boxes-1), "member-B/s")
-					b.ReportMetric(float64(w.calls)/span, "calls/s")
+					leaderBytes := w.bytesByBox[boxName(0, 0)]
+					b.ReportMetric(float64(leaderBytes)/span, "lead-B/s")
+					b.ReportMetric(float64(w.totalBytes-leaderBytes)/span/float64(boxes-1), "member-B/s")
+					b.ReportMetric(float64(w.publisherCalls)/span, "calls/s")
 				}
 			})
 		}
--- a/group/fatal_replay_test.go
+++ b/group/fatal_replay_test.go
@@ -12,12 +12,12 @@
 
 // fatalRun is one execution of the fatal request at an upstream, which crashes under it.
 type fatalRun struct {
-	box      *testBox
-	name     string // of the box
-	life     balance.Incarnation
-	startsAt time.Duration
-	endsAt   time.Duration
-	mayRetry bool // the box may send the request once more
+	box         *testBox
+	name        string // of the box
+	incarnation balance.Incarnation
+	startsAt    time.Duration
+	endsAt      time.Duration
+	mayRetry    bool // the box may send the request once more
 }
 
 // fatalReplay replays a request that crashes every upstream it runs on, with boxes that withhold
@@ -70,8 +70,8 @@
 	default:
 		d.crashedAt = append(d.crashedAt, d.sim.now)
 		if running {
-			d.tables[r.name].CutOff(d.sim.now, fatalContent, r.life)
-			d.tables[r.name].Ended(d.sim.now, r.life)
+			d.tables[r.name].CutOff(d.sim.now, fatalContent, r.incarnation)
+			d.tables[r.name].Ended(d.sim.now, r.incarnation)
 			if r.mayRetry {
 				d.send(r.name, false)
 			}
@@ -92,7 +92,7 @@
 }
 
 // killAll stops all boxes at once and starts them again, one after the other, a second later.
-func (d *fatalReplay) killAll() {
+func (d *fatalReplay) restartAll() {
 	for _, name := range d.sim.names {
 		d.sim.boxes[name].dead = true
 	}
@@ -151,7 +151,7 @@
 				is.True(len(d.crashedAt) <= test.maxCrashes)
 				third := d.crashedAt[min(2, len(d.crashedAt)-1)]
 				is.Equal(d.sentAfter(third+recoveryBound), 0)
-				d.killAll()
+				d.restartAll()
 				restarted := d.sim.now
 				d.nextArrival = restarted + quietPeriod
 				d.advance(10 * time.Second)
--- a/group/fleet_test.go
+++ b/group/fleet_test.go
@@ -47,12 +47,12 @@
 	t.Logf("half of the boxes after %v, all after %v, %d pages", known[len(known)/2], known[len(known)-1], w.pages.calls)
 	is.Equal(w.staleBoxes(), nil)
 	is.True(w.pages.calls < 585*w.pages.pages/3)
-	w.calls, w.snapshotsPulled = 0, 0
+	w.publisherCalls, w.snapshotsPulled = 0, 0
 	w.changeEntries(150)
 	w.run(400 * time.Millisecond)
 	is.Equal(w.staleBoxes(), nil)
 	is.Equal(w.snapshotsPulled, 0)
-	is.True(w.calls < 10) // of the box that reads for all
+	is.True(w.publisherCalls < 10) // of the box that reads for all
 }
 
 // BenchmarkFleetRestart measures, after a restart of all boxes at once, when half, 99 % and all
@@ -96,7 +96,7 @@
 	w.publishEntries(6000)
 	w.restartAll()
 	w.run(8 * time.Second)
-	w.bytes, w.pages.calls, w.calls, w.snapshotsPulled = 0, 0, 0, 0
+	w.totalBytes, w.pages.calls, w.publisherCalls, w.snapshotsPulled = 0, 0, 0, 0
 	w.changeEntries(changes)
 	start := w.now
 	for len(w.staleBoxes()) > 0 && w.now-start < 10*time.Second {
@@ -104,8 +104,8 @@
 	}
 	b.ReportMetric(float64((w.now - start).Milliseconds()), "all-ms")
 	b.ReportMetric(float64(w.snapshotsPulled), "pulls")
-	b.ReportMetric(float64(w.bytes), "bytes")
-	b.ReportMetric(float64(w.pages.calls+w.calls), "calls")
+	b.ReportMetric(float64(w.totalBytes), "bytes")
+	b.ReportMetric(float64(w.pages.calls+w.publisherCalls), "calls")
 }
 
 // At the first start of a fleet, pulls by hundreds of boxes take longer than a second. When boxes
--- a/group/fleettraffic_bench_test.go
+++ b/group/fleettraffic_bench_test.go
@@ -26,14 +26,14 @@
 	t := newWorkload(startRegions(b, 1, l, boxes), l)
 	t.perSecond, t.upstreams, t.localShare, t.newPartShare = 1, 10*boxes, 0.2, 1
 	t.advance(2 * time.Second)
-	clear(t.sent)
+	clear(t.bytesByBox)
 	clear(t.bytesByKind)
 	clear(t.messagesByKind)
 	const span = 3.0
 	t.advance(span * time.Second)
 	var sent []int
 	for _, name := range t.names {
-		sent = append(sent, t.sent[name])
+		sent = append(sent, t.bytesByBox[name])
 	}
 	slices.Sort(sent)
 	b.ReportMetric(float64(sent[len(sent)-1])/span, "busiest-B/s")
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -35,12 +35,12 @@
 
 // responseHead is the head of a response in transit to a box.
 type responseHead struct {
-	box       *testBox
-	name      string // of the box
-	life      balance.Incarnation
-	statement balance.LimitStatement
-	at        time.Duration
-	finish    func()
+	box         *testBox
+	name        string // of the box
+	incarnation balance.Incarnation
+	statement   balance.LimitStatement
+	at          time.Duration
+	finish      func()
 }
 
 // limitReplayConfig configures a limitReplay.
@@ -55,7 +55,7 @@
 // limitReplay replays requests at boxes whose upstreams announce limits, on a virtual clock.
 type limitReplay struct {
 	cfg            limitReplayConfig
-	w              *simulation
+	sim            *simulation
 	upstreams      []*limitedUpstream
 	fleets         map[string]*balance.Fleet
 	fleetBoxes     map[string]*testBox
@@ -74,7 +74,7 @@
 func newLimitReplay(t testing.TB, cfg limitReplayConfig) *limitReplay {
 	w := newSimulation(t, cfg.seed)
 	w.seeds = []string{"b0", "b1", "b2"}
-	d := &limitReplay{cfg: cfg, w: w, fleets: make(map[string]*balance.Fleet), fleetBoxes: make(map[string]*testBox),
+	d := &limitReplay{cfg: cfg, sim: w, fleets: make(map[string]*balance.Fleet), fleetBoxes: make(map[string]*testBox),
 		disturbedUntil: make(map[string]time.Duration)}
 	for i := range cfg.upstreams {
 		d.upstreams = append(d.upstreams, &limitedUpstream{limit: -1, Upstream: balance.Upstream{ID: fmt.Sprint("u", i), Service: "s",
@@ -90,7 +90,7 @@
 
 // fleetOf returns the balance.Fleet of a box, which is new after each restart.
 func (d *limitReplay) fleetOf(name string) *balance.Fleet {
-	b := d.w.boxes[name]
+	b := d.sim.boxes[name]
 	if d.fleetBoxes[name] == b {
 		return d.fleets[name]
 	}
@@ -101,7 +101,7 @@
 	off := balance.Off{balance.Limits: d.cfg.limitsDisabled}
 	f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Regions: regions, Tuning: balance.DefaultTuning, Named: limitBounds, Off: off})
 	for _, u := range d.upstreams {
-		f.Put(d.w.now, u.Upstream)
+		f.Put(d.sim.now, u.Upstream)
 	}
 	d.fleets[name], d.fleetBoxes[name] = f, b
 	return f
@@ -109,11 +109,11 @@
 
 // advance runs the simulation for a while.
 func (d *limitReplay) advance(span time.Duration) {
-	for end := d.w.now + span; d.w.now < end; {
-		d.w.run(step)
+	for end := d.sim.now + span; d.sim.now < end; {
+		d.sim.run(step)
 		d.syncFleets()
 		d.deliverHeads()
-		for ; d.w.now >= d.nextArrival; d.nextArrival += time.Duration(float64(time.Second) / d.cfg.perSecond) {
+		for ; d.sim.now >= d.nextArrival; d.nextArrival += time.Duration(float64(time.Second) / d.cfg.perSecond) {
 			d.arrive()
 		}
 	}
@@ -121,9 +121,9 @@
 
 // syncFleets exchanges limits between the boxes' fleets and nodes, as a box does.
 func (d *limitReplay) syncFleets() {
-	now := d.w.now
-	for i, name := range d.w.names {
-		b := d.w.boxes[name]
+	now := d.sim.now
+	for i, name := range d.sim.names {
+		b := d.sim.boxes[name]
 		if b.dead || b.frozen {
 			continue
 		}
@@ -140,22 +140,22 @@
 			b.node.SetLimits(f.NamedAll(now))
 		}
 		b.node.FlushLimits(now)
-		d.w.sendOutgoing(b)
+		d.sim.sendOutgoing(b)
 	}
 }
 
 // arrive handles a new request at a random box.
 func (d *limitReplay) arrive() {
 	d.arrivals++
-	name := d.w.names[d.w.random.IntN(len(d.w.names))]
-	b := d.w.boxes[name]
+	name := d.sim.names[d.sim.random.IntN(len(d.sim.names))]
+	b := d.sim.boxes[name]
 	if b.dead || b.frozen {
 		return
 	}
-	f, now := d.fleetOf(name), d.w.now
+	f, now := d.fleetOf(name), d.sim.now
 	r := balance.Request{Service: "s", Urgency: d.arrivals % 2}
 	if d.cfg.prompts {
-		r.Parts, r.Tokens = []balance.Part{{ID: d.w.random.Uint64(), Tokens: 500}, {ID: d.w.random.Uint64(), Tokens: 100}}, 600
+		r.Parts, r.Tokens = []balance.Part{{ID: d.sim.random.Uint64(), Tokens: 500}, {ID: d.sim.random.Uint64(), Tokens: 100}}, 600
 	}
 	choice, ok := f.Place(now, r, nil)
 	if !ok {
@@ -165,26 +165,26 @@
 	d.placed[r.Urgency]++
 	ticket := f.Open(now, choice.Upstream.ID, r)
 	u := d.upstreams[slices.IndexFunc(d.upstreams, func(u *limitedUpstream) bool { return u.ID == choice.Upstream.ID })]
-	receivedAt := now + time.Duration(1+d.w.random.IntN(20))*time.Millisecond
-	readAt := receivedAt + time.Duration(20+d.w.random.IntN(100))*time.Millisecond
+	receivedAt := now + time.Duration(1+d.sim.random.IntN(20))*time.Millisecond
+	readAt := receivedAt + time.Duration(20+d.sim.random.IntN(100))*time.Millisecond
 	u.requests = append(u.requests, receivedRequest{receivedAt, name})
 	statement := balance.LimitStatement{Named: u.limit >= 0, PerSecond: max(u.limit, 0), Sent: now, Read: readAt}
 	if statement.Named && u.announcedAt == 0 {
 		u.announcedAt = readAt
 	}
-	d.heads = append(d.heads, responseHead{box: b, name: name, life: u.Incarnation(), statement: statement, at: readAt, finish: func() { ticket.Close(d.w.now, balance.Answered) }})
+	d.heads = append(d.heads, responseHead{box: b, name: name, incarnation: u.Incarnation(), statement: statement, at: readAt, finish: func() { ticket.Close(d.sim.now, balance.Answered) }})
 }
 
 // deliverHeads delivers the response heads that are due.
 func (d *limitReplay) deliverHeads() {
 	d.heads = slices.DeleteFunc(d.heads, func(h responseHead) bool {
-		b := d.w.boxes[h.name]
+		b := d.sim.boxes[h.name]
 		switch {
-		case h.at > d.w.now, b == h.box && b.frozen:
+		case h.at > d.sim.now, b == h.box && b.frozen:
 			return false
 		case b == h.box && !b.dead:
-			h.statement.Read = d.w.now
-			d.fleetOf(h.name).NoteLimitStatement(d.w.now, h.life, h.statement)
+			h.statement.Read = d.sim.now
+			d.fleetOf(h.name).NoteLimitStatement(d.sim.now, h.incarnation, h.statement)
 			h.finish()
 		}
 		return true
@@ -193,7 +193,7 @@
 
 // markDisturbed marks a box as out of contact for a while.
 func (d *limitReplay) markDisturbed(name string, span time.Duration) {
-	d.disturbedUntil[name] = max(d.disturbedUntil[name], d.w.now+span)
+	d.disturbedUntil[name] = max(d.disturbedUntil[name], d.sim.now+span)
 }
 
 // maxInSpan returns the largest number of requests that an upstream received within limitSpan,
@@ -234,22 +234,22 @@
 
 // restart stops a box and starts it again after a while.
 func (d *limitReplay) restart(name string, after time.Duration) {
-	b := d.w.boxes[name]
+	b := d.sim.boxes[name]
 	b.dead = true
 	d.markDisturbed(name, after+recoveryBound)
 	d.advance(after)
-	d.w.start(name, b.self.Domain, b.self.Strength, false)
+	d.sim.start(name, b.self.Domain, b.self.Strength, false)
 }
 
 // limitFaults are the faults that occur while upstreams announce limits.
 var limitFaults = []struct {
-	name string
-	do   func(d *limitReplay)
+	name  string
+	apply func(d *limitReplay)
 }{
 	{"no fault", func(d *limitReplay) { d.advance(15 * time.Second) }},
 	{"boxes restart one after the other", func(d *limitReplay) {
 		d.advance(5 * time.Second)
-		for _, name := range d.w.names[:min(6, len(d.w.names))] {
+		for _, name := range d.sim.names[:min(6, len(d.sim.names))] {
 			d.restart(name, 700*time.Millisecond)
 			d.advance(500 * time.Millisecond)
 		}
@@ -257,26 +257,26 @@
 	}},
 	{"a leader stops right after it learned a limit", func(d *limitReplay) {
 		d.advance(50 * time.Millisecond)
-		d.w.boxes["b0"].dead = true
+		d.sim.boxes["b0"].dead = true
 		d.markDisturbed("b0", time.Hour)
 		d.advance(12 * time.Second)
 	}},
 	{"a domain is cut off from the others", func(d *limitReplay) {
 		d.advance(100 * time.Millisecond)
-		d.w.cutDomains["d1"] = true
+		d.sim.cutDomains["d1"] = true
 		d.advance(20 * time.Second)
-		d.w.cutDomains["d1"] = false
+		d.sim.cutDomains["d1"] = false
 		d.advance(8 * time.Second)
 	}},
 	{"a box is frozen", func(d *limitReplay) {
-		d.w.boxes["b1"].frozen = true
+		d.sim.boxes["b1"].frozen = true
 		d.markDisturbed("b1", 4*time.Second+recoveryBound)
 		d.advance(4 * time.Second)
-		d.w.boxes["b1"].frozen = false
+		d.sim.boxes["b1"].frozen = false
 		d.advance(8 * time.Second)
 	}},
 	{"half of all messages are lost", func(d *limitReplay) {
-		d.w.loss = 0.5
+		d.sim.lossRate = 0.5
 		d.advance(15 * time.Second)
 	}},
 }
@@ -291,7 +291,7 @@
 				for i, limit := range []float64{3.3, 1.5, 1, 0.5} {
 					d.upstreams[i].limit = limit
 				}
-				test.do(d)
+				test.apply(d)
 				for _, u := range d.upstreams[:4] {
 					if got := u.maxInSpan(d); got > allowedRequests(u.limit) {
 						t.Errorf("seed %d: %d requests in %v under a limit of %v per second, %d are allowed", seed, got, limitSpan, u.limit, allowedRequests(u.limit))
@@ -314,13 +314,13 @@
 			u.limit = 2
 		}
 		d.advance(limitSpan + time.Second)
-		from := d.w.now
+		from := d.sim.now
 		d.placed, d.refused = [balance.Levels]int{}, [balance.Levels]int{}
 		d.advance(20 * time.Second)
 		for _, u := range d.upstreams {
 			is.True(u.maxInSpan(d) <= allowedRequests(u.limit))
 			received += u.receivedSince(from)
-			capacity += u.limit * (d.w.now - from).Seconds()
+			capacity += u.limit * (d.sim.now - from).Seconds()
 		}
 		for level := range 2 {
 			placed[level] += d.placed[level]
@@ -344,11 +344,11 @@
 				d.advance(15 * time.Second)
 				is.True(u.maxInSpan(d) <= allowedRequests(limit))
 				u.limit = -1
-				liftedAt := d.w.now
+				liftedAt := d.sim.now
 				d.advance(12 * time.Second)
-				for _, name := range d.w.names {
-					_, isNamed := d.fleetOf(name).Limit(d.w.now, u.ID)
-					is.True(!isNamed)
+				for _, name := range d.sim.names {
+					_, hasLimit := d.fleetOf(name).Limit(d.sim.now, u.ID)
+					is.True(!hasLimit)
 				}
 				is.True(u.receivedSince(liftedAt) > 4)
 			}
@@ -367,7 +367,7 @@
 	for i, u := range d.upstreams {
 		u.limit = []float64{10, 3, 1, 0.3}[i%4]
 	}
-	start := d.w.now
+	start := d.sim.now
 	d.advance(3 * time.Second)
 	d.restart("b7", 500*time.Millisecond)
 	d.advance(9 * time.Second)
@@ -377,7 +377,7 @@
 		if worst > allowedRequests(u.limit) {
 			t.Errorf("%s: %d requests in %v under a limit of %v per second, %d are allowed", u.ID, worst, limitSpan, u.limit, allowedRequests(u.limit))
 		}
-		capacity += u.limit * (d.w.now - start - limitSpan - time.Second).Seconds()
+		capacity += u.limit * (d.sim.now - start - limitSpan - time.Second).Seconds()
 		received += u.receivedSince(start + limitSpan + time.Second)
 	}
 	t.Logf("sent %d of %.0f allowed requests; by urgency: %v placed, %v refused", received, capacity, d.placed[:2], d.refused[:2])
--- a/group/limits_test.go
+++ b/group/limits_test.go
@@ -13,20 +13,20 @@
 
 // respond lets an upstream answer a box. A negative value announces no limit.
 func (d *limitReplay) respond(box, upstream string, perSecond float64) {
-	d.fleetOf(box).NoteLimitStatement(d.w.now, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: perSecond >= 0, PerSecond: max(perSecond, 0),
-		Sent: d.w.now - time.Millisecond, Read: d.w.now})
+	d.fleetOf(box).NoteLimitStatement(d.sim.now, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: perSecond >= 0, PerSecond: max(perSecond, 0),
+		Sent: d.sim.now - time.Millisecond, Read: d.sim.now})
 }
 
 // countKnowing counts the running boxes, and those of them that know a limit.
 func (d *limitReplay) countKnowing(upstream string, perSecond float64) (know, alive int) {
-	for _, name := range d.w.names {
-		b := d.w.boxes[name]
+	for _, name := range d.sim.names {
+		b := d.sim.boxes[name]
 		if b.dead {
 			continue
 		}
 		alive++
-		l, isNamed := d.fleetOf(name).Limit(d.w.now, upstream)
-		if isNamed == (perSecond >= 0) && l.PerSecond == max(perSecond, 0) {
+		l, hasLimit := d.fleetOf(name).Limit(d.sim.now, upstream)
+		if hasLimit == (perSecond >= 0) && l.PerSecond == max(perSecond, 0) {
 			know++
 		}
 	}
@@ -46,53 +46,53 @@
 	for _, test := range []struct {
 		name   string
 		within time.Duration
-		do     func(d *limitReplay, say func())
+		apply  func(d *limitReplay, announce func())
 	}{
-		{"no fault", 200 * time.Millisecond, func(_ *limitReplay, say func()) { say() }},
-		{"a fifth of all messages is lost", knownWithin, func(d *limitReplay, say func()) {
-			d.w.loss = 0.2
-			say()
+		{"no fault", 200 * time.Millisecond, func(_ *limitReplay, announce func()) { announce() }},
+		{"a fifth of all messages is lost", knownWithin, func(d *limitReplay, announce func()) {
+			d.sim.lossRate = 0.2
+			announce()
 		}},
-		{"half of all messages are lost", 20 * time.Second, func(d *limitReplay, say func()) {
-			d.w.loss = 0.5
-			say()
+		{"half of all messages are lost", 20 * time.Second, func(d *limitReplay, announce func()) {
+			d.sim.lossRate = 0.5
+			announce()
 		}},
-		{"the leader stops right after it received the entry", knownWithin, func(d *limitReplay, say func()) {
-			say()
+		{"the leader stops right after it received the entry", knownWithin, func(d *limitReplay, announce func()) {
+			announce()
 			d.advance(10 * time.Millisecond)
-			d.w.boxes["b0"].dead = true
+			d.sim.boxes["b0"].dead = true
 		}},
-		{"a domain is cut off meanwhile", knownWithin, func(d *limitReplay, say func()) {
-			d.w.cutDomains["d1"] = true
+		{"a domain is cut off meanwhile", knownWithin, func(d *limitReplay, announce func()) {
+			d.sim.cutDomains["d1"] = true
 			d.advance(2 * time.Second)
-			say()
+			announce()
 			d.advance(4 * time.Second)
-			d.w.cutDomains["d1"] = false
+			d.sim.cutDomains["d1"] = false
 		}},
-		{"a box restarts", knownWithin, func(d *limitReplay, say func()) {
-			say()
+		{"a box restarts", knownWithin, func(d *limitReplay, announce func()) {
+			announce()
 			d.advance(time.Second)
-			d.w.start("b5", "d2", 1, false)
+			d.sim.start("b5", "d2", 1, false)
 		}},
-		{"all boxes of a domain restart", knownWithin, func(d *limitReplay, say func()) {
-			say()
+		{"all boxes of a domain restart", knownWithin, func(d *limitReplay, announce func()) {
+			announce()
 			d.advance(time.Second)
 			for i, name := range []string{"b1", "b4"} {
-				d.w.start(name, "d1", uint32(5-i), false)
+				d.sim.start(name, "d1", uint32(5-i), false)
 			}
 		}},
-		{"a box was frozen", knownWithin, func(d *limitReplay, say func()) {
-			d.w.boxes["b2"].frozen = true
-			say()
+		{"a box was frozen", knownWithin, func(d *limitReplay, announce func()) {
+			d.sim.boxes["b2"].frozen = true
+			announce()
 			d.advance(5 * time.Second)
-			d.w.boxes["b2"].frozen = false
+			d.sim.boxes["b2"].frozen = false
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(10) {
 				d := idleReplay(t, seed)
 				for box, value := range map[string]float64{"b3": limit} {
-					test.do(d, func() { d.respond(box, upstream, value) })
+					test.apply(d, func() { d.respond(box, upstream, value) })
 					d.advance(test.within)
 					if know, alive := d.countKnowing(upstream, value); know != alive {
 						t.Fatalf("seed %d: %d of %d boxes know the limit", seed, know, alive)
@@ -101,7 +101,7 @@
 				d = idleReplay(t, seed)
 				d.respond("b3", upstream, limit)
 				d.advance(time.Second)
-				test.do(d, func() { d.respond("b3", upstream, -1) })
+				test.apply(d, func() { d.respond("b3", upstream, -1) })
 				d.advance(test.within)
 				if know, alive := d.countKnowing(upstream, -1); know != alive {
 					t.Fatalf("seed %d: %d of %d boxes know that the limit was lifted", seed, know, alive)
@@ -129,7 +129,7 @@
 	is := is.New(t)
 	d := idleReplay(t, 1)
 	sentBytes := func() int {
-		return d.w.bytesByKind[sentKey{KindLimits, ReachDomain}] + d.w.bytesByKind[sentKey{KindLimits, ReachRegion}]
+		return d.sim.bytesByKind[sentKey{KindLimits, ReachDomain}] + d.sim.bytesByKind[sentKey{KindLimits, ReachRegion}]
 	}
 	is.Equal(sentBytes(), 0)
 	d.respond("b3", "u0", 2)
@@ -148,14 +148,14 @@
 func TestLimitsFromBeforeRestartAreIgnored(t *testing.T) {
 	is := is.New(t)
 	d := idleReplay(t, 1)
-	b := d.w.boxes["b0"]
+	b := d.sim.boxes["b0"]
 	limits := []*wire.GroupLimit{{Life: balance.Key("u0"), PerSecond: 1}}
-	other := d.w.boxes["b3"].self
-	b.node.Handle(d.w.now, &wire.GroupMessage{Sender: &wire.GroupBox{Name: other.Name, Boot: other.Boot - 1}, Limits: limits})
+	other := d.sim.boxes["b3"].self
+	b.node.Handle(d.sim.now, &wire.GroupMessage{Sender: &wire.GroupBox{Name: other.Name, Boot: other.Boot - 1}, Limits: limits})
 	is.Equal(len(b.node.DrainLimits()), 0)
-	b.node.Handle(d.w.now, &wire.GroupMessage{Sender: &wire.GroupBox{Name: "unknown", Boot: 1}, Limits: limits})
+	b.node.Handle(d.sim.now, &wire.GroupMessage{Sender: &wire.GroupBox{Name: "unknown", Boot: 1}, Limits: limits})
 	is.Equal(len(b.node.DrainLimits()), 0)
-	b.node.Handle(d.w.now, &wire.GroupMessage{Sender: &wire.GroupBox{Name: other.Name, Boot: other.Boot}, Limits: limits})
+	b.node.Handle(d.sim.now, &wire.GroupMessage{Sender: &wire.GroupBox{Name: other.Name, Boot: other.Boot}, Limits: limits})
 	is.Equal(len(b.node.DrainLimits()), 1)
 }
 
@@ -168,7 +168,7 @@
 			for range b.N {
 				d := newLimitReplay(b, limitReplayConfig{seed: 1, domains: 3, boxes: boxes, upstreams: 100, perSecond: 1e-3})
 				sentBytes := func() int {
-					return d.w.bytesByKind[sentKey{KindLimits, ReachDomain}] + d.w.bytesByKind[sentKey{KindLimits, ReachRegion}]
+					return d.sim.bytesByKind[sentKey{KindLimits, ReachDomain}] + d.sim.bytesByKind[sentKey{KindLimits, ReachRegion}]
 				}
 				d.respond("b3", "u0", 2)
 				d.advance(2 * time.Second)
@@ -176,7 +176,7 @@
 				before := sentBytes()
 				const span = 10
 				for i := range span * 10 {
-					d.respond(d.w.names[i%len(d.w.names)], fmt.Sprint("u", i), 1+float64(i%7))
+					d.respond(d.sim.names[i%len(d.sim.names)], fmt.Sprint("u", i), 1+float64(i%7))
 					d.advance(100 * time.Millisecond)
 				}
 				b.ReportMetric(float64(sentBytes()-before)/span, "B/s")
@@ -196,7 +196,7 @@
 		d.respond("b3", fmt.Sprintf("u%d", i), 2.5)
 	}
 	d.advance(3 * time.Second)
-	d.w.start("b5", "d2", 1, false)
+	d.sim.start("b5", "d2", 1, false)
 	d.advance(3 * time.Second)
 	for i := range upstreams {
 		know, alive := d.countKnowing(fmt.Sprintf("u%d", i), 2.5)
--- a/group/load.go
+++ b/group/load.go
@@ -52,8 +52,8 @@
 	n.becomeLeader(now)
 	n.updateRegionLeader(now)
 	n.updateInherited(now)
-	n.sums = n.sumLoads(now)
-	n.setOtherLoads(subtractLoads(n.sums.total(), n.loads))
+	n.loadSums = n.sumLoads(now)
+	n.setOtherLoads(subtractLoads(n.loadSums.total(), n.loads))
 	for _, g := range n.updateRecipients(now) {
 		g.sendFullList(n, now)
 	}
@@ -129,7 +129,7 @@
 
 // updateSums recomputes the sums of the loads that have changed.
 func (n *Node) updateSums(now time.Duration) {
-	s, from := &n.sums, n.loadSources(now)
+	s, from := &n.loadSums, n.loadSources(now)
 	for key := range n.changedLoads {
 		setLoad(s.domain, key, sumAt(from.domain, key))
 		setLoad(s.region, key, sumAt(from.region, key))
@@ -163,7 +163,7 @@
 
 // sendAllLoads sends all loads of this member to its leader.
 func (n *Node) sendAllLoads(now time.Duration, p *peer) {
-	p.loadsSent, p.sentLoads, p.allLoadsSentAt, p.loadsSentAt = true, roundLoads(n.loads), now, now
+	p.loadsSent, p.sentLoads, p.allLoadsSentAt, p.lastLoadsSentAt = true, roundLoads(n.loads), now, now
 	n.send(p.box.Address, n.loadsMessage(now, n.loads))
 }
 
--- a/group/load_test.go
+++ b/group/load_test.go
@@ -144,12 +144,12 @@
 	w := newSimulation(t, 24)
 	w.startFleet(3, 6)
 	w.run(5 * time.Second)
-	w.loss = 0.3
+	w.lossRate = 0.3
 	for s := range 20 {
 		w.shuffleLoads(s)
 		w.run(100 * time.Millisecond)
 	}
-	w.loss = 0
+	w.lossRate = 0
 	w.run(DefaultTiming.MemberTimeout + time.Second)
 	for _, name := range w.names {
 		want := make(Loads)
--- a/group/loadchanges.go
+++ b/group/loadchanges.go
@@ -58,8 +58,8 @@
 
 // hasDue reports whether a group has unsent changes that may be sent now.
 func (g *recipientGroups) hasDue(now time.Duration) bool {
-	for _, x := range []*recipientGroup{g.members, g.nearLeaders, g.farLeaders, g.regionRelay} {
-		if x != nil && len(x.changed) > 0 && now >= x.nextChangesAt {
+	for _, group := range []*recipientGroup{g.members, g.nearLeaders, g.farLeaders, g.regionRelay} {
+		if group != nil && len(group.changed) > 0 && now >= group.nextChangesAt {
 			return true
 		}
 	}
@@ -69,7 +69,7 @@
 // flushAsMember sends the leader the loads that differ from those last sent.
 func (n *Node) flushAsMember(now time.Duration) {
 	p := n.peers[n.leader().Name]
-	if p == nil || !p.isLeader || !p.loadsSent || now-p.loadsSentAt < minFlushInterval {
+	if p == nil || !p.isLeader || !p.loadsSent || now-p.lastLoadsSentAt < minFlushInterval {
 		return
 	}
 	changes := make(Loads)
@@ -89,7 +89,7 @@
 	for key, load := range changes {
 		setLoad(p.sentLoads, key, load)
 	}
-	p.loadsSentAt = now
+	p.lastLoadsSentAt = now
 	m := n.loadChangesMessage(changes)
 	m.Scope = scopeOwn
 	n.send(p.box.Address, m)
@@ -99,13 +99,13 @@
 func (n *Node) flushAsLeader(now time.Duration) {
 	n.becomeLeader(now)
 	n.updateRegionLeader(now)
-	if n.sums.domain == nil {
-		n.sums = n.sumLoads(now)
+	if n.loadSums.domain == nil {
+		n.loadSums = n.sumLoads(now)
 	}
 	n.updateSums(now)
 	list := n.updateRecipients(now)
 	for key := range n.changedLoads {
-		n.setOtherLoad(key, n.sums.loadAt(key).Minus(n.loads[key]))
+		n.setOtherLoad(key, n.loadSums.loadAt(key).Minus(n.loads[key]))
 		for _, g := range list {
 			g.changed[key] = struct{}{}
 		}
--- a/group/member_bench_test.go
+++ b/group/member_bench_test.go
@@ -24,13 +24,13 @@
 				}
 			})
 		}
-		run("sharers", func() { n.QuotaPeers(t.now) })
+		run("quota-peers", func() { n.QuotaPeers(t.now) })
 		run("classes", func() { n.Classes(t.now) })
-		run("reads", func() { n.ShouldRead(t.now) })
-		run("watch", func() { n.WatchTimeout(t.now) })
+		run("should-read", func() { n.ShouldRead(t.now) })
+		run("watch-timeout", func() { n.WatchTimeout(t.now) })
 		run("lanes", func() { n.Lanes(t.now) })
-		run("informed", func() { n.KnowsOtherLoads(t.now) })
-		run("confirmed", func() { n.ConfirmedAt() })
+		run("knows-other-loads", func() { n.KnowsOtherLoads(t.now) })
+		run("confirmed-at", func() { n.ConfirmedAt() })
 		run("tick", func() { t.now += 100 * time.Millisecond; n.confirmedAt = t.now; n.Tick(t.now); n.Drain() })
 		run("flush", func() { n.FlushLoads(t.now) })
 	}
--- a/group/node.go
+++ b/group/node.go
@@ -98,7 +98,7 @@
 type peer struct {
 	box          *wire.GroupBox
 	lastHeard    time.Duration // last message received from it; negative: none
-	lastNamed    time.Duration // when another box last listed it; negative: never
+	lastListed   time.Duration // when another box last listed it; negative: never
 	isLeader     bool
 	canRead      bool
 	hasPublished bool // it holds a copy of the published data
@@ -119,7 +119,7 @@
 	loadsSent          bool                     // as this box's leader, it was sent all loads of this box
 	sentLoads          Loads                    // the loads it holds for this box
 	allLoadsSentAt     time.Duration            // when it was last sent the complete list
-	loadsSentAt        time.Duration            // when it was last sent any loads
+	lastLoadsSentAt    time.Duration            // when it was last sent any loads
 	classes            []balance.ClassSeen      // what it last reported about classes
 	classesAt          time.Duration            // when that was received
 	lastParts          map[uint32]receivedParts // the last message about prompt parts, by scope
@@ -144,12 +144,12 @@
 	expectedSince  time.Duration  // since when they are
 
 	confirmedAt             time.Duration // when the mirror was last known to be current
-	deletionsUncertainUntil time.Duration // until then, deleted entries may reappear
+	deletionsUncertainUntil time.Duration // until then, entries removed after an outage of the publisher may reappear
 	lastReadAt              time.Duration // last successful read of the publisher by this box
 	readFailed              bool          // this box's last read failed
 	pullAddress             string        // address to pull from; empty: none
 	pullFailed              bool          // the last pull failed
-	firstPullAt             time.Duration // when the first pull was requested; negative: not yet
+	pullWaitFrom            time.Duration // start of the wait for a pull: its first request or last refusal; negative: not requested yet
 
 	lastPullAddress       string        // address of the last pull
 	pendingPull           pendingPull   // the pull that waits to be started
@@ -175,7 +175,7 @@
 
 	loads               Loads                        // of this box
 	otherLoads          Loads                        // of all other boxes
-	sums                loadSums                     // on a leader: sums of the loads that boxes reported
+	loadSums            loadSums                     // on a leader: sums of the loads that boxes reported
 	changedLoads        map[balance.LoadKey]struct{} // on a leader: loads changed since they were last sent
 	recipients          recipientGroups              // on a leader
 	actsAsLeader        bool                         // this box has started to act as leader
@@ -194,7 +194,7 @@
 
 	ownClasses []balance.ClassSeen // as measured by this box
 
-	sharers map[uint32]time.Duration // by hash of the box name: when the leader last listed it
+	quotaPeers map[uint32]time.Duration // by hash of the box name: when a leader last named it
 
 	suspects replicator[balance.Suspect]     // requests that upstreams crash under
 	limits   replicator[balance.LimitReport] // rate limits that upstreams announce
@@ -222,7 +222,7 @@
 		lastHeartbeat:           never,
 		lastChangesRequest:      never,
 		lanesAt:                 never,
-		firstPullAt:             never,
+		pullWaitFrom:            never,
 
 		readerHeardAt:         never,
 		readerHeardDirectlyAt: never,
@@ -235,7 +235,7 @@
 		changedLoads:          make(map[balance.LoadKey]struct{}),
 		otherLoads:            make(Loads),
 		loadChanges:           make(Loads),
-		sharers:               make(map[uint32]time.Duration),
+		quotaPeers:            make(map[uint32]time.Duration),
 	}
 	if !cfg.FirstStart {
 		n.sendHello(now) // callers are waiting, so running boxes should answer at once
@@ -254,7 +254,8 @@
 // ConfirmedAt returns the time at which the mirror was last known to be current.
 func (n *Node) ConfirmedAt() time.Duration { return n.confirmedAt }
 
-// DeletionsUncertainUntil returns the time until which deleted entries may reappear.
+// DeletionsUncertainUntil returns the time until which entries that were removed after an outage
+// of the publisher may reappear.
 func (n *Node) DeletionsUncertainUntil() time.Duration { return n.deletionsUncertainUntil }
 
 // Leave announces to the boxes of the domain that this box is about to stop, so that another box
--- a/group/node_test.go
+++ b/group/node_test.go
@@ -24,9 +24,9 @@
 		is.Equal(b.node.LeaderName(), boxName(int(b.self.Domain[6]-'0'), 0))
 		is.Equal(b.node.BoxCount(), 60)
 	}
-	w.calls = 0
+	w.publisherCalls = 0
 	w.run(10 * time.Second)
-	is.True(w.calls <= 3*11) // the calls of three leaders, each waiting for one second
+	is.True(w.publisherCalls <= 3*11) // the calls of three leaders, each waiting for one second
 }
 
 func TestChangeReachesAllBoxesAtOnce(t *testing.T) {
@@ -67,14 +67,14 @@
 			}
 		}},
 		{"the leader freezes", func(w *simulation) { w.boxes[boxName(1, 0)].frozen = true }},
-		{"the publisher refuses the leader", func(w *simulation) { w.refused[boxName(0, 0)] = true }},
+		{"the publisher refuses the leader", func(w *simulation) { w.refusedBoxes[boxName(0, 0)] = true }},
 		{"the publisher refuses all leaders", func(w *simulation) {
 			for d := range 3 {
-				w.refused[boxName(d, 0)] = true
+				w.refusedBoxes[boxName(d, 0)] = true
 			}
 		}},
 		{"a domain is cut off from the others", func(w *simulation) { w.cutDomains[domainName(2)] = true }},
-		{"datagrams are lost", func(w *simulation) { w.loss = 0.1 }},
+		{"datagrams are lost", func(w *simulation) { w.lossRate = 0.1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -155,7 +155,7 @@
 	w.run(2 * time.Second)
 	is.Equal(w.staleBoxes(), nil)
 	for _, name := range w.names {
-		is.True(w.boxes[name].node.DeletionsUncertainUntil() > w.now-time.Second) // deleted entries may reappear
+		is.True(w.boxes[name].node.DeletionsUncertainUntil() > w.now-time.Second) // removed entries may reappear
 	}
 }
 
@@ -178,7 +178,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(&testing.T{}, rapid.Uint64().Draw(t, "seed"))
 		w.startFleet(2, 3)
-		w.loss = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss")
+		w.lossRate = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss")
 		for range rapid.IntRange(3, 15).Draw(t, "steps") {
 			b := w.boxes[rapid.SampledFrom(w.names).Draw(t, "box")]
 			switch rapid.SampledFrom([]string{"stop", "start", "freeze", "unfreeze", "cut", "reconnect", "down", "up", "refuse", "publish", "publish"}).Draw(t, "action") {
@@ -199,7 +199,7 @@
 			case "up":
 				w.publisherDown = false
 			case "refuse":
-				w.refused[b.self.Name] = !w.refused[b.self.Name]
+				w.refusedBoxes[b.self.Name] = !w.refusedBoxes[b.self.Name]
 			case "publish":
 				w.publish(documentKey, fmt.Sprint(w.now))
 			}
@@ -207,7 +207,7 @@
 		}
 		w.publisherDown = false
 		clear(w.cutDomains)
-		clear(w.refused)
+		clear(w.refusedBoxes)
 		for _, b := range w.boxes {
 			b.frozen = false
 		}
@@ -234,9 +234,9 @@
 	w.startFleet(2, 4)
 	w.run(5 * time.Second)
 	leader := w.boxes[boxName(0, 0)]
-	w.refused[leader.self.Name] = true
+	w.refusedBoxes[leader.self.Name] = true
 	w.run(5 * time.Second)
-	delete(w.refused, leader.self.Name)
+	delete(w.refusedBoxes, leader.self.Name)
 	w.run(2 * time.Second)
 	is.True(leader.node.lastReadAt > w.now-2*time.Second) // it reads again
 	for _, name := range w.names {
--- a/group/pagedpublisher_test.go
+++ b/group/pagedpublisher_test.go
@@ -52,7 +52,7 @@
 		if !b.awaitsPage || call.requestedAt != b.pageRequestedAt || b.mirror.Revision() > 0 || w.boxes[b.self.Name] != b {
 			continue
 		}
-		if w.refused[b.self.Name] || w.publisherDown {
+		if w.refusedBoxes[b.self.Name] || w.publisherDown {
 			b.awaitsPage = false
 			b.readFailures++
 			b.node.ReadFailed()
--- a/group/published.go
+++ b/group/published.go
@@ -14,7 +14,7 @@
 const (
 	// changesRequestInterval is the minimum time between two requests for changes.
 	changesRequestInterval = 100 * time.Millisecond
-	// reappearPeriod is how long after the publisher returns a deleted entry may reappear: 2 s
+	// reappearPeriod is how long after the publisher returns a removed entry may reappear: 2 s
 	// plus a margin.
 	reappearPeriod = 2200 * time.Millisecond
 )
@@ -45,20 +45,20 @@
 const crossDomainPullWait = 800 * time.Millisecond
 
 // pullSource returns the address to pull from. That is the leader of the domain if it holds the
-// published data, since its link is sized for pulls of many boxes, or if the sender belongs to
-// another domain and the wait has not passed. Otherwise it is the sender.
+// published data, since its link can carry pulls of many boxes at once, or if the sender
+// belongs to another domain and the wait has not passed. Otherwise it is the sender.
 func (n *Node) pullSource(now time.Duration, sender *wire.GroupBox) string {
 	if n.cfg.Mirror.Revision() > 0 {
 		return sender.Pulls
 	}
-	if n.firstPullAt < 0 {
-		n.firstPullAt = now
+	if n.pullWaitFrom < 0 {
+		n.pullWaitFrom = now
 	}
 	leader := n.leader()
 	if leader == n.cfg.Self || n.pullFailed {
 		return sender.Pulls
 	}
-	mustWait := sender.Domain != n.cfg.Self.Domain && now-n.firstPullAt < crossDomainPullWait+n.jitter(crossDomainPullWait)
+	mustWait := sender.Domain != n.cfg.Self.Domain && now-n.pullWaitFrom < crossDomainPullWait+n.jitter(crossDomainPullWait)
 	if p := n.peers[leader.Name]; p.hasPublished || mustWait {
 		return leader.Pulls
 	}
@@ -105,8 +105,8 @@
 	return ok
 }
 
-// extendUncertainty adopts the remaining time, in microseconds, for which another box expects
-// deleted entries to reappear.
+// extendUncertainty adopts the remaining time, in microseconds, during which another box expects
+// that removed entries may reappear.
 func (n *Node) extendUncertainty(now time.Duration, left uint64) {
 	if left > 0 {
 		n.deletionsUncertainUntil = max(n.deletionsUncertainUntil, now+fromMicros(left))
--- a/group/pull.go
+++ b/group/pull.go
@@ -127,7 +127,7 @@
 		n.pullFailed = true
 		return
 	}
-	n.firstPullAt = now
+	n.pullWaitFrom = now
 	n.pendingPull.address, n.pendingPull.at = n.lastPullAddress, now+n.jitterAround(max(fromMicros(r.BusyLeft), minPullRetryDelay))
 	if len(r.Elsewhere) == 0 {
 		return
--- a/group/sharers_test.go
+++ b/group/quotapeers_test.go
@@ -56,7 +56,7 @@
 		is.True(slices.Contains(all, s.Box))
 	}
 	w.boxes[boxName(0, 59)].dead = true
-	w.run(shareWindow + 2*listedTimeouts*DefaultTiming.MemberTimeout + 5*time.Second) // the leader keeps listing it for a while, and the share lasts from then
+	w.run(recentPeerWindow + 2*listedTimeouts*DefaultTiming.MemberTimeout + 5*time.Second) // the leader keeps listing it for a while, and the share lasts from then
 	for i := range 59 {
 		is.Equal(len(w.boxes[boxName(0, i)].node.QuotaPeers(w.now).Boxes), 59) // it is forgotten after a while
 	}
@@ -87,7 +87,7 @@
 			case 3:
 				w.cutDomains[b.self.Domain] = !w.cutDomains[b.self.Domain]
 			case 4:
-				w.loss = 0.3 - w.loss
+				w.lossRate = 0.3 - w.lossRate
 			case 5:
 				for _, other := range w.names {
 					if o := w.boxes[other]; o.self.Domain == b.self.Domain {
@@ -178,7 +178,7 @@
 			fresh.Load(items, revision+1)
 			w.published = fresh
 		}},
-		{"the publisher refuses the reader", func(w *simulation) { w.refused[boxName(0, 0)] = true }},
+		{"the publisher refuses the reader", func(w *simulation) { w.refusedBoxes[boxName(0, 0)] = true }},
 		{"the reader stops", func(w *simulation) { w.boxes[boxName(0, 0)].dead = true }},
 		{"a domain is cut off", func(w *simulation) { w.cutDomains[domainName(1)] = true }},
 		{"boxes restart", func(w *simulation) {
--- a/group/reader.go
+++ b/group/reader.go
@@ -59,7 +59,7 @@
 // others: a box that holds the published data was heard, and no pull has failed.
 func (n *Node) awaitsFirstPull(now time.Duration) bool {
 	fleetStart := n.cfg.FirstStart && n.cfg.Mirror.Revision() == 0
-	return fleetStart && n.firstPullAt >= 0 && !n.pullFailed && now < n.firstPullAt+firstPullWait+n.jitter(firstPullWait)
+	return fleetStart && n.pullWaitFrom >= 0 && !n.pullFailed && now < n.pullWaitFrom+firstPullWait+n.jitter(firstPullWait)
 }
 
 // isFleetReader reports whether this box is the strongest leader that can read the publisher.
--- a/group/reader_test.go
+++ b/group/reader_test.go
@@ -39,9 +39,9 @@
 		w := newSimulation(t, 52)
 		w.startFleet(domains, 4)
 		w.run(4 * time.Second)
-		before := w.calls
+		before := w.publisherCalls
 		w.run(10 * time.Second)
-		is.True(w.calls-before <= 18) // a call waits for 0.6 s, or for a second if the box reads for its domain only
+		is.True(w.publisherCalls-before <= 18) // a call waits for 0.6 s, or for a second if the box reads for its domain only
 	}
 }
 
@@ -51,12 +51,12 @@
 	w := newSimulation(t, 53)
 	w.startFleet(3, 4)
 	w.run(4 * time.Second)
-	before := w.calls
+	before := w.publisherCalls
 	for range 100 {
 		w.publish(documentKey, "new")
 		w.run(2 * step)
 	}
-	is.True(w.calls-before <= 12) // ten in a second, and some that were in progress
+	is.True(w.publisherCalls-before <= 12) // ten in a second, and some that were in progress
 	w.run(time.Second)
 	is.Equal(w.staleBoxes(), nil)
 }
@@ -69,7 +69,7 @@
 	}{
 		{"it stops", func(w *simulation, reader string) { w.boxes[reader].dead = true }},
 		{"it freezes", func(w *simulation, reader string) { w.boxes[reader].frozen = true }},
-		{"the publisher refuses it", func(w *simulation, reader string) { w.refused[reader] = true }},
+		{"the publisher refuses it", func(w *simulation, reader string) { w.refusedBoxes[reader] = true }},
 		{"its domain is cut off", func(w *simulation, reader string) { w.cutDomains[w.boxes[reader].self.Domain] = true }},
 	}
 	for _, tt := range tests {
@@ -108,7 +108,7 @@
 			w := newSimulation(t, 55)
 			w.startFleet(3, 8)
 			w.run(4 * time.Second)
-			before := w.calls
+			before := w.publisherCalls
 			for _, name := range w.names {
 				b := w.boxes[name]
 				if box := int(100 - b.self.Strength); tt.restart(box) {
@@ -118,7 +118,7 @@
 			w.run(DefaultTiming.RestartWait)
 			is.Equal(w.staleBoxes(), nil)
 			w.run(time.Second)
-			is.True(w.calls-before <= tt.calls)
+			is.True(w.publisherCalls-before <= tt.calls)
 		})
 	}
 }
--- a/group/receive.go
+++ b/group/receive.go
@@ -55,7 +55,7 @@
 	for _, b := range m.Boxes {
 		n.recordListed(now, b)
 	}
-	n.receiveSharers(now, p, m)
+	n.receiveQuotaPeers(now, p, m)
 	n.maxBoxes = max(n.maxBoxes, int(m.AllBoxes))
 	n.receiveLoads(now, p, m)
 	n.receiveLanes(now, p, m)
@@ -77,7 +77,7 @@
 	if p == nil {
 		return
 	}
-	p.lastNamed = now
+	p.lastListed = now
 	if !known {
 		p.isLeader = b.Domain != n.cfg.Self.Domain
 	}
@@ -85,7 +85,7 @@
 
 // newPeer returns the state of a box from which nothing was received yet.
 func newPeer(b *wire.GroupBox) *peer {
-	return &peer{box: b, lastHeard: never, lastNamed: never, classesAt: never, loadsAt: never, regionLoadsAt: never, otherRegionLoadsAt: never}
+	return &peer{box: b, lastHeard: never, lastListed: never, classesAt: never, loadsAt: never, regionLoadsAt: never, otherRegionLoadsAt: never}
 }
 
 // recordPeer records a box. It returns nil if a later start of the box is known.
@@ -130,7 +130,7 @@
 		response := n.newMessage(now)
 		response.Boxes = n.boxesFor(p.box.Domain, now)
 		if n.IsLeader() && n.sameDomain(p) {
-			response.Sharers = n.packSharers(now)
+			response.Sharers = n.packQuotaPeers(now)
 		}
 		response.Classes = n.classesFor(p, n.packClasses(now))
 		n.send(p.box.Address, response)
@@ -148,6 +148,6 @@
 // strongest one it knows. Without an answer it would wait until the timeout and then act as
 // leader itself.
 func (n *Node) needsLeaderRedirect(now time.Duration, p *peer, m *wire.GroupMessage) bool {
-	isBeat := !m.Leads && !m.Leaving && len(m.Boxes) == 0 && KindOf(m) == KindHeartbeat // an answer lists boxes
-	return isBeat && n.sameDomain(p) && !n.IsLeader() && n.leader().Name != p.box.Name && now-n.leaderLastHeard() < n.cfg.Timing.LeaderTimeout
+	isHeartbeat := !m.Leads && !m.Leaving && len(m.Boxes) == 0 && KindOf(m) == KindHeartbeat // an answer lists boxes
+	return isHeartbeat && n.sameDomain(p) && !n.IsLeader() && n.leader().Name != p.box.Name && now-n.leaderLastHeard() < n.cfg.Timing.LeaderTimeout
 }
--- a/group/recipients.go
+++ b/group/recipients.go
@@ -94,7 +94,7 @@
 		g.members, g.nearLeaders = newRecipientGroup(memberPolicy, scopeDomain), newRecipientGroup(regionPolicy, scopeDomain)
 		g.farLeaders, g.regionRelay = newRecipientGroup(otherRegionPolicy, scopeRegion), newRecipientGroup(otherRegionPolicy, scopeOtherRegions)
 	}
-	s := &n.sums
+	s := &n.loadSums
 	g.members.loadAt = s.loadAt
 	g.members.loads = s.total
 	g.members.peers = slices.DeleteFunc(n.members(now), func(p *peer) bool { return !n.hasReported(p) })
--- a/group/recipients_test.go
+++ b/group/recipients_test.go
@@ -13,13 +13,13 @@
 
 // testGroup returns a group of the named boxes that is sent the given loads.
 func testGroup(policy sendPolicy, loads Loads, names ...string) *recipientGroup {
-	a := newRecipientGroup(policy, scopeDomain)
-	a.loads = func() Loads { return loads }
-	a.loadAt = func(key balance.LoadKey) balance.Load { return loads[key] }
+	g := newRecipientGroup(policy, scopeDomain)
+	g.loads = func() Loads { return loads }
+	g.loadAt = func(key balance.LoadKey) balance.Load { return loads[key] }
 	for _, name := range names {
-		a.peers = append(a.peers, &peer{box: &wire.GroupBox{Name: name, Address: name, Boot: 1}})
+		g.peers = append(g.peers, &peer{box: &wire.GroupBox{Name: name, Address: name, Boot: 1}})
 	}
-	return a
+	return g
 }
 
 // A box that is sent the complete list between two regular ones must also be sent a load that
@@ -32,14 +32,14 @@
 	initial := balance.Load{Unread: 6400, Open: 10, Held: 128000}
 	list := Loads{key: initial}
 	now := 10 * time.Second
-	a := testGroup(regionPolicy, list, "a")
-	a.sendFullList(n, now)
+	g := testGroup(regionPolicy, list, "a")
+	g.sendFullList(n, now)
 	list[key] = balance.Load{Unread: 6400, Open: 30, Held: 384000}
-	a.peers = testGroup(regionPolicy, list, "a", "b").peers
-	a.sendFullList(n, now)
+	g.peers = testGroup(regionPolicy, list, "a", "b").peers
+	g.sendFullList(n, now)
 	list[key] = initial
 	n.Drain()
-	a.sendChanges(n, now+minFlushInterval)
+	g.sendChanges(n, now+minFlushInterval)
 	out, _ := n.Drain()
 	is.Equal(len(out), 2)
 	is.Equal(messageLoads(out[1].Message), Loads{key: initial})
@@ -50,11 +50,11 @@
 func TestHeldTokensAreSentByAbsoluteDifference(t *testing.T) {
 	is := is.New(t)
 	for _, policy := range []sendPolicy{regionPolicy, otherRegionPolicy} {
-		a := testGroup(policy, nil)
+		g := testGroup(policy, nil)
 		sent := balance.Load{Open: 32, Held: 400_000}
-		is.True(a.isSignificant(sent, balance.Load{Open: 32, Held: 400_000 + 4096}))
-		is.True(a.isSignificant(sent, balance.Load{Open: 32, Held: 400_000 - 4096}))
-		is.True(!a.isSignificant(sent, balance.Load{Open: 32, Held: 400_000 + 4095}))
+		is.True(g.isSignificant(sent, balance.Load{Open: 32, Held: 400_000 + 4096}))
+		is.True(g.isSignificant(sent, balance.Load{Open: 32, Held: 400_000 - 4096}))
+		is.True(!g.isSignificant(sent, balance.Load{Open: 32, Held: 400_000 + 4095}))
 	}
 }
 
@@ -64,11 +64,11 @@
 func TestLeaderMessageRateIsBounded(t *testing.T) {
 	is := is.New(t)
 	for _, boxes := range []int{1, 39, 116, 234, 1000} {
-		a := testGroup(memberPolicy, nil, slices.Repeat([]string{"a"}, boxes)...)
-		perSecond := float64(boxes) * float64(time.Second) / float64(a.changesInterval())
+		g := testGroup(memberPolicy, nil, slices.Repeat([]string{"a"}, boxes)...)
+		perSecond := float64(boxes) * float64(time.Second) / float64(g.changesInterval())
 		is.True(perSecond < memberMessageRate+1)
-		is.True(a.changesInterval() == minFlushInterval || perSecond > memberMessageRate-1)
-		is.Equal(a.rowLimit(), min(int(a.changesInterval()*time.Duration(a.rowsPerInterval)/minFlushInterval), maxRows)) // each message holds correspondingly more loads
+		is.True(g.changesInterval() == minFlushInterval || perSecond > memberMessageRate-1)
+		is.Equal(g.rowLimit(), min(int(g.changesInterval()*time.Duration(g.rowsPerInterval)/minFlushInterval), maxRows)) // each message holds correspondingly more loads
 	}
 	is.Equal(testGroup(regionPolicy, nil, "a", "b").changesInterval(), minFlushInterval)
 }
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -82,7 +82,7 @@
 		{"it freezes for a while", func(w *simulation) { w.boxes[leader].frozen = true }, func(w *simulation) { w.boxes[leader].frozen = false }},
 		{"its domain is cut off for a while", func(w *simulation) { w.cutDomains[domainName(0)] = true }, func(w *simulation) { w.cutDomains[domainName(0)] = false }},
 		{"regions are disconnected for a while", func(w *simulation) { w.linkCut = betweenRegions }, func(w *simulation) { w.linkCut = nil }},
-		{"a third of the messages are lost for a while", func(w *simulation) { w.loss = 0.3 }, func(w *simulation) { w.loss = 0 }},
+		{"a third of the messages are lost for a while", func(w *simulation) { w.lossRate = 0.3 }, func(w *simulation) { w.lossRate = 0 }},
 		{"it is cut off from the other domain of its region", func(w *simulation) {
 			w.linkCut = func(a, b *wire.GroupBox) bool {
 				return a.Domain != b.Domain && a.Region == b.Region && a.Region == "region0"
@@ -127,7 +127,7 @@
 		}
 	}
 	w.run(settleTime)
-	w.checkOtherLoads(t, "back", hearsAll)
+	w.checkOtherLoads(t, "reconnected", hearsAll)
 }
 
 // Between regions, loads and prompt parts are sent from one box of a region to one of another,
@@ -168,17 +168,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		policy := rapid.SampledFrom([]sendPolicy{memberPolicy, regionPolicy, otherRegionPolicy}).Draw(t, "policy")
 		n := NewNode(Config{Self: &wire.GroupBox{Name: "a", Domain: "d", Address: "a"}, Timing: DefaultTiming, Mirror: mirror.New(), FirstStart: true}, 0)
-		a := newRecipientGroup(policy, scopeRegion)
+		g := newRecipientGroup(policy, scopeRegion)
 		for i := range rapid.IntRange(1, 30).Draw(t, "boxes") {
-			a.peers = append(a.peers, &peer{box: &wire.GroupBox{Name: fmt.Sprint("p", i), Address: fmt.Sprint(i), Boot: 1}})
+			g.peers = append(g.peers, &peer{box: &wire.GroupBox{Name: fmt.Sprint("p", i), Address: fmt.Sprint(i), Boot: 1}})
 		}
 		actual := make(Loads)
-		a.loads = func() Loads { return actual }
-		a.loadAt = func(key balance.LoadKey) balance.Load { return actual[key] }
+		g.loads = func() Loads { return actual }
+		g.loadAt = func(key balance.LoadKey) balance.Load { return actual[key] }
 		received := make(Loads)
 		bytes, now := 0, time.Duration(0)
-		last := 0 // bytes of the newest message, whose interval has not passed yet
-		take := func() {
+		lastSize := 0 // bytes of the newest message, whose interval has not passed yet
+		receive := func() {
 			out, _ := n.Drain()
 			for _, o := range out {
 				if o.To != "0" {
@@ -190,7 +190,7 @@
 					for key, load := range messageLoads(o.Message) {
 						setLoad(received, key, load)
 					}
-					bytes, last = bytes+last, proto.Size(o.Message)
+					bytes, lastSize = bytes+lastSize, proto.Size(o.Message)
 				}
 			}
 		}
@@ -200,28 +200,28 @@
 			for range rapid.IntRange(0, 40).Draw(t, "changes") {
 				key := balance.LoadKey{Upstream: uint32(rapid.IntRange(1, keys).Draw(t, "key"))}
 				setLoad(actual, key, balance.Load{Unread: 64 * rapid.IntRange(0, 200).Draw(t, "unread"), Open: rapid.IntRange(0, 20).Draw(t, "open")})
-				a.changed[key] = struct{}{}
+				g.changed[key] = struct{}{}
 			}
-			a.sendChanges(n, now)
-			take()
+			g.sendChanges(n, now)
+			receive()
 			now += 30 * time.Millisecond
 		}
-		boxRate := min(policy.boxRate, policy.totalRate/float64(len(a.peers)))
+		boxRate := min(policy.boxRate, policy.totalRate/float64(len(g.peers)))
 		if limit := boxRate * now.Seconds() * 1.01; float64(bytes) > limit {
 			t.Fatalf("%d bytes in %v, want at most %f", bytes, now, limit)
 		}
 		for range 2000 {
-			a.sendChanges(n, now)
-			take()
+			g.sendChanges(n, now)
+			receive()
 			now += 30 * time.Millisecond
 		}
 		for key, load := range actual {
-			if known := received[key]; known != roundLoad(load) && a.isSignificant(known, roundLoad(load)) {
+			if known := received[key]; known != roundLoad(load) && g.isSignificant(known, roundLoad(load)) {
 				t.Fatalf("load %v is known on %v, want %v", known, key, load)
 			}
 		}
-		a.sendFullList(n, now+maxFullListInterval)
-		take()
+		g.sendFullList(n, now+maxFullListInterval)
+		receive()
 		if len(received) != len(roundLoads(actual)) {
 			t.Fatalf("%d loads are known after a complete list, want %d", len(received), len(roundLoads(actual)))
 		}
@@ -264,10 +264,10 @@
 	w := startRegions(t, 9, layout{3, 1}, 60)
 	w.restartAll()
 	w.run(8 * time.Second)
-	count := func(do func()) map[Reach]int {
+	count := func(action func()) map[Reach]int {
 		w.run(DefaultTiming.HeartbeatInterval)
 		reaches := make(map[Reach]int)
-		do()
+		action()
 		for _, name := range w.names {
 			out, _ := w.boxes[name].node.Drain()
 			for _, o := range out {
--- a/group/regionschedules_test.go
+++ b/group/regionschedules_test.go
@@ -40,7 +40,7 @@
 			w.restartRegionBox(i)
 		}
 	}},
-	{"message loss begins or ends", func(w *checkedSimulation) { w.loss = 0.3 - w.loss }},
+	{"message loss begins or ends", func(w *checkedSimulation) { w.lossRate = 0.3 - w.lossRate }},
 }
 
 func (w *checkedSimulation) restartRegionBox(i int) {
@@ -85,7 +85,7 @@
 		regionActions[i].apply(w)
 		w.runRegions(t, path, searchStep)
 	}
-	w.linkCut, w.loss = nil, 0
+	w.linkCut, w.lossRate = nil, 0
 	for i, b := range regionBoxes {
 		w.boxes[b.name].frozen = false
 		if w.boxes[b.name].dead {
--- a/group/regiontraffic_test.go
+++ b/group/regiontraffic_test.go
@@ -111,7 +111,7 @@
 		upstream += i%regions - upstream%regions
 	}
 	tokens := int(200 + 1800*t.random.ExpFloat64())
-	read := t.now + time.Duration(tokens/readTokensPerMilli)*time.Millisecond
+	readAt := t.now + time.Duration(tokens/readTokensPerMilli)*time.Millisecond
 	if t.random.Float64() < t.newPartShare {
 		t.nextPart++
 		t.parts[name] = append(t.parts[name], balance.PartReport{Part: t.nextPart * 2654435761, Upstream: upstreamKey(upstream)})
@@ -119,8 +119,8 @@
 	return &runningRequest{
 		key:    balance.LoadKey{Upstream: upstreamKey(upstream), Urgency: t.random.IntN(3)},
 		load:   balance.Load{Unread: tokens, Open: 1, Held: tokens + 300},
-		readAt: read,
-		endsAt: read + answerTime,
+		readAt: readAt,
+		endsAt: readAt + answerTime,
 	}
 }
 
@@ -145,14 +145,14 @@
 // the actual ones, averaged over boxes and upstreams. ownDomain selects the upstreams of each
 // box's own domain, otherwise all others are compared.
 func (t *workload) unreadError(ownDomain bool) float64 {
-	truth := make(Loads)
+	actual := make(Loads)
 	for _, name := range t.names {
-		addLoads(truth, t.loads(name))
+		addLoads(actual, t.loads(name))
 	}
 	domains := len(t.regions)
 	sum, count := 0.0, 0
 	for i, name := range t.names {
-		mine, others := t.loads(name), t.boxes[name].node.OtherLoads()
+		own, others := t.loads(name), t.boxes[name].node.OtherLoads()
 		for u := range t.upstreams {
 			if (u%domains == i%domains) != ownDomain {
 				continue
@@ -160,7 +160,7 @@
 			diff := 0
 			for urgency := range 3 {
 				key := balance.LoadKey{Upstream: upstreamKey(u), Urgency: urgency}
-				diff += truth[key].Unread - others[key].Unread - mine[key].Unread
+				diff += actual[key].Unread - others[key].Unread - own[key].Unread
 			}
 			sum += max(float64(diff), -float64(diff))
 			count++
@@ -188,7 +188,7 @@
 func benchRegionTraffic(b *testing.B, l layout, boxes int) {
 	t := newWorkload(startRegions(b, 1, l, boxes), l)
 	t.advance(3 * time.Second)
-	clear(t.sent)
+	clear(t.bytesByBox)
 	clear(t.bytesByKind)
 	const span, samples = 5.0, 10
 	ownError, otherError := 0.0, 0.0
@@ -199,7 +199,7 @@
 	}
 	var sent []int
 	for _, name := range t.names {
-		sent = append(sent, t.sent[name])
+		sent = append(sent, t.bytesByBox[name])
 	}
 	slices.Sort(sent)
 	b.ReportMetric(float64(sent[len(sent)-1])/span, "busiest-B/s")
--- a/group/restart.go
+++ b/group/restart.go
@@ -44,9 +44,9 @@
 func (n *Node) readTurn() time.Duration {
 	t := n.cfg.Timing
 	turn := n.started + t.RestartWait
-	if n.firstPullAt >= 0 { // some box has the data
+	if n.pullWaitFrom >= 0 { // some box has the data
 		delay := min(time.Duration(len(n.peers)-1)*pullTurnDelay, maxPullTurnDelay)
-		return max(turn, n.firstPullAt+t.PullWait+n.jitter(max(delay, 0)))
+		return max(turn, n.pullWaitFrom+t.PullWait+n.jitter(max(delay, 0)))
 	}
 	if n.isSeed() {
 		return turn
--- a/group/restart_test.go
+++ b/group/restart_test.go
@@ -97,7 +97,7 @@
 		pages  int // pages requested from the publisher, at most
 	}{
 		{"300 boxes", 300, func(*simulation) {}, 3 * time.Second, 400},
-		{"a third of the messages are lost", 60, func(w *simulation) { w.loss = 0.3 }, 5 * time.Second, 400},
+		{"a third of the messages are lost", 60, func(w *simulation) { w.lossRate = 0.3 }, 5 * time.Second, 400},
 		{"the seeds do not return", 60, func(w *simulation) { w.stopSeeds() }, 5 * time.Second, 600},
 		{"the publisher refuses the seeds", 60, func(w *simulation) { w.refuseSeeds() }, 5 * time.Second, 400},
 		{"a region is cut off", 60, func(w *simulation) {
@@ -178,7 +178,7 @@
 
 func (w *simulation) refuseSeeds() {
 	for _, name := range w.seeds {
-		w.refused[name] = true
+		w.refusedBoxes[name] = true
 	}
 }
 
--- a/group/schedules_test.go
+++ b/group/schedules_test.go
@@ -23,7 +23,7 @@
 var actions = []action{
 	{"publish", func(w *checkedSimulation) { w.publish(documentKey, "new") }},
 	{"publisher fails or returns", func(w *checkedSimulation) { w.publisherDown = !w.publisherDown }},
-	{"publisher refuses the leader or accepts it again", func(w *checkedSimulation) { w.refused[firstLeader] = !w.refused[firstLeader] }},
+	{"publisher refuses the leader or accepts it again", func(w *checkedSimulation) { w.refusedBoxes[firstLeader] = !w.refusedBoxes[firstLeader] }},
 	{"cut or reconnect", func(w *checkedSimulation) { w.cutDomains[domainName(0)] = !w.cutDomains[domainName(0)] }},
 	{"freeze or unfreeze the leader", func(w *checkedSimulation) { w.boxes[firstLeader].frozen = !w.boxes[firstLeader].frozen }},
 	{"restart the leader", func(w *checkedSimulation) { w.restart(firstLeader, domainName(0), 100) }},
@@ -109,7 +109,7 @@
 		w.checkShares(t, path, before)
 	}
 	w.publisherDown = false
-	clear(w.refused)
+	clear(w.refusedBoxes)
 	clear(w.cutDomains)
 	for _, b := range w.boxes {
 		b.frozen = false
--- a/group/send.go
+++ b/group/send.go
@@ -110,7 +110,7 @@
 		hearsOtherDomain = hearsOtherDomain || !n.sameDomain(p) && now-p.lastHeard < n.cfg.Timing.MemberTimeout
 		m := n.newMessage(now)
 		list := n.changedBoxList(p, now)
-		m.Boxes, m.Sharers = list.boxes, list.sharers
+		m.Boxes, m.Sharers = list.boxes, list.quotaPeers
 		m.Classes = n.classesFor(p, classes)
 		n.send(p.box.Address, m)
 	}
@@ -149,7 +149,7 @@
 	switch {
 	case !p.isLeader:
 		return false
-	case n.announcesLeadership || !n.isGone(now, p) || now-p.lastNamed < n.cfg.Timing.MemberTimeout && p.lastHeard < 0:
+	case n.announcesLeadership || !n.isGone(now, p) || now-p.lastListed < n.cfg.Timing.MemberTimeout && p.lastHeard < 0:
 		return true
 	}
 	return !heard[p.box.Domain] && n.heartbeats%silentDomainInterval == 0
@@ -161,9 +161,9 @@
 
 // boxList is the list of boxes sent to one domain, with its digest.
 type boxList struct {
-	boxes   []*wire.GroupBox
-	sharers []uint32
-	digest  uint64
+	boxes      []*wire.GroupBox
+	quotaPeers []uint32
+	digest     uint64
 }
 
 // changedBoxList returns the list for a peer, or an empty one if the peer already has it.
@@ -179,9 +179,9 @@
 			l.digest += xxhash.Sum64String(b.Name) ^ b.Boot // independent of the order
 		}
 		if n.sameDomain(p) {
-			l.sharers = n.packSharers(now)
+			l.quotaPeers = n.packQuotaPeers(now)
 		}
-		for _, key := range l.sharers {
+		for _, key := range l.quotaPeers {
 			l.digest += hashKey(key)
 		}
 		if n.boxLists == nil {
--- a/group/sentparts.go
+++ b/group/sentparts.go
@@ -55,9 +55,9 @@
 
 // DrainSentParts returns the parts announced by other boxes since the last call.
 func (n *Node) DrainSentParts() []balance.PartReport {
-	heard := n.receivedParts
+	received := n.receivedParts
 	n.receivedParts = nil
-	return heard
+	return received
 }
 
 // queueParts queues a list to be sent. template holds the source and reach.
--- a/group/sentparts_test.go
+++ b/group/sentparts_test.go
@@ -71,7 +71,7 @@
 	w := newSimulation(t, 43)
 	w.startFleet(2, 4)
 	w.run(4 * time.Second)
-	w.loss = 0.1
+	w.lossRate = 0.1
 	const announced = 400
 	for i := range announced {
 		w.boxes[boxName(0, 2)].node.AnnounceSentParts([]balance.PartReport{{Part: uint32(i), Upstream: 1}})
--- a/group/simulation_test.go
+++ b/group/simulation_test.go
@@ -25,14 +25,14 @@
 	inFlight         []packet
 	published        *mirror.Mirror
 	publisherDown    bool            // the publisher is down
-	refused          map[string]bool // boxes that the publisher refuses
+	refusedBoxes     map[string]bool // boxes that the publisher refuses
 	cutDomains       map[string]bool // domains cut off from the others
 	domainCount      int             // number of domains in the settings; 0: not set
 	isolated         map[string]bool // boxes cut off from all others
-	loss             float64
-	calls            int
-	bytes            int
-	sent             map[string]int  // bytes, by box
+	lossRate         float64
+	publisherCalls   int
+	totalBytes       int
+	bytesByBox       map[string]int  // bytes, by box
 	bytesByKind      map[sentKey]int // bytes
 	messagesByKind   map[sentKey]int
 	regions          map[string]string              // by domain; empty: there are no regions
@@ -55,10 +55,10 @@
 }
 
 type packet struct {
-	at   time.Duration
-	from string
-	to   string
-	data []byte
+	arrivesAt time.Duration
+	from      string
+	to        string
+	data      []byte
 }
 
 // pullTransfer is the answer to a pull in transit.
@@ -96,7 +96,7 @@
 
 func newSimulation(t testing.TB, seed uint64) *simulation {
 	w := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 1)), boxes: make(map[string]*testBox), published: mirror.New(),
-		refused: make(map[string]bool), cutDomains: make(map[string]bool), isolated: make(map[string]bool), sent: make(map[string]int), bytesByKind: make(map[sentKey]int), messagesByKind: make(map[sentKey]int)}
+		refusedBoxes: make(map[string]bool), cutDomains: make(map[string]bool), isolated: make(map[string]bool), bytesByBox: make(map[string]int), bytesByKind: make(map[sentKey]int), messagesByKind: make(map[sentKey]int)}
 	w.published.Load([]mirror.Item{{Key: documentKey, Value: []byte("1"), Revision: 1}}, 1)
 	return w
 }
@@ -158,28 +158,28 @@
 }
 
 func (w *simulation) deliver() {
-	var later, due []packet
-	for _, f := range w.inFlight {
-		if f.at <= w.now {
-			due = append(due, f)
+	var remaining, due []packet
+	for _, p := range w.inFlight {
+		if p.arrivesAt <= w.now {
+			due = append(due, p)
 		} else {
-			later = append(later, f)
+			remaining = append(remaining, p)
 		}
 	}
-	w.inFlight = later
-	sort.SliceStable(due, func(i, j int) bool { return due[i].at < due[j].at })
-	for _, f := range due {
-		b := w.boxes[f.to]
-		if b == nil || b.dead || w.isCut(f.from, f.to) {
+	w.inFlight = remaining
+	sort.SliceStable(due, func(i, j int) bool { return due[i].arrivesAt < due[j].arrivesAt })
+	for _, p := range due {
+		b := w.boxes[p.to]
+		if b == nil || b.dead || w.isCut(p.from, p.to) {
 			continue
 		}
 		if b.frozen {
-			f.at = w.now + step
-			w.inFlight = append(w.inFlight, f)
+			p.arrivesAt = w.now + step
+			w.inFlight = append(w.inFlight, p)
 			continue
 		}
 		m := new(wire.GroupMessage)
-		if err := proto.Unmarshal(f.data, m); err != nil {
+		if err := proto.Unmarshal(p.data, m); err != nil {
 			w.t.Fatal(err)
 		}
 		b.node.Handle(w.now, m)
@@ -213,12 +213,12 @@
 			w.encoded, w.encodedBytes = o, data
 		}
 		data := w.encodedBytes
-		w.bytes += len(data)
-		w.sent[b.self.Name] += len(data)
+		w.totalBytes += len(data)
+		w.bytesByBox[b.self.Name] += len(data)
 		key := sentKey{KindOf(o.Message), o.Reach}
 		w.bytesByKind[key] += len(data)
 		w.messagesByKind[key]++
-		if w.random.Float64() < w.loss {
+		if w.random.Float64() < w.lossRate {
 			continue
 		}
 		delay := time.Duration(w.random.IntN(4)) * step
@@ -302,7 +302,7 @@
 		if w.now < b.nextCallAt || !b.node.ShouldRead(w.now) {
 			return
 		}
-		w.calls++
+		w.publisherCalls++
 		b.callRevision, b.callReadsAll, b.callStartedAt = b.mirror.Revision(), b.mirror.Revision() == 0, w.now
 		b.callTimeout = b.node.WatchTimeout(w.now)
 		b.callEndsAt = w.now + b.callTimeout
@@ -310,7 +310,7 @@
 			b.callEndsAt = w.now + step
 		}
 	}
-	unavailable := w.publisherDown || w.refused[b.self.Name]
+	unavailable := w.publisherDown || w.refusedBoxes[b.self.Name]
 	changed := !b.callReadsAll && w.published.Revision() > b.callRevision
 	if w.now < b.callEndsAt && (unavailable || !changed) {
 		return
--- a/group/suspects_test.go
+++ b/group/suspects_test.go
@@ -82,7 +82,7 @@
 	for _, test := range []struct {
 		name   string
 		within time.Duration
-		do     func(h *suspectTables)
+		apply  func(h *suspectTables)
 	}{
 		{"two crashes seen by one box", 200 * time.Millisecond, func(h *suspectTables) {
 			h.crash("b02", fatalContent, "u1")
@@ -93,12 +93,12 @@
 			h.crash("b11", fatalContent, "u2")
 		}},
 		{"a fifth of all messages is lost", knownWithin, func(h *suspectTables) {
-			h.sim.loss = 0.2
+			h.sim.lossRate = 0.2
 			h.crash("b02", fatalContent, "u1")
 			h.crash("b02", fatalContent, "u2")
 		}},
 		{"half of all messages are lost", 20 * time.Second, func(h *suspectTables) {
-			h.sim.loss = 0.5
+			h.sim.lossRate = 0.5
 			h.crash("b02", fatalContent, "u1")
 			h.crash("b02", fatalContent, "u2")
 		}},
@@ -141,7 +141,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(10) {
 				h := start(t, seed)
-				test.do(h)
+				test.apply(h)
 				h.runTables(test.within)
 				alive := 0
 				for _, name := range all {
@@ -172,11 +172,11 @@
 	h.crash("b", fatalContent, "u2")
 	h.runTables(time.Second)
 	is.Equal(h.withholding(fatalContent), 4)
-	w.loss = 1
+	w.lossRate = 1
 	h.tables["d"].Answered(w.now, fatalContent)
 	h.runTables(500 * time.Millisecond)
 	is.Equal(h.withholding(fatalContent), 3)
-	w.loss = 0
+	w.lossRate = 0
 	h.runTables(knownWithin)
 	is.Equal(h.withholding(fatalContent), 0)
 }
--- a/group/takeover.go
+++ b/group/takeover.go
@@ -28,7 +28,7 @@
 		return
 	}
 	n.actsAsLeader = true
-	n.sums, n.regionLeaderName = loadSums{}, ""
+	n.loadSums, n.regionLeaderName = loadSums{}, ""
 	if !n.hasFollowed {
 		return // it has just started
 	}
@@ -61,7 +61,7 @@
 
 // recentlySeen reports whether a peer was heard or listed recently enough to wait for it.
 func recentlySeen(now time.Duration, p *peer) bool {
-	return now-max(p.lastHeard, p.lastNamed) < shareWindow
+	return now-max(p.lastHeard, p.lastListed) < recentPeerWindow
 }
 
 // membersReported reports whether all members have sent their loads since the given time.
--- a/group/takeover_test.go
+++ b/group/takeover_test.go
@@ -29,7 +29,7 @@
 // A new leader and the boxes that follow it never assume fewer requests than the running boxes
 // have.
 func TestNewLeaderInheritsLoads(t *testing.T) {
-	worlds := map[string]func() *simulation{
+	fleets := map[string]func() *simulation{
 		"one region": func() *simulation {
 			w := newSimulation(t, 1)
 			w.startFleet(3, 26)
@@ -38,7 +38,7 @@
 		},
 		"three regions": func() *simulation { return startRegions(t, 1, layout{6, 3}, 78) },
 	}
-	for name, start := range worlds {
+	for name, start := range fleets {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := start()
