--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -99,7 +99,7 @@
 	f.Put(0, entryOf("u", 100, 1))
 	unavailable := func(now time.Duration) time.Duration {
 		f.Place(now, Request{Service: "s"}, nil)
-		return f.LackedFor(now, "s")
+		return f.UnavailableFor(now, "s")
 	}
 	is.Equal(unavailable(time.Second), time.Duration(0))
 	f.NoteLeaving(Incarnation{"u", 100})
--- a/balance/place.go
+++ b/balance/place.go
@@ -64,10 +64,10 @@
 	}
 }
 
-// LackedFor returns how long no upstream of a service has accepted requests because the last of
+// UnavailableFor returns how long no upstream of a service has accepted requests because the last of
 // them are leaving, or 0. As long as no new one has started, the expected time until one does is
 // about as long again.
-func (f *Fleet) LackedFor(now time.Duration, service string) time.Duration {
+func (f *Fleet) UnavailableFor(now time.Duration, service string) time.Duration {
 	if s := f.serviceOf(service); s.unavailableSince != longAgo {
 		return now - s.unavailableSince
 	}
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -76,7 +76,7 @@
 		x.pausedFor = x.pauseLeft(x.triedPresent())
 		x.allLimited = choice.Passed > 0 && x.pausedFor == 0
 		x.tooLarge = r.fleet.TooLarge(q)
-		left := max(r.fleet.ColdLeft(r.now(), x.service), r.fleet.MemoryLeft(r.now(), q), r.fleet.LimitLeft(r.now(), x.service), addJitter(r.fleet.LackedFor(r.now(), x.service)))
+		left := max(r.fleet.ColdLeft(r.now(), x.service), r.fleet.MemoryLeft(r.now(), q), r.fleet.LimitLeft(r.now(), x.service), addJitter(r.fleet.UnavailableFor(r.now(), x.service)))
 		x.retryAfter = min(left, maxRetryAfter)
 		return choice, false
 	}
