--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -40,7 +40,9 @@
 func (f *Fleet) TakeLimitNews(now time.Duration) []LimitReport { return f.limits.takeReports(now) }
 
 // KnownLimits returns all known limits, and separately those that are in force.
-func (f *Fleet) NamedAll(now time.Duration) (known, inForce []LimitReport) { return f.limits.all(now) }
+func (f *Fleet) KnownLimits(now time.Duration) (known, inForce []LimitReport) {
+	return f.limits.all(now)
+}
 
 // ExpireLimits drops limits that are no longer of use.
 func (f *Fleet) ForgetNamed(now time.Duration) {
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -132,12 +132,12 @@
 			f.SetSharers(b.node.QuotaPeers(now))
 			f.SetBoxes(b.node.BoxCount(), true)
 			f.ForgetNamed(now)
-			b.node.SetLimits(f.NamedAll(now))
+			b.node.SetLimits(f.KnownLimits(now))
 		}
 		f.MergeLimits(now, b.node.DrainLimits())
 		if news := f.TakeLimitNews(now); len(news) > 0 {
 			b.node.AnnounceLimits(news)
-			b.node.SetLimits(f.NamedAll(now))
+			b.node.SetLimits(f.KnownLimits(now))
 		}
 		b.node.FlushLimits(now)
 		d.w.sendOutgoing(b)
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -117,7 +117,7 @@
 	changes := r.fleet.MergeLimits(now, heard)
 	if news := r.fleet.TakeLimitNews(now); len(news) > 0 {
 		m.node.AnnounceLimits(news)
-		m.node.SetLimits(r.fleet.NamedAll(now))
+		m.node.SetLimits(r.fleet.KnownLimits(now))
 	}
 	r.mu.Unlock()
 	m.node.FlushLimits(now)
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -30,7 +30,7 @@
 	m.node.SetWithheld(m.relay.crashSuspects.Withheld(m.relay.now()))
 	m.relay.fleet.ForgetNamed(m.relay.now())
 	m.relay.fleet.ForgetPauses(m.relay.now())
-	m.node.SetLimits(m.relay.fleet.NamedAll(m.relay.now()))
+	m.node.SetLimits(m.relay.fleet.KnownLimits(m.relay.now()))
 }
 
 // takeLoads hands the node what this box has under way, as soon as that has changed.
