--- a/balance/memory.go
+++ b/balance/memory.go
@@ -216,9 +216,9 @@
 	return events.value()
 }
 
-// SetAside counts the slot and the memory that a copy of a running request takes at an upstream,
+// Reserve counts the slot and the memory that a copy of a running request takes at an upstream,
 // until the copy is used or given up.
-func (f *Fleet) SetAside(id string, r Request) *Ticket {
+func (f *Fleet) Reserve(id string, r Request) *Ticket {
 	m := f.byID[id]
 	if m == nil {
 		return &Ticket{closed: true}
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -107,7 +107,7 @@
 	m, ok := f.MoveTo(time.Second, longRequest(100, 360), "u0", late)
 	is.True(ok)
 	is.Equal(m.To.ID, "u2")
-	reserved := f.SetAside("u2", longRequest(100, 360))
+	reserved := f.Reserve("u2", longRequest(100, 360))
 	is.Equal(f.Loads()[LoadKey{Key("u2"), 0}], Load{Open: 1, Held: 1400 + 720})
 	reserved.Close(time.Second, Neutral)
 	is.Equal(f.byID["u2"].held(), 0)
@@ -145,7 +145,7 @@
 			case what == 0:
 				open = append(open, f.OpenMoved(now, id, r))
 			case what == 1:
-				open = append(open, f.SetAside(id, r))
+				open = append(open, f.Reserve(id, r))
 			case what == 2 || len(open) == 0:
 				open = append(open, f.Open(now, id, r))
 			case what == 3:
--- a/relay/move.go
+++ b/relay/move.go
@@ -90,7 +90,7 @@
 		return m, nil
 	}
 	x.retryPaid = true
-	return m, r.fleet.SetAside(m.To.ID, q)
+	return m, r.fleet.Reserve(m.To.ID, q)
 }
 
 // closeReservation ends the reservation for the copy.
