--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -45,7 +45,7 @@
 }
 
 // ExpireLimits drops limits that are no longer of use.
-func (f *Fleet) ForgetNamed(now time.Duration) {
+func (f *Fleet) ExpireLimits(now time.Duration) {
 	f.limits.expire(now, func(incarnation uint32) bool { return f.byKey[incarnation] != nil })
 }
 
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -131,7 +131,7 @@
 		if (int(now/step)+i)%stepsPerTick == 0 {
 			f.SetSharers(b.node.QuotaPeers(now))
 			f.SetBoxes(b.node.BoxCount(), true)
-			f.ForgetNamed(now)
+			f.ExpireLimits(now)
 			b.node.SetLimits(f.KnownLimits(now))
 		}
 		f.MergeLimits(now, b.node.DrainLimits())
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -28,7 +28,7 @@
 	m.relay.crashSuspects.Forget(m.relay.now())
 	m.relay.budgets.Forget(m.relay.now())
 	m.node.SetWithheld(m.relay.crashSuspects.Withheld(m.relay.now()))
-	m.relay.fleet.ForgetNamed(m.relay.now())
+	m.relay.fleet.ExpireLimits(m.relay.now())
 	m.relay.fleet.ForgetPauses(m.relay.now())
 	m.node.SetLimits(m.relay.fleet.KnownLimits(m.relay.now()))
 }
