--- a/balance/memory.go
+++ b/balance/memory.go
@@ -188,10 +188,10 @@
 	return fraction(runTime, float64(excess)/float64(max(held, 1)))
 }
 
-// Made records the number of events of the answer so far. An answer that outgrows the memory
+// NoteEventCount records the number of events of the answer so far. An answer that outgrows the memory
 // counted for it is counted with half as much again as its present length, so that updates are
 // rare.
-func (t *Ticket) Made(events int) {
+func (t *Ticket) NoteEventCount(events int) {
 	perToken := t.fleet.eventsPerToken(t.request.Service)
 	if t.closed || t.held == 0 || perToken == 0 {
 		return
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -87,12 +87,12 @@
 	f.serviceOf("s").answers.recordLength(100, 20) // one event per five tokens
 	ticket := f.Open(0, "u0", unsharedRequest(1, 1000, 100))
 	is.Equal(f.byID["u0"].held(), 1200)
-	ticket.Made(40) // 200 tokens, which are counted already
+	ticket.NoteEventCount(40) // 200 tokens, which are counted already
 	is.Equal(f.byID["u0"].held(), 1200)
-	ticket.Made(100)
+	ticket.NoteEventCount(100)
 	is.Equal(f.byID["u0"].held(), 1000+500+250)
 	ticket.Close(0, Answered)
-	ticket.Made(1000)
+	ticket.NoteEventCount(1000)
 	is.Equal(f.byID["u0"].held(), 0)
 }
 
@@ -149,7 +149,7 @@
 			case what == 2 || len(open) == 0:
 				open = append(open, f.Open(now, id, r))
 			case what == 3:
-				open[rapid.IntRange(0, len(open)-1).Draw(t, "grows")].Made(rapid.IntRange(0, 2000).Draw(t, "events"))
+				open[rapid.IntRange(0, len(open)-1).Draw(t, "grows")].NoteEventCount(rapid.IntRange(0, 2000).Draw(t, "events"))
 			default:
 				open[rapid.IntRange(0, len(open)-1).Draw(t, "ends")].Close(now, Outcome(rapid.IntRange(0, int(Neutral)).Draw(t, "outcome")))
 			}
--- a/relay/move.go
+++ b/relay/move.go
@@ -55,7 +55,7 @@
 	}
 	x.relay.mu.Lock()
 	defer x.relay.mu.Unlock()
-	x.ticket.Made(x.events.total)
+	x.ticket.NoteEventCount(x.events.total)
 }
 
 // startMoveIfLate starts to move the stream if it would end too late where it is.
