--- a/balance/fetch.go
+++ b/balance/fetch.go
@@ -3,9 +3,9 @@
 // This file chooses the upstream from which another one fetches missing parts of a prompt. A
 // fetch costs a fourth of reading the parts again. An upstream in an evacuated failure domain
 // remains a source while it is listed: the fetch sends no request to its domain, and the parts it
-// holds will soon be lost. Invariant: a source is reachable, not resting, and in a region the
-// request may run in. An upstream that was listed recently is a source only if boxes reported
-// that it was sent the missing parts.
+// holds will soon be lost. Invariant: a source is reachable, not in failure backoff, and in a
+// region the request may run in. An upstream that was listed recently is a source only if boxes
+// reported that it was sent the missing parts.
 
 import (
 	"cmp"
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -70,7 +70,7 @@
 	is.True(!ok)
 }
 
-func TestFailingUpstreamRestsForABoundedTime(t *testing.T) {
+func TestFailingUpstreamIsAvoidedForABoundedTime(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
 	f.Put(0, Upstream{ID: "good", Service: "s", Slots: 8})
@@ -88,7 +88,7 @@
 	}
 	is.True(seen) // it is tried again
 	c, ok := f.Place(time.Second, prompt(1), []string{"good"})
-	is.True(ok) // a resting upstream is used if no other is left
+	is.True(ok) // an upstream in failure backoff is used if no other is left
 	is.Equal(c.Upstream.ID, "u0")
 }
 
@@ -182,8 +182,8 @@
 func TestOneLaneIsReservedForTightStreams(t *testing.T) {
 	is := is.New(t)
 	f, g := newDividedFleet(9), newDividedFleet(9)
-	f.SizeLanes(0, LanePlan{Key("s"): {Places: 2}})
-	g.SizeLanes(0, LanePlan{Key("s"): {Places: 2}})
+	f.SizeLanes(0, LanePlan{Key("s"): {Reserved: 2}})
+	g.SizeLanes(0, LanePlan{Key("s"): {Reserved: 2}})
 	lanes := [2]map[string]bool{{}, {}}
 	for shared := uint64(1); shared <= 100; shared++ {
 		for lane, r := range []Request{letter(shared), chat(shared)} {
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -49,7 +49,7 @@
 			for _, do := range c.then {
 				do(f)
 			}
-			if u, known := f.Present("u"); known {
+			if u, known := f.Entry("u"); known {
 				f.NoteLeavingChecked(u.Incarnation()) // asked, it does not report leaving again
 			}
 			choice, used := f.Place(2*time.Second, Request{Service: "s"}, nil)
@@ -99,7 +99,7 @@
 	f.Put(0, entryOf("u", 100, 1))
 	unavailable := func(now time.Duration) time.Duration {
 		f.Place(now, Request{Service: "s"}, nil)
-		return f.LackedFor(now, "s")
+		return f.UnavailableFor(now, "s")
 	}
 	is.Equal(unavailable(time.Second), time.Duration(0))
 	f.NoteLeaving(Incarnation{"u", 100})
--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -19,7 +19,7 @@
 }
 
 // MergeLimits merges reports of limits from other boxes and returns the changes.
-func (f *Fleet) TakeNamed(now time.Duration, list []LimitReport) []LimitChange {
+func (f *Fleet) MergeLimits(now time.Duration, list []LimitReport) []LimitChange {
 	changes := f.limits.mergeReports(now, list)
 	f.applyLimitChanges(now, changes...)
 	return changes
@@ -37,21 +37,23 @@
 }
 
 // TakeLimitNews returns the limits to report to other boxes since the last call.
-func (f *Fleet) NamedNews(now time.Duration) []LimitReport { return f.limits.takeReports(now) }
+func (f *Fleet) TakeLimitNews(now time.Duration) []LimitReport { return f.limits.takeReports(now) }
 
 // KnownLimits returns all known limits, and separately those that are in force.
-func (f *Fleet) NamedAll(now time.Duration) (known, inForce []LimitReport) { return f.limits.all(now) }
+func (f *Fleet) KnownLimits(now time.Duration) (known, inForce []LimitReport) {
+	return f.limits.all(now)
+}
 
 // ExpireLimits drops limits that are no longer of use.
-func (f *Fleet) ForgetNamed(now time.Duration) {
+func (f *Fleet) ExpireLimits(now time.Duration) {
 	f.limits.expire(now, func(incarnation uint32) bool { return f.byKey[incarnation] != nil })
 }
 
 // LimitQuota is the limit of an upstream and this box's quota of it.
-type LimitOf struct {
+type LimitQuota struct {
 	PerSecond float64
 	Age       time.Duration // since the limit was last advertised, as far as is known here
-	Ration    int           // requests that this box may send
+	Quota     int           // requests that this box may send
 	Span      time.Duration // time span of the quota
 }
 
@@ -65,20 +67,20 @@
 }
 
 // Limit returns the limit that an upstream advertises; false if there is none.
-func (f *Fleet) Limit(now time.Duration, id string) (LimitOf, bool) {
+func (f *Fleet) Limit(now time.Duration, id string) (LimitQuota, bool) {
 	m := f.byID[id]
 	if m == nil || f.limitOf(m) == nil {
-		return LimitOf{}, false
+		return LimitQuota{}, false
 	}
 	f.refreshQuotas(now)
 	x := f.limitOf(m)
 	_, span := f.cfg.Named.allowance(x.perSecond)
-	return LimitOf{PerSecond: x.perSecond, Age: now - x.lastRead, Ration: x.quota, Span: span}, true
+	return LimitQuota{PerSecond: x.perSecond, Age: now - x.lastRead, Quota: x.quota, Span: span}, true
 }
 
 // LimitExhausted reports whether an upstream advertises a limit that allows this box no further
 // request now.
-func (f *Fleet) TakesNoMore(now time.Duration, id string) bool {
+func (f *Fleet) LimitExhausted(now time.Duration, id string) bool {
 	m := f.byID[id]
 	if m == nil {
 		return false
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -131,13 +131,13 @@
 		if (int(now/step)+i)%stepsPerTick == 0 {
 			f.SetSharers(b.node.QuotaPeers(now))
 			f.SetBoxes(b.node.BoxCount(), true)
-			f.ForgetNamed(now)
-			b.node.SetLimits(f.NamedAll(now))
+			f.ExpireLimits(now)
+			b.node.SetLimits(f.KnownLimits(now))
 		}
-		f.TakeNamed(now, b.node.DrainLimits())
-		if news := f.NamedNews(now); len(news) > 0 {
+		f.MergeLimits(now, b.node.DrainLimits())
+		if news := f.TakeLimitNews(now); len(news) > 0 {
 			b.node.AnnounceLimits(news)
-			b.node.SetLimits(f.NamedAll(now))
+			b.node.SetLimits(f.KnownLimits(now))
 		}
 		b.node.FlushLimits(now)
 		d.sim.sendOutgoing(b)
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -99,7 +99,7 @@
 		event, counter = "names no limit any more", limitsEnded
 	}
 	fields := Fields{"upstream": u.ID, "born": u.StartedAt, "per_second": c.PerSecond, "before": c.Before, "source": "seen here", "id": request,
-		"sent_lately": sent, "span_ms": limitSpan.Milliseconds(), "ration": limit.Ration, "ration_span_ms": limit.Span.Milliseconds()}
+		"sent_lately": sent, "span_ms": limitSpan.Milliseconds(), "ration": limit.Quota, "ration_span_ms": limit.Span.Milliseconds()}
 	if c.Told {
 		fields["source"], fields["age_ms"] = "told", c.Age.Milliseconds()
 		delete(fields, "id")
@@ -114,10 +114,10 @@
 	heard := m.node.DrainLimits()
 	now := r.now()
 	r.mu.Lock()
-	changes := r.fleet.TakeNamed(now, heard)
-	if news := r.fleet.NamedNews(now); len(news) > 0 {
+	changes := r.fleet.MergeLimits(now, heard)
+	if news := r.fleet.TakeLimitNews(now); len(news) > 0 {
 		m.node.AnnounceLimits(news)
-		m.node.SetLimits(r.fleet.NamedAll(now))
+		m.node.SetLimits(r.fleet.KnownLimits(now))
 	}
 	r.mu.Unlock()
 	m.node.FlushLimits(now)
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -28,9 +28,9 @@
 	m.relay.crashSuspects.Forget(m.relay.now())
 	m.relay.budgets.Forget(m.relay.now())
 	m.node.SetWithheld(m.relay.crashSuspects.Withheld(m.relay.now()))
-	m.relay.fleet.ForgetNamed(m.relay.now())
+	m.relay.fleet.ExpireLimits(m.relay.now())
 	m.relay.fleet.ForgetPauses(m.relay.now())
-	m.node.SetLimits(m.relay.fleet.NamedAll(m.relay.now()))
+	m.node.SetLimits(m.relay.fleet.KnownLimits(m.relay.now()))
 }
 
 // takeLoads hands the node what this box has under way, as soon as that has changed.
