--- a/balance/limitreport.go
+++ b/balance/limitreport.go
@@ -65,7 +65,7 @@
 }
 
 // LimitsDigest returns a digest that is equal for equal limits, and 0 for none.
-func DigestOfNamed(inForce []LimitReport) uint64 {
+func LimitsDigest(inForce []LimitReport) uint64 {
 	var sum uint64
 	for _, x := range inForce {
 		b := binary.LittleEndian.AppendUint32(nil, x.Life)
--- a/balance/limitstate_test.go
+++ b/balance/limitstate_test.go
@@ -100,7 +100,7 @@
 		}
 		_, want := tables[0].all(now)
 		for i := range tables {
-			if _, got := tables[i].all(now); DigestOfNamed(got) != DigestOfNamed(want) {
+			if _, got := tables[i].all(now); LimitsDigest(got) != LimitsDigest(want) {
 				t.Fatalf("box %d has limits %v, box 0 has %v", i, got, want)
 			}
 		}
--- a/group/limits.go
+++ b/group/limits.go
@@ -29,7 +29,7 @@
 
 // SetLimits sets all limits this box knows, and those of them in force.
 func (n *Node) SetLimits(known, inForce []balance.LimitReport) {
-	n.limits.all, n.limits.digest = known, balance.DigestOfNamed(inForce)
+	n.limits.all, n.limits.digest = known, balance.LimitsDigest(inForce)
 }
 
 // AnnounceLimits queues new limits to be announced. A member announces only limits it read from
