--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -46,7 +46,7 @@
 	is.True(c.Upstream.ID != home.Upstream.ID)
 	is.Equal(c.Fetch, home.Upstream.Address)
 	next := c.Upstream.Address
-	ticket.First(0) // the prompt has been read, so the home is free again
+	ticket.NoteFirstEvent(0) // the prompt has been read, so the home is free again
 	c, _ = f.Place(0, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
 	is.Equal(c.Fetch, next) // the box may not have received all reports of parts yet
@@ -242,12 +242,12 @@
 	f := newTestFleet(1)
 	for range 200 {
 		ticket := f.Open(0, "u0", Request{Service: "s", Tokens: 10000})
-		ticket.First(100 * time.Millisecond)
+		ticket.NoteFirstEvent(100 * time.Millisecond)
 		ticket.Close(time.Second, Answered)
 	}
 	is.True(f.prefillRate > 90 && f.prefillRate < 110)
 	f.Open(0, "u0", prompt(1))
-	f.Open(0, "u0", Request{Service: "s", Tokens: 10000}).First(time.Hour) // behind another request: no sample
+	f.Open(0, "u0", Request{Service: "s", Tokens: 10000}).NoteFirstEvent(time.Hour) // behind another request: no sample
 	is.True(f.prefillRate > 90)
 }
 
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -191,7 +191,7 @@
 			var open []*Ticket
 			for range 4 {
 				ticket := f.Open(0, "u", prompt(7))
-				ticket.First(0)
+				ticket.NoteFirstEvent(0)
 				open = append(open, ticket)
 			}
 			news := f.KeptNews()
--- a/balance/lane_test.go
+++ b/balance/lane_test.go
@@ -211,7 +211,7 @@
 func serve(f *Fleet, now time.Duration, r Request) Choice {
 	c, _ := f.Place(now, r, nil)
 	ticket := f.Open(now, c.Upstream.ID, r)
-	ticket.First(now)
+	ticket.NoteFirstEvent(now)
 	ticket.Close(now, Answered)
 	return c
 }
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -231,7 +231,7 @@
 	}
 	id = c.Upstream.ID
 	ticket := f.Open(now, id, r)
-	ticket.First(now)
+	ticket.NoteFirstEvent(now)
 	w.runs = append(w.runs, memoryRun{ticket, ends})
 	if w.unreported[id] == nil {
 		w.unreported[id] = make(map[int]int)
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -21,7 +21,7 @@
 	f := newTestFleet(upstreams)
 	for i := range 20 {
 		t := f.Open(0, fmt.Sprintf("u%d", i%upstreams), longRequest(uint64(i+1), 60))
-		t.First(0)
+		t.NoteFirstEvent(0)
 		t.Events(9*30*time.Millisecond, 10, 10, true)
 		t.Close(9*30*time.Millisecond, Answered)
 	}
@@ -111,7 +111,7 @@
 	is.Equal(f.serviceOf("s").answers.movedInterval().Round(time.Millisecond), 15*time.Millisecond)
 	for range 5 {
 		ticket := f.OpenMoved(0, "u1", longRequest(1, 360))
-		ticket.First(0)
+		ticket.NoteFirstEvent(0)
 		ticket.Events(10*time.Second, 11, 60, false) // one second between events
 		ticket.Close(10*time.Second, Answered)
 	}
--- a/balance/reach_test.go
+++ b/balance/reach_test.go
@@ -22,7 +22,7 @@
 	}{
 		{"no answer", func(*Fleet) {}, 4},
 		{"one answers", func(f *Fleet) { f.Open(0, "u7", prompt(1)).Close(0, Answered) }, 2},
-		{"a stream begins", func(f *Fleet) { f.Open(0, "u10", prompt(1)).First(0) }, 2},
+		{"a stream begins", func(f *Fleet) { f.Open(0, "u10", prompt(1)).NoteFirstEvent(0) }, 2},
 		{"one has no capacity", func(f *Fleet) { f.Open(0, "u7", prompt(1)).Close(0, Full) }, 2},
 		{"a probe succeeds", func(f *Fleet) { f.NoteReachableByID("u7") }, 2},
 		{"one of another domain answers", func(f *Fleet) { f.Open(0, "u2", prompt(1)).Close(0, Answered) }, 4},
--- a/balance/slots_test.go
+++ b/balance/slots_test.go
@@ -18,7 +18,7 @@
 	now := time.Duration(0)
 	for range 200 { // sequential requests, 3 s from the first event to the end
 		ticket := f.Open(now, "u0", prompt(1))
-		ticket.First(now + time.Second)
+		ticket.NoteFirstEvent(now + time.Second)
 		now += 4 * time.Second
 		ticket.Close(now, Answered)
 	}
@@ -31,7 +31,7 @@
 	is := is.New(t)
 	f := newTestFleet(1)
 	for range 8 {
-		f.Open(0, "u0", prompt(1)).First(0)
+		f.Open(0, "u0", prompt(1)).NoteFirstEvent(0)
 	}
 	is.Equal(f.serviceOf("s").holding.mean(0), time.Duration(0))
 	is.Equal(f.serviceOf("s").holding.mean(time.Second), 8*time.Second) // none of 8 completed within a second
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -62,8 +62,8 @@
 // Opened returns when the request was counted.
 func (t *Ticket) Opened() time.Duration { return t.opened }
 
-// First records the first event of the answer: the prompt has been read.
-func (t *Ticket) First(now time.Duration) {
+// NoteFirstEvent records the first event of the answer: the prompt has been read.
+func (t *Ticket) NoteFirstEvent(now time.Duration) {
 	if t.closed || t.prefilled {
 		return
 	}
--- a/experiment/placing/run.go
+++ b/experiment/placing/run.go
@@ -153,7 +153,7 @@
 	late := false
 	last := time.Duration(0)
 	j.first = func(now time.Duration) {
-		ticket.First(now)
+		ticket.NoteFirstEvent(now)
 		late = now+way-arrived > j.class.Target.Std()
 		last = now
 	}
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -48,7 +48,7 @@
 	}
 	x.pace.observe(time.Now(), x.route.EventGap)
 	x.relay.mu.Lock()
-	x.ticket.First(x.relay.now())
+	x.ticket.NoteFirstEvent(x.relay.now())
 	x.relay.wakeReady(x.service)
 	x.relay.mu.Unlock()
 	wake(x.relay.members.loaded)
