--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -189,7 +189,7 @@
 // MaySend reports whether a placed request may still be sent once its connection is established:
 // the upstream may have advertised a limit meanwhile. If it may not, the request is no longer
 // counted as sent.
-func (t *Ticket) MayGo(now time.Duration) bool {
+func (t *Ticket) MaySend(now time.Duration) bool {
 	if t.closed || t.moved {
 		return true
 	}
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -245,16 +245,16 @@
 	waits, goes := f.Open(2*time.Second, "u0", r), f.Open(2*time.Second, "u1", r)
 	before := f.Sent(2*time.Second, Incarnation{ID: "u0"}, time.Minute)
 	f.advertiseLimit(2100*time.Millisecond, "u0", 1)
-	is.True(!waits.MayGo(2200 * time.Millisecond))
+	is.True(!waits.MaySend(2200 * time.Millisecond))
 	is.Equal(f.Sent(2200*time.Millisecond, Incarnation{ID: "u0"}, time.Minute), before-1) // no longer counted as sent
-	is.True(goes.MayGo(2200 * time.Millisecond))
+	is.True(goes.MaySend(2200 * time.Millisecond))
 }
 
 // A request placed at an upstream that has since been removed is not counted, and may be sent.
 func TestTicketOfRemovedUpstreamMaySend(t *testing.T) {
 	is := is.New(t)
 	f := limitedFleet(1, 1)
-	is.True(f.Open(0, "gone", Request{Service: "s"}).MayGo(0))
+	is.True(f.Open(0, "gone", Request{Service: "s"}).MaySend(0))
 }
 
 func TestLimitsCanBeSwitchedOff(t *testing.T) {
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -90,7 +90,7 @@
 	switch {
 	case !r.fleet.Accepts(r.now(), x.upstream.Incarnation()):
 		return errNotAccepting
-	case x.ticket != nil && !x.ticket.MayGo(r.now()):
+	case x.ticket != nil && !x.ticket.MaySend(r.now()):
 		return errLimit
 	}
 	return nil
