--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -22,7 +22,7 @@
 	for i := range 20 {
 		t := f.Open(0, fmt.Sprintf("u%d", i%upstreams), longRequest(uint64(i+1), 60))
 		t.NoteFirstEvent(0)
-		t.Events(9*30*time.Millisecond, 10, 10, true)
+		t.NoteAnswer(9*30*time.Millisecond, 10, 10, true)
 		t.Close(9*30*time.Millisecond, Answered)
 	}
 	return f
@@ -112,7 +112,7 @@
 	for range 5 {
 		ticket := f.OpenMoved(0, "u1", longRequest(1, 360))
 		ticket.NoteFirstEvent(0)
-		ticket.Events(10*time.Second, 11, 60, false) // one second between events
+		ticket.NoteAnswer(10*time.Second, 11, 60, false) // one second between events
 		ticket.Close(10*time.Second, Answered)
 	}
 	is.Equal(f.serviceOf("s").answers.movedInterval().Round(time.Millisecond), time.Second)
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -91,10 +91,10 @@
 	t.fleet.dropIdleUnlisted(m)
 }
 
-// Events records how far the answer has come: events is the number of events since the first one
+// NoteAnswer records how far the answer has come: events is the number of events since the first one
 // of this run, all the number over all runs of the request, and whole reports whether the answer
 // is complete.
-func (t *Ticket) Events(now time.Duration, events, all int, whole bool) {
+func (t *Ticket) NoteAnswer(now time.Duration, events, all int, whole bool) {
 	if t.closed || !t.prefilled {
 		return
 	}
--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -99,7 +99,7 @@
 		q := balance.Request{Service: "s", Expected: 100, Parts: []balance.Part{{ID: 1, Tokens: 10}, {ID: 2, Tokens: 10}}}
 		for _, ticket := range []*balance.Ticket{r.fleet.Open(r.now(), "slow", q), r.fleet.OpenMoved(r.now(), "slow", q)} {
 			ticket.NoteFirstEvent(r.now())
-			ticket.Events(r.now()+2*time.Second, 101, 100, true)
+			ticket.NoteAnswer(r.now()+2*time.Second, 101, 100, true)
 			ticket.Close(r.now()+2*time.Second, balance.Answered)
 		}
 	}
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -156,5 +156,5 @@
 	}
 	x.relay.mu.Lock()
 	defer x.relay.mu.Unlock()
-	x.ticket.Events(x.relay.now(), x.events.bodyEvents, x.events.total, whole)
+	x.ticket.NoteAnswer(x.relay.now(), x.events.bodyEvents, x.events.total, whole)
 }
