--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -224,8 +224,8 @@
 	is.Equal(len(f.Unreached()), 1) // a single upstream may have crashed
 	f.Open(0, "u4", prompt(1)).Close(time.Second, Unreachable)
 	is.Equal(len(f.Unreached()), 3) // both lie in domain d1, which counts as cut off
-	is.Equal(len(f.NewlyLost()), 3)
-	is.Equal(len(f.NewlyLost()), 0) // each is returned once
+	is.Equal(len(f.TakeNewlyUnreachable()), 3)
+	is.Equal(len(f.TakeNewlyUnreachable()), 0) // each is returned once
 	for shared := range uint64(50) {
 		c, _ := f.Place(time.Second, prompt(shared), nil)
 		is.True(c.Upstream.Domain != "d1")
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -101,7 +101,7 @@
 	is.True(!m.unreachable && !m.Leaving && !m.suspect)
 	is.Equal(m.health, health{})
 	is.Equal(f.domainReachOf("d1").consecutive, 0) // these outcomes do not count towards a cut-off domain
-	is.Equal(len(f.NewlyLost()), 0)
+	is.Equal(len(f.TakeNewlyUnreachable()), 0)
 	is.Equal(len(f.KeptNews()), 0)
 	f.Open(time.Second, "u", prompt(8)).Close(time.Second, Answered)
 	is.Equal(m.totalLoad(), Load{})
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -197,7 +197,7 @@
 }
 
 // TakeNewlyUnreachable returns the upstreams that became unreachable since the last call.
-func (f *Fleet) NewlyLost() []UnreachableUpstream {
+func (f *Fleet) TakeNewlyUnreachable() []UnreachableUpstream {
 	list := f.lost
 	f.lost = nil
 	return list
--- a/balance/reach_test.go
+++ b/balance/reach_test.go
@@ -48,7 +48,7 @@
 	failUnreachable(f, 0, "u1")
 	failUnreachable(f, time.Second, "u4")
 	alone := 0
-	for _, u := range f.NewlyLost() {
+	for _, u := range f.TakeNewlyUnreachable() {
 		if !u.ByDomain {
 			alone++
 		}
--- a/relay/outcome_test.go
+++ b/relay/outcome_test.go
@@ -64,7 +64,7 @@
 	x.recordFailure(runUnsent, syscall.ECONNREFUSED)
 	is.Equal(resting(), 1)
 	r.mu.Lock()
-	lost := r.fleet.NewlyLost()
+	lost := r.fleet.TakeNewlyUnreachable()
 	x.ticket = r.fleet.Open(r.now(), "u", balance.Request{Service: "s"})
 	r.mu.Unlock()
 	is.Equal(len(lost), 1) // nobody has put it down to u
--- a/relay/trial.go
+++ b/relay/trial.go
@@ -44,7 +44,7 @@
 // one that just could not be reached.
 func (r *Relay) logUnreached(cause string) {
 	r.mu.Lock()
-	list := r.fleet.NewlyLost()
+	list := r.fleet.TakeNewlyUnreachable()
 	r.mu.Unlock()
 	for _, u := range list {
 		r.cfg.Log.Event("upstream", "out of reach", Fields{"upstream": u.ID, "domain": u.Domain, "service": u.Service,
