--- a/balance/cost.go
+++ b/balance/cost.go
@@ -75,7 +75,7 @@
 	missing := false // a part is usable only together with all parts before it
 	for i, part := range p.shared {
 		missing = missing || !p.holds(m, part)
-		fetchable := p.request.Moves && p.cached[i] && !p.fleet.cfg.Off[Fetching]
+		fetchable := p.request.CanTransfer && p.cached[i] && !p.fleet.cfg.Off[Fetching]
 		if missing && !fetchable {
 			tokens += part.Tokens
 		}
--- a/balance/fetch.go
+++ b/balance/fetch.go
@@ -16,7 +16,7 @@
 // fetchFrom returns the address of the upstream to fetch the prompt's shared parts from, or "" if
 // nothing is to be fetched.
 func (f *Fleet) fetchFrom(now time.Duration, r Request, chosen *member) string {
-	if !r.Moves || f.cfg.Off[Fetching] {
+	if !r.CanTransfer || f.cfg.Off[Fetching] {
 		return ""
 	}
 	from, known := f.knownHolder(now, r, chosen)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -18,7 +18,7 @@
 }
 
 func prompt(shared uint64) Request {
-	return Request{Service: "s", Moves: true, Tokens: 1400, Parts: []Part{{ID: shared, Tokens: 1000}, {ID: shared + 1e6, Tokens: 400}}}
+	return Request{Service: "s", CanTransfer: true, Tokens: 1400, Parts: []Part{{ID: shared, Tokens: 1000}, {ID: shared + 1e6, Tokens: 400}}}
 }
 
 func TestPromptsWithTheSamePrefixGoToTheSameUpstream(t *testing.T) {
@@ -268,7 +268,7 @@
 	r := prompt(7)
 	home, _ := f.Place(0, r, nil)
 	f.Open(0, home.Upstream.ID, Request{Service: "s", Tokens: 100000})
-	r.Moves = false
+	r.CanTransfer = false
 	c, _ := f.Place(0, r, nil)
 	is.True(c.Upstream.ID != home.Upstream.ID)
 	is.Equal(c.Fetch, "")
--- a/balance/move.go
+++ b/balance/move.go
@@ -51,7 +51,7 @@
 // the id of the upstream that runs it. It returns false if the answer stays for now.
 func (f *Fleet) MoveTo(now time.Duration, r Request, from string, p Progress) (Move, bool) {
 	source := f.byID[from]
-	if source == nil || source.evacuated || !f.mayRunIn(source.Domain, r) || !r.Moves || len(r.Parts) == 0 || f.cfg.Off[Moving] {
+	if source == nil || source.evacuated || !f.mayRunIn(source.Domain, r) || !r.CanTransfer || len(r.Parts) == 0 || f.cfg.Off[Moving] {
 		return Move{}, false
 	}
 	a := &f.serviceOf(r.Service).answers
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -43,7 +43,7 @@
 		{"would end too late elsewhere as well", func(_ *Fleet, _ *Request, p *Progress) { p.Left = 500 * time.Millisecond }, false},
 		{"longer than expected", func(_ *Fleet, r *Request, p *Progress) { r.Expected, p.Events = 30, 200 }, true},
 		{"no expected length", func(_ *Fleet, r *Request, _ *Progress) { r.Expected = 0 }, false},
-		{"upstreams cannot copy", func(_ *Fleet, r *Request, _ *Progress) { r.Moves = false }, false},
+		{"upstreams cannot copy", func(_ *Fleet, r *Request, _ *Progress) { r.CanTransfer = false }, false},
 		{"no answers observed", func(f *Fleet, _ *Request, _ *Progress) { f.serviceOf("s").answers = answerStats{} }, false},
 		{"mechanism is off", func(f *Fleet, _ *Request, _ *Progress) { f.cfg.Off = Off{Moving: true} }, false},
 		{"all others have a backlog", func(f *Fleet, _ *Request, _ *Progress) { loadOthers(f, Load{Unread: 1000, Open: 1}) }, false},
--- a/balance/partreport_test.go
+++ b/balance/partreport_test.go
@@ -9,7 +9,7 @@
 
 // shortPrompt returns a request that shares a part of the given length with others.
 func shortPrompt(tokens int) Request {
-	return Request{Service: "s", Parts: []Part{{ID: 7, Tokens: tokens}, {ID: 8, Tokens: 600}}, Tokens: tokens + 600, Moves: true}
+	return Request{Service: "s", Parts: []Part{{ID: 7, Tokens: tokens}, {ID: 8, Tokens: 600}}, Tokens: tokens + 600, CanTransfer: true}
 }
 
 // Streams with short prompts go to the upstream that another box has sent their shared part to,
--- a/balance/rtt_test.go
+++ b/balance/rtt_test.go
@@ -84,13 +84,13 @@
 // small returns a prompt whose shared part takes less time to read than a round trip to another
 // region.
 func small(shared uint64) Request {
-	return Request{Service: "s", Moves: true, Tokens: 600, Bytes: 2000, Parts: []Part{{ID: shared, Tokens: 200}, {ID: shared + 1e6, Tokens: 400}}}
+	return Request{Service: "s", CanTransfer: true, Tokens: 600, Bytes: 2000, Parts: []Part{{ID: shared, Tokens: 200}, {ID: shared + 1e6, Tokens: 400}}}
 }
 
 // large returns a prompt whose shared part takes more time to read than a round trip to another
 // region.
 func large(shared uint64) Request {
-	return Request{Service: "s", Moves: true, Tokens: 7000, Bytes: 2000, Parts: []Part{{ID: shared, Tokens: 6000}, {ID: shared + 1e6, Tokens: 1000}}}
+	return Request{Service: "s", CanTransfer: true, Tokens: 7000, Bytes: 2000, Parts: []Part{{ID: shared, Tokens: 6000}, {ID: shared + 1e6, Tokens: 1000}}}
 }
 
 // A small prompt stays in its region, and all boxes of the region choose the same upstream. A
