--- a/balance/reach.go
+++ b/balance/reach.go
@@ -71,7 +71,7 @@
 }
 
 // CutOffDomains returns the sorted names of the failure domains that this box treats as cut off.
-func (f *Fleet) CutOff() []string {
+func (f *Fleet) CutOffDomains() []string {
 	var list []string
 	for name, d := range f.domains {
 		if d.inferred > 0 {
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -52,7 +52,7 @@
 		r.fleet.FollowCutOff(now, told)
 		followed = told
 	}
-	return r.fleet.CutOff(), followed
+	return r.fleet.CutOffDomains(), followed
 }
 
 // probe tries a few upstreams of each domain.
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -38,12 +38,12 @@
 	lead := &wire.GroupMessage{Sender: &wire.GroupBox{Name: "lead", Domain: "d0", Boot: 1, Strength: 9}, Leads: true, CutOff: []string{"d1"}}
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
-	is.Equal(m.relay.fleet.CutOff(), []string{"d1"})
+	is.Equal(m.relay.fleet.CutOffDomains(), []string{"d1"})
 	is.Equal(len(m.relay.fleet.Unreached()), 6)
 	lead.CutOff = nil
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
-	is.Equal(m.relay.fleet.CutOff(), nil)
+	is.Equal(m.relay.fleet.CutOffDomains(), nil)
 	is.Equal(len(m.relay.fleet.Unreached()), 0)
 }
 
@@ -57,7 +57,7 @@
 	m.relay.fleet.ReachedLife(m.relay.now(), balance.Incarnation{ID: "u1"})
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
-	is.Equal(m.relay.fleet.CutOff(), nil)
+	is.Equal(m.relay.fleet.CutOffDomains(), nil)
 }
 
 // A lead that hears no box of a domain leaves it only where its upstreams cannot be connected to; those that refuse can.
@@ -68,10 +68,10 @@
 		u, _ := m.relay.fleet.Entry(fmt.Sprintf("u%d", i))
 		m.relay.probeOne(context.Background(), u) // nobody listens there
 	}
-	is.Equal(m.relay.fleet.CutOff(), nil)
+	is.Equal(m.relay.fleet.CutOffDomains(), nil)
 	for i := 1; i < 6; i += 2 {
 		m.relay.fleet.UnreachedLife(m.relay.now(), balance.Incarnation{ID: fmt.Sprintf("u%d", i)})
 	}
 	m.shareCutOff(context.Background())
-	is.Equal(m.relay.fleet.CutOff(), []string{"d1"})
+	is.Equal(m.relay.fleet.CutOffDomains(), []string{"d1"})
 }
