--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -18,7 +18,7 @@
 }
 
 func prompt(shared uint64) Request {
-	return Request{Service: "s", Moves: true, Tokens: 1400, Parts: []Part{{ID: shared, Tokens: 1000}, {ID: shared + 1e6, Tokens: 400}}}
+	return Request{Service: "s", CanTransfer: true, Tokens: 1400, Parts: []Part{{ID: shared, Tokens: 1000}, {ID: shared + 1e6, Tokens: 400}}}
 }
 
 func TestPromptsWithTheSamePrefixGoToTheSameUpstream(t *testing.T) {
@@ -46,7 +46,7 @@
 	is.True(c.Upstream.ID != home.Upstream.ID)
 	is.Equal(c.Fetch, home.Upstream.Address)
 	next := c.Upstream.Address
-	ticket.First(0) // the prompt has been read, so the home is free again
+	ticket.NoteFirstEvent(0) // the prompt has been read, so the home is free again
 	c, _ = f.Place(0, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
 	is.Equal(c.Fetch, next) // the box may not have received all reports of parts yet
@@ -224,8 +224,8 @@
 	is.Equal(len(f.Unreached()), 1) // a single upstream may have crashed
 	f.Open(0, "u4", prompt(1)).Close(time.Second, Unreachable)
 	is.Equal(len(f.Unreached()), 3) // both lie in domain d1, which counts as cut off
-	is.Equal(len(f.NewlyLost()), 3)
-	is.Equal(len(f.NewlyLost()), 0) // each is returned once
+	is.Equal(len(f.TakeNewlyUnreachable()), 3)
+	is.Equal(len(f.TakeNewlyUnreachable()), 0) // each is returned once
 	for shared := range uint64(50) {
 		c, _ := f.Place(time.Second, prompt(shared), nil)
 		is.True(c.Upstream.Domain != "d1")
@@ -242,12 +242,12 @@
 	f := newTestFleet(1)
 	for range 200 {
 		ticket := f.Open(0, "u0", Request{Service: "s", Tokens: 10000})
-		ticket.First(100 * time.Millisecond)
+		ticket.NoteFirstEvent(100 * time.Millisecond)
 		ticket.Close(time.Second, Answered)
 	}
 	is.True(f.prefillRate > 90 && f.prefillRate < 110)
 	f.Open(0, "u0", prompt(1))
-	f.Open(0, "u0", Request{Service: "s", Tokens: 10000}).First(time.Hour) // behind another request: no sample
+	f.Open(0, "u0", Request{Service: "s", Tokens: 10000}).NoteFirstEvent(time.Hour) // behind another request: no sample
 	is.True(f.prefillRate > 90)
 }
 
@@ -268,7 +268,7 @@
 	r := prompt(7)
 	home, _ := f.Place(0, r, nil)
 	f.Open(0, home.Upstream.ID, Request{Service: "s", Tokens: 100000})
-	r.Moves = false
+	r.CanTransfer = false
 	c, _ := f.Place(0, r, nil)
 	is.True(c.Upstream.ID != home.Upstream.ID)
 	is.Equal(c.Fetch, "")
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -101,7 +101,7 @@
 	is.True(!m.unreachable && !m.Leaving && !m.suspect)
 	is.Equal(m.health, health{})
 	is.Equal(f.domainReachOf("d1").consecutive, 0) // these outcomes do not count towards a cut-off domain
-	is.Equal(len(f.NewlyLost()), 0)
+	is.Equal(len(f.TakeNewlyUnreachable()), 0)
 	is.Equal(len(f.KeptNews()), 0)
 	f.Open(time.Second, "u", prompt(8)).Close(time.Second, Answered)
 	is.Equal(m.totalLoad(), Load{})
@@ -191,7 +191,7 @@
 			var open []*Ticket
 			for range 4 {
 				ticket := f.Open(0, "u", prompt(7))
-				ticket.First(0)
+				ticket.NoteFirstEvent(0)
 				open = append(open, ticket)
 			}
 			news := f.KeptNews()
--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -40,10 +40,12 @@
 func (f *Fleet) TakeLimitNews(now time.Duration) []LimitReport { return f.limits.takeReports(now) }
 
 // KnownLimits returns all known limits, and separately those that are in force.
-func (f *Fleet) NamedAll(now time.Duration) (known, inForce []LimitReport) { return f.limits.all(now) }
+func (f *Fleet) KnownLimits(now time.Duration) (known, inForce []LimitReport) {
+	return f.limits.all(now)
+}
 
 // ExpireLimits drops limits that are no longer of use.
-func (f *Fleet) ForgetNamed(now time.Duration) {
+func (f *Fleet) ExpireLimits(now time.Duration) {
 	f.limits.expire(now, func(incarnation uint32) bool { return f.byKey[incarnation] != nil })
 }
 
@@ -187,7 +189,7 @@
 // MaySend reports whether a placed request may still be sent once its connection is established:
 // the upstream may have advertised a limit meanwhile. If it may not, the request is no longer
 // counted as sent.
-func (t *Ticket) MayGo(now time.Duration) bool {
+func (t *Ticket) MaySend(now time.Duration) bool {
 	if t.closed || t.moved {
 		return true
 	}
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -223,12 +223,12 @@
 	f.advertiseLimit(time.Second, "u0", 1)
 	is.Equal(f.placeAndSend(time.Second, 0), "u0")
 	f.Remove("u0")
-	f.ForgetNamed(30 * time.Second)
+	f.ExpireLimits(30 * time.Second)
 	f.Put(30*time.Second, u)
 	_, isNamed := f.Limit(30*time.Second, "u0")
 	is.True(isNamed)
 	f.Remove("u0")
-	f.ForgetNamed(3 * time.Minute)
+	f.ExpireLimits(3 * time.Minute)
 	f.Put(3*time.Minute, u)
 	_, isNamed = f.Limit(3*time.Minute, "u0")
 	is.True(!isNamed)
@@ -245,16 +245,16 @@
 	waits, goes := f.Open(2*time.Second, "u0", r), f.Open(2*time.Second, "u1", r)
 	before := f.Sent(2*time.Second, Incarnation{ID: "u0"}, time.Minute)
 	f.advertiseLimit(2100*time.Millisecond, "u0", 1)
-	is.True(!waits.MayGo(2200 * time.Millisecond))
+	is.True(!waits.MaySend(2200 * time.Millisecond))
 	is.Equal(f.Sent(2200*time.Millisecond, Incarnation{ID: "u0"}, time.Minute), before-1) // no longer counted as sent
-	is.True(goes.MayGo(2200 * time.Millisecond))
+	is.True(goes.MaySend(2200 * time.Millisecond))
 }
 
 // A request placed at an upstream that has since been removed is not counted, and may be sent.
 func TestTicketOfRemovedUpstreamMaySend(t *testing.T) {
 	is := is.New(t)
 	f := limitedFleet(1, 1)
-	is.True(f.Open(0, "gone", Request{Service: "s"}).MayGo(0))
+	is.True(f.Open(0, "gone", Request{Service: "s"}).MaySend(0))
 }
 
 func TestLimitsCanBeSwitchedOff(t *testing.T) {
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -188,10 +188,10 @@
 	return fraction(runTime, float64(excess)/float64(max(held, 1)))
 }
 
-// Made records the number of events of the answer so far. An answer that outgrows the memory
+// NoteEventCount records the number of events of the answer so far. An answer that outgrows the memory
 // counted for it is counted with half as much again as its present length, so that updates are
 // rare.
-func (t *Ticket) Made(events int) {
+func (t *Ticket) NoteEventCount(events int) {
 	perToken := t.fleet.eventsPerToken(t.request.Service)
 	if t.closed || t.held == 0 || perToken == 0 {
 		return
@@ -216,9 +216,9 @@
 	return events.value()
 }
 
-// SetAside counts the slot and the memory that a copy of a running request takes at an upstream,
+// Reserve counts the slot and the memory that a copy of a running request takes at an upstream,
 // until the copy is used or given up.
-func (f *Fleet) SetAside(id string, r Request) *Ticket {
+func (f *Fleet) Reserve(id string, r Request) *Ticket {
 	m := f.byID[id]
 	if m == nil {
 		return &Ticket{closed: true}
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -87,12 +87,12 @@
 	f.serviceOf("s").answers.recordLength(100, 20) // one event per five tokens
 	ticket := f.Open(0, "u0", unsharedRequest(1, 1000, 100))
 	is.Equal(f.byID["u0"].held(), 1200)
-	ticket.Made(40) // 200 tokens, which are counted already
+	ticket.NoteEventCount(40) // 200 tokens, which are counted already
 	is.Equal(f.byID["u0"].held(), 1200)
-	ticket.Made(100)
+	ticket.NoteEventCount(100)
 	is.Equal(f.byID["u0"].held(), 1000+500+250)
 	ticket.Close(0, Answered)
-	ticket.Made(1000)
+	ticket.NoteEventCount(1000)
 	is.Equal(f.byID["u0"].held(), 0)
 }
 
@@ -107,7 +107,7 @@
 	m, ok := f.MoveTo(time.Second, longRequest(100, 360), "u0", late)
 	is.True(ok)
 	is.Equal(m.To.ID, "u2")
-	reserved := f.SetAside("u2", longRequest(100, 360))
+	reserved := f.Reserve("u2", longRequest(100, 360))
 	is.Equal(f.Loads()[LoadKey{Key("u2"), 0}], Load{Open: 1, Held: 1400 + 720})
 	reserved.Close(time.Second, Neutral)
 	is.Equal(f.byID["u2"].held(), 0)
@@ -145,11 +145,11 @@
 			case what == 0:
 				open = append(open, f.OpenMoved(now, id, r))
 			case what == 1:
-				open = append(open, f.SetAside(id, r))
+				open = append(open, f.Reserve(id, r))
 			case what == 2 || len(open) == 0:
 				open = append(open, f.Open(now, id, r))
 			case what == 3:
-				open[rapid.IntRange(0, len(open)-1).Draw(t, "grows")].Made(rapid.IntRange(0, 2000).Draw(t, "events"))
+				open[rapid.IntRange(0, len(open)-1).Draw(t, "grows")].NoteEventCount(rapid.IntRange(0, 2000).Draw(t, "events"))
 			default:
 				open[rapid.IntRange(0, len(open)-1).Draw(t, "ends")].Close(now, Outcome(rapid.IntRange(0, int(Neutral)).Draw(t, "outcome")))
 			}
@@ -231,7 +231,7 @@
 	}
 	id = c.Upstream.ID
 	ticket := f.Open(now, id, r)
-	ticket.First(now)
+	ticket.NoteFirstEvent(now)
 	w.runs = append(w.runs, memoryRun{ticket, ends})
 	if w.unreported[id] == nil {
 		w.unreported[id] = make(map[int]int)
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -21,8 +21,8 @@
 	f := newTestFleet(upstreams)
 	for i := range 20 {
 		t := f.Open(0, fmt.Sprintf("u%d", i%upstreams), longRequest(uint64(i+1), 60))
-		t.First(0)
-		t.Events(9*30*time.Millisecond, 10, 10, true)
+		t.NoteFirstEvent(0)
+		t.NoteAnswer(9*30*time.Millisecond, 10, 10, true)
 		t.Close(9*30*time.Millisecond, Answered)
 	}
 	return f
@@ -43,7 +43,7 @@
 		{"would end too late elsewhere as well", func(_ *Fleet, _ *Request, p *Progress) { p.Left = 500 * time.Millisecond }, false},
 		{"longer than expected", func(_ *Fleet, r *Request, p *Progress) { r.Expected, p.Events = 30, 200 }, true},
 		{"no expected length", func(_ *Fleet, r *Request, _ *Progress) { r.Expected = 0 }, false},
-		{"upstreams cannot copy", func(_ *Fleet, r *Request, _ *Progress) { r.Moves = false }, false},
+		{"upstreams cannot copy", func(_ *Fleet, r *Request, _ *Progress) { r.CanTransfer = false }, false},
 		{"no answers observed", func(f *Fleet, _ *Request, _ *Progress) { f.serviceOf("s").answers = answerStats{} }, false},
 		{"mechanism is off", func(f *Fleet, _ *Request, _ *Progress) { f.cfg.Off = Off{Moving: true} }, false},
 		{"all others have a backlog", func(f *Fleet, _ *Request, _ *Progress) { loadOthers(f, Load{Unread: 1000, Open: 1}) }, false},
@@ -111,8 +111,8 @@
 	is.Equal(f.serviceOf("s").answers.movedInterval().Round(time.Millisecond), 15*time.Millisecond)
 	for range 5 {
 		ticket := f.OpenMoved(0, "u1", longRequest(1, 360))
-		ticket.First(0)
-		ticket.Events(10*time.Second, 11, 60, false) // one second between events
+		ticket.NoteFirstEvent(0)
+		ticket.NoteAnswer(10*time.Second, 11, 60, false) // one second between events
 		ticket.Close(10*time.Second, Answered)
 	}
 	is.Equal(f.serviceOf("s").answers.movedInterval().Round(time.Millisecond), time.Second)
--- a/relay/move.go
+++ b/relay/move.go
@@ -55,7 +55,7 @@
 	}
 	x.relay.mu.Lock()
 	defer x.relay.mu.Unlock()
-	x.ticket.Made(x.events.total)
+	x.ticket.NoteEventCount(x.events.total)
 }
 
 // startMoveIfLate starts to move the stream if it would end too late where it is.
@@ -90,7 +90,7 @@
 		return m, nil
 	}
 	x.retryPaid = true
-	return m, r.fleet.SetAside(m.To.ID, q)
+	return m, r.fleet.Reserve(m.To.ID, q)
 }
 
 // closeReservation ends the reservation for the copy.
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -76,7 +76,7 @@
 		x.pausedFor = x.pauseLeft(x.triedPresent())
 		x.allLimited = choice.Passed > 0 && x.pausedFor == 0
 		x.tooLarge = r.fleet.TooLarge(q)
-		left := max(r.fleet.ColdLeft(r.now(), x.service), r.fleet.MemoryLeft(r.now(), q), r.fleet.LimitLeft(r.now(), x.service), addJitter(r.fleet.LackedFor(r.now(), x.service)))
+		left := max(r.fleet.ColdLeft(r.now(), x.service), r.fleet.MemoryLeft(r.now(), q), r.fleet.LimitLeft(r.now(), x.service), addJitter(r.fleet.UnavailableFor(r.now(), x.service)))
 		x.retryAfter = min(left, maxRetryAfter)
 		return choice, false
 	}
@@ -97,17 +97,17 @@
 func (x *exchange) placement() balance.Request {
 	p := &x.request.prompt
 	return balance.Request{
-		Service:  x.service,
-		Parts:    p.Parts,
-		Tokens:   p.Tokens,
-		Bytes:    x.request.headBytes + len(x.request.body) + p.Expected*bytesPerToken,
-		Moves:    x.canFetchPrompts(),
-		Class:    x.route.Name,
-		Gap:      x.route.EventGap,
-		Expected: p.Expected,
-		Homes:    route.HomesOf(x.route, x.customer),
-		Urgency:  x.urgency,
-		Waited:   x.pauseWaited > 0,
+		Service:     x.service,
+		Parts:       p.Parts,
+		Tokens:      p.Tokens,
+		Bytes:       x.request.headBytes + len(x.request.body) + p.Expected*bytesPerToken,
+		CanTransfer: x.canFetchPrompts(),
+		Class:       x.route.Name,
+		Gap:         x.route.EventGap,
+		Expected:    p.Expected,
+		Homes:       route.HomesOf(x.route, x.customer),
+		Urgency:     x.urgency,
+		Waited:      x.pauseWaited > 0,
 	}
 }
 
