--- a/balance/active_test.go
+++ b/balance/active_test.go
@@ -18,7 +18,7 @@
 	f := newTestFleet(6000)
 	s := f.serviceOf("s")
 	own := f.Open(0, "u1", prompt(1))
-	f.SetRemoteLoads(map[LoadKey]Load{{Key("u2"), 3}: {Unread: 640, Open: 1}, {Key("u3"), 0}: {Open: 1}})
+	f.SetRemoteLoads(map[LoadKey]Load{{Key("u2"), 3}: {Unread: 640, Requests: 1}, {Key("u3"), 0}: {Requests: 1}})
 	f.SizeLanes(100*time.Millisecond, nil)
 	is.Equal(len(s.active), 3)
 	is.Equal(f.Loads(), map[LoadKey]Load{{Key("u1"), 0}: f.byID["u1"].work[0]})
@@ -51,9 +51,9 @@
 				service := rapid.SampledFrom([]string{"s", "other"}).Draw(t, "service")
 				f.Put(now, Upstream{ID: id, Service: service, Slots: rapid.IntRange(1, 9).Draw(t, "slots"), StartedAt: int64(rapid.IntRange(1, 3).Draw(t, "start time"))})
 			case 2:
-				f.UpdateRemoteLoads(map[LoadKey]Load{{f.keyOf(id), 2}: {Unread: 640 * rapid.IntRange(0, 1).Draw(t, "unread"), Open: 1}})
+				f.UpdateRemoteLoads(map[LoadKey]Load{{f.keyOf(id), 2}: {Unread: 640 * rapid.IntRange(0, 1).Draw(t, "unread"), Requests: 1}})
 			case 3:
-				f.SetRemoteLoads(map[LoadKey]Load{{f.keyOf(id), 1}: {Open: rapid.IntRange(0, 2).Draw(t, "open")}})
+				f.SetRemoteLoads(map[LoadKey]Load{{f.keyOf(id), 1}: {Requests: rapid.IntRange(0, 2).Draw(t, "open")}})
 			case 4:
 				if len(open) > 0 {
 					open[0].Close(now, Outcome(rapid.IntRange(0, 4).Draw(t, "outcome")))
--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -74,7 +74,7 @@
 func TestMeanBacklogOfUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := newDividedFleet(4)
-	f.SetRemoteLoads(map[LoadKey]Load{{Key("u0"), 0}: {Unread: 3000, Open: 1}, {Key("u1"), 4}: {Unread: 5000, Open: 1}})
+	f.SetRemoteLoads(map[LoadKey]Load{{Key("u0"), 0}: {Unread: 3000, Requests: 1}, {Key("u1"), 4}: {Unread: 5000, Requests: 1}})
 	f.SizeLanes(0, nil)
 	is.Equal(f.serviceOf("s").meanUnread, 2000.0)
 }
@@ -110,7 +110,7 @@
 		loads := make(map[LoadKey]Load)
 		for i, id := range []string{"u0", "u1", "u2"} {
 			level := rapid.IntRange(0, Levels-1).Draw(t, "level of the load")
-			loads[LoadKey{Key(id), level}] = Load{Unread: load[i], Open: open[i]}
+			loads[LoadKey{Key(id), level}] = Load{Unread: load[i], Requests: open[i]}
 		}
 		f.SetRemoteLoads(loads)
 		setHoldTime(f, time.Duration(rapid.IntRange(0, 5000).Draw(t, "held"))*time.Millisecond)
@@ -147,7 +147,7 @@
 	home, _ := f.Place(0, prompt(1), nil)
 	setHoldTime(f, 4*time.Second) // with 8 slots, one becomes free every 500 ms
 	full := func(level, open int) {
-		f.SetRemoteLoads(map[LoadKey]Load{{Key(home.Upstream.ID), level}: {Open: open}})
+		f.SetRemoteLoads(map[LoadKey]Load{{Key(home.Upstream.ID), level}: {Requests: open}})
 	}
 	r := prompt(1)
 	r.Urgency = 2
--- a/balance/cost_bench_test.go
+++ b/balance/cost_bench_test.go
@@ -27,7 +27,7 @@
 			f := newTestFleet(n)
 			others := make(map[LoadKey]Load)
 			for i := range min(n, 90) {
-				others[LoadKey{Key(fmt.Sprintf("u%d", i)), i % 3}] = Load{Unread: 640, Open: 1}
+				others[LoadKey{Key(fmt.Sprintf("u%d", i)), i % 3}] = Load{Unread: 640, Requests: 1}
 				f.Open(0, fmt.Sprintf("u%d", i), prompt(1))
 			}
 			for range b.N {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -208,7 +208,7 @@
 	f := newTestFleet(1)
 	slow := Request{Service: "s", Tokens: 100000, Urgency: 5}
 	f.Open(0, "u0", slow)
-	f.SetRemoteLoads(map[LoadKey]Load{{Key("u0"), 7}: {Unread: 50000, Open: 3}})
+	f.SetRemoteLoads(map[LoadKey]Load{{Key("u0"), 7}: {Unread: 50000, Requests: 3}})
 	for urgency, want := range map[int]int{0: 0, 4: 0, 5: 100000, 9: 150000} {
 		r := prompt(1)
 		r.Urgency = urgency
@@ -280,10 +280,10 @@
 	is := is.New(t)
 	f := newTestFleet(2)
 	a, b := LoadKey{Key("u0"), 0}, LoadKey{Key("u1"), 3}
-	f.SetRemoteLoads(map[LoadKey]Load{a: {Unread: 640, Open: 2}})
-	f.UpdateRemoteLoads(map[LoadKey]Load{b: {Unread: 64, Open: 1}, {Key("unknown"), 0}: {Open: 1}, {Key("u0"), 99}: {Open: 1}})
-	is.Equal(f.byID["u0"].totalLoad(), Load{Unread: 640, Open: 2})
-	is.Equal(f.byID["u1"].totalLoad(), Load{Unread: 64, Open: 1})
+	f.SetRemoteLoads(map[LoadKey]Load{a: {Unread: 640, Requests: 2}})
+	f.UpdateRemoteLoads(map[LoadKey]Load{b: {Unread: 64, Requests: 1}, {Key("unknown"), 0}: {Requests: 1}, {Key("u0"), 99}: {Requests: 1}})
+	is.Equal(f.byID["u0"].totalLoad(), Load{Unread: 640, Requests: 2})
+	is.Equal(f.byID["u1"].totalLoad(), Load{Unread: 64, Requests: 1})
 	f.UpdateRemoteLoads(map[LoadKey]Load{a: {}})
 	is.Equal(f.byID["u0"].totalLoad(), Load{})
 	f.SetRemoteLoads(nil)
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -79,7 +79,7 @@
 	}
 	f.Open(0, "u", prompt(7)).Close(0, Failed)
 	f.Open(0, "u", prompt(7)).Close(0, Failed)
-	f.SetRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Open: 3, Unread: 100}})
+	f.SetRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Requests: 3, Unread: 100}})
 	f.markCold(0, old, time.Hour)
 	is.True(f.parts.holds(0, PartKey(7), old))
 	news := f.KeptNews()
@@ -92,7 +92,7 @@
 	is.Equal(m.coldTill, longAgo)
 	is.Equal(f.Loads(), map[LoadKey]Load{})
 	f.NoteKept(time.Second, news) // from a box that does not know the new incarnation yet
-	f.UpdateRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Open: 3}})
+	f.UpdateRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Requests: 3}})
 	is.True(!f.parts.holds(time.Second, PartKey(7), m))
 	is.Equal(m.totalLoad(), Load{})
 	for i, outcome := range []Outcome{Unreachable, Replaced, ConnectionRefused, ConnectionLost} {
@@ -126,7 +126,7 @@
 	behind.Put(0, entryOf("u", 200, 2))
 	is.Equal(len(behind.parts.holders), 0)
 	behind.SetRemoteLoads(ahead.Loads())
-	is.Equal(behind.byID["u"].remoteWork.upTo(Levels-1).Open, 1)
+	is.Equal(behind.byID["u"].remoteWork.upTo(Levels-1).Requests, 1)
 }
 
 func TestReplacedIncarnationIsNotUsedAgain(t *testing.T) {
@@ -422,7 +422,7 @@
 			is.Equal(f.byID["u"].work, want)
 			first.Close(2*time.Second, Answered)
 			if c.counted {
-				is.Equal(f.byID["u"].work.upTo(Levels-1).Open, 1)
+				is.Equal(f.byID["u"].work.upTo(Levels-1).Requests, 1)
 			}
 			second.Close(2*time.Second, Answered)
 			is.Equal(f.byID["u"].work, work{})
--- a/balance/lane_test.go
+++ b/balance/lane_test.go
@@ -36,7 +36,7 @@
 func loadPerUpstream(n, tight, rest int) map[LoadKey]Load {
 	loads := make(map[LoadKey]Load)
 	for i := range n {
-		loads[LoadKey{Key(fmt.Sprintf("u%d", i)), 0}] = Load{Open: tight + rest, Tight: tight}
+		loads[LoadKey{Key(fmt.Sprintf("u%d", i)), 0}] = Load{Requests: tight + rest, Tight: tight}
 	}
 	return loads
 }
--- a/balance/lanesize.go
+++ b/balance/lanesize.go
@@ -113,7 +113,7 @@
 	s.classes.decay(now - s.updated)
 	left := math.Exp(-float64(now-s.updated) / float64(f.cfg.Tuning.LaneDecay))
 	s.updated = now
-	s.open = s.open.follow(Need{float64(sum.Tight), float64(sum.Open - sum.Tight)}, left)
+	s.open = s.open.follow(Need{float64(sum.Tight), float64(sum.Requests - sum.Tight)}, left)
 	s.prefill = s.prefill.follow(reading.scaled(1/float64(len(all))), left)
 }
 
--- a/balance/load.go
+++ b/balance/load.go
@@ -10,25 +10,25 @@
 
 // Load is the work that boxes have in progress on an upstream.
 type Load struct {
-	Unread int // prompt tokens not yet read
-	Open   int // open requests
-	Tight  int // open requests that are tight streams: the gaps between their events must be short
-	Held   int // tokens of the upstream's memory reserved for the open requests
+	Unread   int // prompt tokens not yet read
+	Requests int // open requests
+	Tight    int // open requests that are tight streams: the gaps between their events must be short
+	Held     int // tokens of the upstream's memory reserved for the open requests
 }
 
 // Plus returns the sum of two loads.
 func (l Load) Plus(o Load) Load {
-	return Load{Unread: l.Unread + o.Unread, Open: l.Open + o.Open, Tight: l.Tight + o.Tight, Held: l.Held + o.Held}
+	return Load{Unread: l.Unread + o.Unread, Requests: l.Requests + o.Requests, Tight: l.Tight + o.Tight, Held: l.Held + o.Held}
 }
 
 // Minus returns the difference of two loads, with negative fields set to 0.
 func (l Load) Minus(o Load) Load {
-	return Load{Unread: l.Unread - o.Unread, Open: l.Open - o.Open, Tight: l.Tight - o.Tight, Held: l.Held - o.Held}.floored()
+	return Load{Unread: l.Unread - o.Unread, Requests: l.Requests - o.Requests, Tight: l.Tight - o.Tight, Held: l.Held - o.Held}.floored()
 }
 
 // floored returns the load with negative fields set to 0.
 func (l Load) floored() Load {
-	return Load{Unread: max(0, l.Unread), Open: max(0, l.Open), Tight: max(0, l.Tight), Held: max(0, l.Held)}
+	return Load{Unread: max(0, l.Unread), Requests: max(0, l.Requests), Tight: max(0, l.Tight), Held: max(0, l.Held)}
 }
 
 // LoadKey identifies a load in reports between boxes.
@@ -71,7 +71,7 @@
 }
 
 // open returns the number of open requests over all boxes.
-func (m *member) open() int { return m.totalLoad().Open }
+func (m *member) open() int { return m.totalLoad().Requests }
 
 // Loads returns the work of this box in progress.
 func (f *Fleet) Loads() map[LoadKey]Load {
@@ -90,7 +90,7 @@
 		return
 	}
 	for urgency, l := range m.work {
-		if l.Open > 0 {
+		if l.Requests > 0 {
 			loads[LoadKey{m.key, urgency}] = l
 		}
 	}
--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -27,7 +27,7 @@
 		{LaneExit, func(f *Fleet) bool {
 			loads := make(map[LoadKey]Load)
 			for id := range tightUpstreams(f) {
-				loads[LoadKey{Key(id), 0}] = Load{Unread: 1e6, Open: 1}
+				loads[LoadKey{Key(id), 0}] = Load{Unread: 1e6, Requests: 1}
 			}
 			f.SetRemoteLoads(loads)
 			c, _ := f.Place(0, chat(1), nil)
@@ -36,7 +36,7 @@
 		{Slots, func(f *Fleet) bool {
 			home, _ := f.Place(0, letter(1), nil)
 			setHoldTime(f, time.Second)
-			busy(f, home.Upstream.ID, Load{Open: 40})
+			busy(f, home.Upstream.ID, Load{Requests: 40})
 			c, _ := f.Place(0, letter(1), nil)
 			return c.Upstream.ID != home.Upstream.ID
 		}},
@@ -53,7 +53,7 @@
 		}},
 		{Loads, func(f *Fleet) bool {
 			home, _ := f.Place(0, letter(1), nil)
-			busy(f, home.Upstream.ID, Load{Unread: 1e6, Open: 1})
+			busy(f, home.Upstream.ID, Load{Unread: 1e6, Requests: 1})
 			c, _ := f.Place(0, letter(1), nil)
 			return c.Upstream.ID != home.Upstream.ID
 		}},
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -224,6 +224,6 @@
 		return &Ticket{closed: true}
 	}
 	t := &Ticket{fleet: f, member: m, request: r, held: r.needs()}
-	t.count(Load{Open: 1, Held: t.held})
+	t.count(Load{Requests: 1, Held: t.held})
 	return t
 }
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -108,7 +108,7 @@
 	is.True(ok)
 	is.Equal(m.To.ID, "u2")
 	reserved := f.Reserve("u2", longRequest(100, 360))
-	is.Equal(f.Loads()[LoadKey{Key("u2"), 0}], Load{Open: 1, Held: 1400 + 720})
+	is.Equal(f.Loads()[LoadKey{Key("u2"), 0}], Load{Requests: 1, Held: 1400 + 720})
 	reserved.Close(time.Second, Neutral)
 	is.Equal(f.byID["u2"].held(), 0)
 	setRemoteMemory(f, f.byID["u2"], 0, testMemory*9/10)
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -46,8 +46,8 @@
 		{"upstreams cannot copy", func(_ *Fleet, r *Request, _ *Progress) { r.CanTransfer = false }, false},
 		{"no answers observed", func(f *Fleet, _ *Request, _ *Progress) { f.serviceOf("s").answers = answerStats{} }, false},
 		{"mechanism is off", func(f *Fleet, _ *Request, _ *Progress) { f.cfg.Off = Off{Moving: true} }, false},
-		{"all others have a backlog", func(f *Fleet, _ *Request, _ *Progress) { loadOthers(f, Load{Unread: 1000, Open: 1}) }, false},
-		{"all others have no free slots", func(f *Fleet, _ *Request, _ *Progress) { loadOthers(f, Load{Open: 4}) }, false},
+		{"all others have a backlog", func(f *Fleet, _ *Request, _ *Progress) { loadOthers(f, Load{Unread: 1000, Requests: 1}) }, false},
+		{"all others have no free slots", func(f *Fleet, _ *Request, _ *Progress) { loadOthers(f, Load{Requests: 4}) }, false},
 		{"all others are evacuated", func(f *Fleet, _ *Request, _ *Progress) { f.Evacuate("d1"); f.Evacuate("d2") }, false},
 		{"own domain is evacuated", func(f *Fleet, _ *Request, _ *Progress) { f.Evacuate("d0") }, false},
 		{"all others are cold", func(f *Fleet, _ *Request, _ *Progress) {
@@ -161,7 +161,7 @@
 	r := longRequest(uint64(1000+i), 6*events)
 	loads := make(map[LoadKey]Load)
 	for j := range 6 {
-		loads[LoadKey{Key(fmt.Sprintf("u%d", j)), 0}] = Load{Unread: 20000, Open: 2}
+		loads[LoadKey{Key(fmt.Sprintf("u%d", j)), 0}] = Load{Unread: 20000, Requests: 2}
 	}
 	f.SetRemoteLoads(loads)
 	for came := 1; now < whole; came++ {
--- a/balance/rtt_test.go
+++ b/balance/rtt_test.go
@@ -127,7 +127,7 @@
 	near := make(map[LoadKey]Load)
 	for _, m := range f.byID {
 		if f.proximityOf("a0", m.Domain) != otherRegion {
-			near[LoadKey{m.key, 0}] = Load{Unread: 20000, Open: 8}
+			near[LoadKey{m.key, 0}] = Load{Unread: 20000, Requests: 8}
 		}
 	}
 	f.SetRemoteLoads(near)
@@ -154,7 +154,7 @@
 			f.Open(0, "far", r).Close(75*time.Millisecond, Answered)
 		}
 		is.Equal(f.serviceTime("p").Round(time.Millisecond), 15*time.Millisecond)
-		f.SetRemoteLoads(map[LoadKey]Load{{Key("near"), 0}: {Open: c.open}})
+		f.SetRemoteLoads(map[LoadKey]Load{{Key("near"), 0}: {Requests: c.open}})
 		got, _ := f.Place(time.Second, r, nil)
 		is.Equal(got.Upstream.ID == "far", c.far)
 		got, _ = f.Place(time.Second, r, []string{"near"}) // a retry
@@ -175,7 +175,7 @@
 	}
 	open := 0
 	for ; open < 1000; open++ {
-		f.SetRemoteLoads(map[LoadKey]Load{{Key("near"), 0}: {Open: open}})
+		f.SetRemoteLoads(map[LoadKey]Load{{Key("near"), 0}: {Requests: open}})
 		if c, _ := f.Place(time.Second, r, nil); c.Upstream.ID == "far" {
 			break
 		}
@@ -193,7 +193,7 @@
 	is := is.New(t)
 	f := newRegionalFleet(30)
 	f.NoteKept(time.Second, []PartReport{{PartKey(7), Key("u2")}, {PartKey(7), Key("u7")}}) // u7 is in a1
-	f.SetRemoteLoads(map[LoadKey]Load{{Key("u7"), 0}: {Open: 5}})
+	f.SetRemoteLoads(map[LoadKey]Load{{Key("u7"), 0}: {Requests: 5}})
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u0"]), "10.0.0.7:1")
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u8"]), "10.0.0.2:1")
 	f.cfg.Off = Off{Distance: true}
@@ -226,7 +226,7 @@
 			if rapid.IntRange(0, 4).Draw(t, "out") == 0 {
 				f.recordUnreachable(now, f.byID[id])
 			}
-			loads[LoadKey{Key(id), 0}] = Load{Unread: rapid.SampledFrom([]int{0, 0, 500, 30000}).Draw(t, "unread"), Open: rapid.IntRange(0, 9).Draw(t, "open")}
+			loads[LoadKey{Key(id), 0}] = Load{Unread: rapid.SampledFrom([]int{0, 0, 500, 30000}).Draw(t, "unread"), Requests: rapid.IntRange(0, 9).Draw(t, "open")}
 		}
 		f.SetRemoteLoads(loads)
 		within := func(what, address string) {
--- a/balance/separation_test.go
+++ b/balance/separation_test.go
@@ -106,7 +106,7 @@
 	load := func(tokens int) {
 		loads := make(map[LoadKey]Load)
 		for id := range tight {
-			loads[LoadKey{Key(id), 0}] = Load{Unread: tokens, Open: 1, Tight: 1}
+			loads[LoadKey{Key(id), 0}] = Load{Unread: tokens, Requests: 1, Tight: 1}
 		}
 		f.SetRemoteLoads(loads)
 	}
--- a/balance/slots.go
+++ b/balance/slots.go
@@ -59,7 +59,7 @@
 // in that time. It distinguishes an upstream whose slots are all held by streams from a free one,
 // which also has little to read. While all slots are held, they become free one after the other.
 func (f *Fleet) slotWait(now time.Duration, m *member, urgency int) int {
-	excess := m.work.upTo(urgency).Open + m.remoteWork.upTo(urgency).Open + 1 - m.Slots
+	excess := m.work.upTo(urgency).Requests + m.remoteWork.upTo(urgency).Requests + 1 - m.Slots
 	if excess <= 0 || m.Slots == 0 || f.cfg.Off[Slots] {
 		return 0
 	}
--- a/balance/tick_bench_test.go
+++ b/balance/tick_bench_test.go
@@ -14,7 +14,7 @@
 			f := newTestFleet(n)
 			others := make(map[LoadKey]Load)
 			for i := range 400 {
-				others[LoadKey{Key(fmt.Sprintf("u%d", i)), i % 3}] = Load{Unread: 640, Open: 1}
+				others[LoadKey{Key(fmt.Sprintf("u%d", i)), i % 3}] = Load{Unread: 640, Requests: 1}
 			}
 			for i := range 4 {
 				f.Open(0, fmt.Sprintf("u%d", i), prompt(uint64(i+1)))
--- a/group/domain_bench_test.go
+++ b/group/domain_bench_test.go
@@ -42,7 +42,7 @@
 	for i, name := range w.names {
 		loads := make(Loads)
 		for u := range 4 {
-			loads[balance.LoadKey{Upstream: uint32((i*7 + u*13 + step) % 345), Urgency: u % 3}] = balance.Load{Unread: 640 * (step%9 + 1), Open: 1 + step%3}
+			loads[balance.LoadKey{Upstream: uint32((i*7 + u*13 + step) % 345), Urgency: u % 3}] = balance.Load{Unread: 640 * (step%9 + 1), Requests: 1 + step%3}
 		}
 		w.boxes[name].node.SetLoads(loads)
 	}
--- a/group/load_test.go
+++ b/group/load_test.go
@@ -23,13 +23,13 @@
 	for i, name := range w.names {
 		tokens := tokenUnit * (i + 1)
 		sum += tokens
-		w.boxes[name].node.SetLoads(Loads{key: {Unread: tokens, Open: 1}})
+		w.boxes[name].node.SetLoads(Loads{key: {Unread: tokens, Requests: 1}})
 	}
 	w.run(time.Second)
 	for i, name := range w.names {
 		others := w.boxes[name].node.OtherLoads()[key]
 		is.Equal(others.Unread, sum-tokenUnit*(i+1))
-		is.Equal(others.Open, len(w.names)-1)
+		is.Equal(others.Requests, len(w.names)-1)
 	}
 	stopped := w.boxes[boxName(1, 2)]
 	stopped.dead = true
@@ -39,7 +39,7 @@
 			continue
 		}
 		others := w.boxes[name].node.OtherLoads()[key]
-		is.Equal(others.Open, len(w.names)-2)
+		is.Equal(others.Requests, len(w.names)-2)
 		is.Equal(others.Unread, sum-tokenUnit*(i+1)-tokenUnit*7)
 	}
 	for _, name := range w.names {
@@ -60,7 +60,7 @@
 	w.startFleet(2, 6)
 	w.run(5 * time.Second)
 	leader := w.boxes[boxName(0, 0)].node
-	leader.SetLoads(Loads{{Upstream: 7, Urgency: 2}: {Unread: tokenUnit, Open: 1}})
+	leader.SetLoads(Loads{{Upstream: 7, Urgency: 2}: {Unread: tokenUnit, Requests: 1}})
 	leader.Tick(w.now)
 	out, _ := leader.Drain()
 	receivers := make(map[*wire.GroupMessage]int)
@@ -78,11 +78,11 @@
 func TestSubtractLoads(t *testing.T) {
 	is := is.New(t)
 	a, b := balance.LoadKey{Upstream: 1}, balance.LoadKey{Upstream: 2, Urgency: 3}
-	all := Loads{a: {Unread: 640, Open: 5, Tight: 2}, b: {Unread: 64, Open: 1}}
+	all := Loads{a: {Unread: 640, Requests: 5, Tight: 2}, b: {Unread: 64, Requests: 1}}
 	is.Equal(subtractLoads(all, nil), all)
-	is.Equal(subtractLoads(all, Loads{a: {Unread: 640, Open: 2, Tight: 2}, b: {Unread: 64, Open: 1}}), Loads{a: {Open: 3}})
+	is.Equal(subtractLoads(all, Loads{a: {Unread: 640, Requests: 2, Tight: 2}, b: {Unread: 64, Requests: 1}}), Loads{a: {Requests: 3}})
 	// The received total may be older than the box's own loads: no result is negative.
-	is.Equal(subtractLoads(all, Loads{a: {Unread: 9999, Open: 9, Tight: 9}}), Loads{b: {Unread: 64, Open: 1}})
+	is.Equal(subtractLoads(all, Loads{a: {Unread: 9999, Requests: 9, Tight: 9}}), Loads{b: {Unread: 64, Requests: 1}})
 }
 
 // After its leader has restarted, a member must not subtract loads that the leader does not know
@@ -94,7 +94,7 @@
 	w.run(5 * time.Second)
 	key := balance.LoadKey{Upstream: 7, Urgency: 2}
 	for _, name := range w.names {
-		w.boxes[name].node.SetLoads(Loads{key: {Unread: tokenUnit, Open: 1}})
+		w.boxes[name].node.SetLoads(Loads{key: {Unread: tokenUnit, Requests: 1}})
 	}
 	w.run(time.Second)
 	b := w.boxes[boxName(0, 1)].node
@@ -103,7 +103,7 @@
 	b.Handle(w.now, &wire.GroupMessage{Sender: w.boxes[boxName(0, 0)].self, Leads: true})
 	is.True(!b.peers[boxName(0, 0)].loadsSent)
 	w.run(3 * time.Second)
-	is.Equal(b.OtherLoads()[key].Open, 1) // of the third box; the leader has none any more
+	is.Equal(b.OtherLoads()[key].Requests, 1) // of the third box; the leader has none any more
 }
 
 // A load that starts or ends is known to all other boxes within a few flush intervals, in its
@@ -116,14 +116,14 @@
 	for i, name := range w.names {
 		loads := make(Loads)
 		for u := range uint32(10) {
-			loads[balance.LoadKey{Upstream: 1000*uint32(i) + u}] = balance.Load{Unread: tokenUnit, Open: 1}
+			loads[balance.LoadKey{Upstream: 1000*uint32(i) + u}] = balance.Load{Unread: tokenUnit, Requests: 1}
 		}
 		w.boxes[name].node.SetLoads(loads)
 	}
 	w.run(5 * time.Second)
 	key := balance.LoadKey{Upstream: 7, Urgency: 2}
 	sender := w.boxes[boxName(1, 13)].node
-	for _, load := range []balance.Load{{Unread: 4 * tokenUnit, Open: 2}, {Open: 1}, {}} {
+	for _, load := range []balance.Load{{Unread: 4 * tokenUnit, Requests: 2}, {Requests: 1}, {}} {
 		loads := make(Loads)
 		addLoads(loads, sender.loads)
 		setLoad(loads, key, load)
@@ -198,7 +198,7 @@
 		return &wire.GroupBox{Name: "a", Domain: "d", Address: "a", Boot: boot, Strength: 2}
 	}
 	key := balance.LoadKey{Upstream: 7, Urgency: 2}
-	own := Loads{key: {Open: 3}}
+	own := Loads{key: {Requests: 3}}
 	fullList := &wire.GroupMessage{Sender: leader(2), Leads: true, HasLoads: true, Whole: true, Columns: packColumns(own)}
 	changes := &wire.GroupMessage{Sender: leader(2), Partial: true, HasLoads: true, Columns: packColumns(own)}
 	now := 100 * time.Millisecond
@@ -214,7 +214,7 @@
 	now += DefaultTiming.HeartbeatInterval + 50*time.Millisecond
 	member.Tick(now) // it sends its loads to the restarted leader
 	is.True(member.peers["a"].loadsSent)
-	others := Loads{key: {Open: 5}}
+	others := Loads{key: {Requests: 5}}
 	member.Handle(now, &wire.GroupMessage{Sender: leader(2), Leads: true, HasLoads: true, Whole: true, Columns: packColumns(others)})
-	is.Equal(member.OtherLoads()[key].Open, 2)
+	is.Equal(member.OtherLoads()[key].Requests, 2)
 }
--- a/group/loadencoding.go
+++ b/group/loadencoding.go
@@ -51,7 +51,7 @@
 	l = l.Minus(balance.Load{}) // no field is negative
 	l.Unread -= l.Unread % tokenUnit
 	l.Held -= l.Held % tokenUnit
-	if l.Unread == 0 && l.Open == 0 {
+	if l.Unread == 0 && l.Requests == 0 {
 		return balance.Load{}
 	}
 	return l
@@ -73,7 +73,7 @@
 		c.Levels[len(c.Levels)-1] |= 1 << key.Urgency
 		load := roundLoad(l[key])
 		c.Unread = append(c.Unread, uint32(load.Unread/tokenUnit))
-		c.Open = append(c.Open, uint32(load.Open))
+		c.Open = append(c.Open, uint32(load.Requests))
 		c.Tight = append(c.Tight, uint32(load.Tight))
 		c.Held = append(c.Held, uint32(load.Held/tokenUnit))
 	}
@@ -101,7 +101,7 @@
 				continue
 			}
 			l[balance.LoadKey{Upstream: upstream, Urgency: urgency}] = balance.Load{Unread: at(c.Unread, row) * tokenUnit,
-				Open: at(c.Open, row), Tight: at(c.Tight, row), Held: at(c.Held, row) * tokenUnit}
+				Requests: at(c.Open, row), Tight: at(c.Tight, row), Held: at(c.Held, row) * tokenUnit}
 			row++
 		}
 	}
@@ -122,7 +122,7 @@
 	l := make(Loads, len(list))
 	for _, w := range list {
 		key := balance.LoadKey{Upstream: w.Upstream, Urgency: int(w.Urgency)}
-		l[key] = balance.Load{Unread: int(w.Unread) * tokenUnit, Open: int(w.Open), Tight: int(w.Tight), Held: int(w.Held) * tokenUnit}
+		l[key] = balance.Load{Unread: int(w.Unread) * tokenUnit, Requests: int(w.Open), Tight: int(w.Tight), Held: int(w.Held) * tokenUnit}
 	}
 	return l
 }
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -23,8 +23,8 @@
 func (w *simulation) setDistinctLoads() {
 	for i, name := range w.names {
 		w.boxes[name].node.SetLoads(Loads{
-			{Upstream: 7, Urgency: 2}:    {Unread: tokenUnit << (i % 16), Open: 1},
-			{Upstream: uint32(1000 + i)}: {Unread: 100 * tokenUnit, Open: 3, Held: 1000 * tokenUnit},
+			{Upstream: 7, Urgency: 2}:    {Unread: tokenUnit << (i % 16), Requests: 1},
+			{Upstream: uint32(1000 + i)}: {Unread: 100 * tokenUnit, Requests: 3, Held: 1000 * tokenUnit},
 		})
 	}
 }
@@ -199,7 +199,7 @@
 		for range steps {
 			for range rapid.IntRange(0, 40).Draw(t, "changes") {
 				key := balance.LoadKey{Upstream: uint32(rapid.IntRange(1, keys).Draw(t, "key"))}
-				setLoad(actual, key, balance.Load{Unread: 64 * rapid.IntRange(0, 200).Draw(t, "unread"), Open: rapid.IntRange(0, 20).Draw(t, "open")})
+				setLoad(actual, key, balance.Load{Unread: 64 * rapid.IntRange(0, 200).Draw(t, "unread"), Requests: rapid.IntRange(0, 20).Draw(t, "open")})
 				g.changed[key] = struct{}{}
 			}
 			g.sendChanges(n, now)
@@ -234,7 +234,7 @@
 		l := make(Loads)
 		for range rapid.IntRange(0, 40).Draw(t, "loads") {
 			key := balance.LoadKey{Upstream: rapid.Uint32().Draw(t, "upstream"), Urgency: rapid.IntRange(0, balance.Levels-1).Draw(t, "urgency")}
-			l[key] = roundLoad(balance.Load{Unread: rapid.IntRange(0, 1<<20).Draw(t, "unread"), Open: rapid.IntRange(0, 99).Draw(t, "open"),
+			l[key] = roundLoad(balance.Load{Unread: rapid.IntRange(0, 1<<20).Draw(t, "unread"), Requests: rapid.IntRange(0, 99).Draw(t, "open"),
 				Tight: rapid.IntRange(0, 9).Draw(t, "tight"), Held: rapid.IntRange(0, 1<<24).Draw(t, "held")})
 		}
 		got := unpackColumns(packColumns(l))
@@ -253,7 +253,7 @@
 func TestShortColumnsDecodeAsZero(t *testing.T) {
 	is := is.New(t)
 	got := unpackColumns(&wire.GroupColumns{Upstream: []uint32{1, 2, 3}, Levels: []uint32{3, 1 << 31}, Unread: []uint32{5}, Open: []uint32{1, 2}})
-	is.Equal(got, Loads{{Upstream: 1}: {Unread: 5 * tokenUnit, Open: 1}, {Upstream: 1, Urgency: 1}: {Open: 2}})
+	is.Equal(got, Loads{{Upstream: 1}: {Unread: 5 * tokenUnit, Requests: 1}, {Upstream: 1, Urgency: 1}: {Requests: 2}})
 }
 
 // After a simultaneous start each box has briefly led its domain. Published data is sent only to
--- a/group/regionschedules_test.go
+++ b/group/regionschedules_test.go
@@ -123,12 +123,12 @@
 		maximum := 0
 		for _, other := range w.names {
 			if other != name {
-				maximum += w.boxes[other].node.loads[key].Open
+				maximum += w.boxes[other].node.loads[key].Requests
 			}
 		}
-		if load.Open > maximum {
+		if load.Requests > maximum {
 			t.Fatalf("%s: at %v %s assumes %d requests of others on %v, they have %d",
-				regionActionNames(path), w.now, name, load.Open, key, maximum)
+				regionActionNames(path), w.now, name, load.Requests, key, maximum)
 		}
 	}
 }
--- a/group/takeover_test.go
+++ b/group/takeover_test.go
@@ -14,7 +14,7 @@
 func (w *simulation) otherRequests(name string) int {
 	sum := 0
 	for _, l := range w.boxes[name].node.OtherLoads() {
-		sum += l.Open
+		sum += l.Requests
 	}
 	return sum
 }
@@ -22,7 +22,7 @@
 // setLoads gives each box four requests, one of them on an upstream that all use.
 func (w *simulation) setLoads() {
 	for i, name := range w.names {
-		w.boxes[name].node.SetLoads(Loads{{Upstream: uint32(1000 + i)}: {Unread: 6400, Open: 3}, {Upstream: 7, Urgency: 2}: {Unread: 6400, Open: 1}})
+		w.boxes[name].node.SetLoads(Loads{{Upstream: uint32(1000 + i)}: {Unread: 6400, Requests: 3}, {Upstream: 7, Urgency: 2}: {Unread: 6400, Requests: 1}})
 	}
 }
 
@@ -71,7 +71,7 @@
 	w.startFleet(3, 6)
 	w.run(6 * time.Second)
 	n := w.boxes[boxName(0, 1)].node
-	n.SetLoads(Loads{balance.LoadKey{Upstream: 7}: {Open: 1}})
+	n.SetLoads(Loads{balance.LoadKey{Upstream: 7}: {Requests: 1}})
 	w.run(time.Second)
 	is.True(n.KnowsOtherLoads(w.now))
 	w.boxes[boxName(0, 0)].dead = true
@@ -118,15 +118,15 @@
 		n.Tick(now)
 	}
 	first := leaderMessage("a", 10)
-	first.HasLoads, first.Scope, first.Columns = true, scopeRegion, packColumns(Loads{{Upstream: 1}: {Open: 10}, {Upstream: 2}: {Open: 500}})
+	first.HasLoads, first.Scope, first.Columns = true, scopeRegion, packColumns(Loads{{Upstream: 1}: {Requests: 10}, {Upstream: 2}: {Requests: 500}})
 	n.Handle(now, first)
 	n.Tick(now)
-	is.Equal(n.OtherLoads()[balance.LoadKey{Upstream: 2}].Open, 500)
+	is.Equal(n.OtherLoads()[balance.LoadKey{Upstream: 2}].Requests, 500)
 	n.Handle(now, leaderMessage("b", 20))
 	n.Handle(now, &wire.GroupMessage{Sender: &wire.GroupBox{Name: "b", Boot: 1}, HasLoads: true, Partial: true, Scope: scopeRegion,
-		Columns: packColumns(Loads{{Upstream: 1}: {Open: 11}})})
+		Columns: packColumns(Loads{{Upstream: 1}: {Requests: 11}})})
 	n.Tick(now)
-	is.Equal(n.OtherLoads()[balance.LoadKey{Upstream: 2}].Open, 500)
+	is.Equal(n.OtherLoads()[balance.LoadKey{Upstream: 2}].Requests, 500)
 }
 
 // A leader sends no changes to boxes that it has not sent a complete list yet.
@@ -137,7 +137,7 @@
 	w.run(5 * time.Second)
 	n := w.boxes[boxName(0, 0)].node
 	n.recipients = recipientGroups{}
-	n.SetLoads(Loads{{Upstream: 1}: {Open: 1}})
+	n.SetLoads(Loads{{Upstream: 1}: {Requests: 1}})
 	n.FlushLoads(w.now + time.Second)
 	out, _ := n.Drain()
 	is.Equal(len(out), 0)
--- a/relay/sync_test.go
+++ b/relay/sync_test.go
@@ -22,7 +22,7 @@
 	open := func(id string) int {
 		for _, v := range m.relay.fleet.View(m.relay.now()) {
 			if v.ID == id {
-				return v.Load.Open
+				return v.Load.Requests
 			}
 		}
 		return -1
