--- a/balance/reach.go
+++ b/balance/reach.go
@@ -84,7 +84,7 @@
 
 // FollowCutOffDomains applies the list of cut-off domains of another box: domains that are new in
 // the list are marked as cut off, and domains that have left the list are restored.
-func (f *Fleet) FollowCutOff(now time.Duration, reported []string) {
+func (f *Fleet) FollowCutOffDomains(now time.Duration, reported []string) {
 	if f.cfg.Off[DomainCutOff] {
 		return
 	}
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -49,7 +49,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !leads {
-		r.fleet.FollowCutOff(now, told)
+		r.fleet.FollowCutOffDomains(now, told)
 		followed = told
 	}
 	return r.fleet.CutOffDomains(), followed
