--- a/group/cutoff.go
+++ b/group/cutoff.go
@@ -33,9 +33,9 @@
 	return list
 }
 
-// SetCutOff sets the domains that this box cannot reach, in sorted order. A leader announces them
+// SetUnreachableDomains sets the domains that this box cannot reach, in sorted order. A leader announces them
 // to its members at once.
-func (n *Node) SetCutOff(domains []string) {
+func (n *Node) SetUnreachableDomains(domains []string) {
 	if slices.Equal(domains, n.cutOff) {
 		return
 	}
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -28,7 +28,7 @@
 	now := r.now()
 	unheard := m.node.SilentDomains(now)
 	left, told := r.cutOff(now, m.node.IsLeader(), m.node.CutOff(now))
-	m.node.SetCutOff(left)
+	m.node.SetUnreachableDomains(left)
 	for _, domain := range left {
 		if !slices.Contains(m.left, domain) && (slices.Contains(told, domain) || slices.Contains(unheard, domain)) {
 			r.cfg.Log.Event("domain", "cut off", Fields{"domain": domain, "told_by": m.node.LeaderName(), "unheard": unheard})
