--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -412,7 +412,7 @@
 			f.Put(0, entryOf("u", c.startedAt, 1))
 			first, second := f.Open(0, "u", prompt(7)), f.Open(0, "u", prompt(8))
 			before, told := f.byID["u"].work, f.Loads()
-			is.True(before.upTo(Levels-1).Held > 0)
+			is.True(before.upTo(Levels-1).MemoryTokens > 0)
 			c.between(f)
 			want := work{}
 			if c.counted {
--- a/balance/load.go
+++ b/balance/load.go
@@ -10,25 +10,25 @@
 
 // Load is the work that boxes have in progress on an upstream.
 type Load struct {
-	Unread   int // prompt tokens not yet read
-	Requests int // open requests
-	Tight    int // open requests that are tight streams: the gaps between their events must be short
-	Held     int // tokens of the upstream's memory reserved for the open requests
+	Unread       int // prompt tokens not yet read
+	Requests     int // open requests
+	Tight        int // open requests that are tight streams: the gaps between their events must be short
+	MemoryTokens int // tokens of the upstream's memory reserved for the open requests
 }
 
 // Plus returns the sum of two loads.
 func (l Load) Plus(o Load) Load {
-	return Load{Unread: l.Unread + o.Unread, Requests: l.Requests + o.Requests, Tight: l.Tight + o.Tight, Held: l.Held + o.Held}
+	return Load{Unread: l.Unread + o.Unread, Requests: l.Requests + o.Requests, Tight: l.Tight + o.Tight, MemoryTokens: l.MemoryTokens + o.MemoryTokens}
 }
 
 // Minus returns the difference of two loads, with negative fields set to 0.
 func (l Load) Minus(o Load) Load {
-	return Load{Unread: l.Unread - o.Unread, Requests: l.Requests - o.Requests, Tight: l.Tight - o.Tight, Held: l.Held - o.Held}.floored()
+	return Load{Unread: l.Unread - o.Unread, Requests: l.Requests - o.Requests, Tight: l.Tight - o.Tight, MemoryTokens: l.MemoryTokens - o.MemoryTokens}.floored()
 }
 
 // floored returns the load with negative fields set to 0.
 func (l Load) floored() Load {
-	return Load{Unread: max(0, l.Unread), Requests: max(0, l.Requests), Tight: max(0, l.Tight), Held: max(0, l.Held)}
+	return Load{Unread: max(0, l.Unread), Requests: max(0, l.Requests), Tight: max(0, l.Tight), MemoryTokens: max(0, l.MemoryTokens)}
 }
 
 // LoadKey identifies a load in reports between boxes.
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -70,7 +70,7 @@
 	}
 	sum := 0
 	for i := range m.work {
-		sum += m.work[i].Held + m.remoteWork[i].Held
+		sum += m.work[i].MemoryTokens + m.remoteWork[i].MemoryTokens
 	}
 	return sum
 }
@@ -82,7 +82,7 @@
 	}
 	sum := 0
 	for i := range m.work {
-		sum += m.work[i].Held
+		sum += m.work[i].MemoryTokens
 	}
 	return sum
 }
@@ -201,7 +201,7 @@
 		return
 	}
 	held := t.request.Tokens + answerTokens + answerTokens/2
-	t.count(Load{Held: held - t.held})
+	t.count(Load{MemoryTokens: held - t.held})
 	t.held = held
 }
 
@@ -224,6 +224,6 @@
 		return &Ticket{closed: true}
 	}
 	t := &Ticket{fleet: f, member: m, request: r, held: r.needs()}
-	t.count(Load{Requests: 1, Held: t.held})
+	t.count(Load{Requests: 1, MemoryTokens: t.held})
 	return t
 }
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -57,7 +57,7 @@
 			f := newMemoryFleet(1)
 			f.SetBoxes(4, tt.informed)
 			m := f.byID["u0"]
-			m.work[3].Held = tt.own
+			m.work[3].MemoryTokens = tt.own
 			setRemoteMemory(f, m, 5, tt.others)
 			is.Equal(f.memoryBoundOf(tt.request).fits(m), tt.want)
 			_, ok := f.Place(0, tt.request, nil)
@@ -108,7 +108,7 @@
 	is.True(ok)
 	is.Equal(m.To.ID, "u2")
 	reserved := f.Reserve("u2", longRequest(100, 360))
-	is.Equal(f.Loads()[LoadKey{Key("u2"), 0}], Load{Requests: 1, Held: 1400 + 720})
+	is.Equal(f.Loads()[LoadKey{Key("u2"), 0}], Load{Requests: 1, MemoryTokens: 1400 + 720})
 	reserved.Close(time.Second, Neutral)
 	is.Equal(f.byID["u2"].held(), 0)
 	setRemoteMemory(f, f.byID["u2"], 0, testMemory*9/10)
@@ -371,7 +371,7 @@
 	is.True(!ok)
 	is.True(f.MemoryLeft(time.Second, long) >= minMemoryWait)
 	for _, m := range f.byService["s"] {
-		setRemoteMemory(f, m, 3, testMemory-m.remoteWork[3].Held) // now the tight lane is full instead
+		setRemoteMemory(f, m, 3, testMemory-m.remoteWork[3].MemoryTokens) // now the tight lane is full instead
 	}
 	c, ok := f.Place(time.Second, stream, nil)
 	is.True(ok)
@@ -397,6 +397,6 @@
 
 // setRemoteMemory sets the memory tokens that other boxes hold at an upstream for an urgency.
 func setRemoteMemory(f *Fleet, m *member, urgency, tokens int) {
-	m.remoteWork[urgency].Held = tokens
+	m.remoteWork[urgency].MemoryTokens = tokens
 	f.activate(m)
 }
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -52,7 +52,7 @@
 		t.tight = 1
 	}
 	t.held = t.request.needs()
-	t.count(Load{Unread: t.unread, Requests: 1, Tight: t.tight, Held: t.held})
+	t.count(Load{Unread: t.unread, Requests: 1, Tight: t.tight, MemoryTokens: t.held})
 	t.fleet.noteSent(now, t.member, t.request)
 	t.member.recordColdRequest(now)
 	t.countResumed(now)
@@ -120,7 +120,7 @@
 	t.clearUnread()
 	t.closed = true
 	t.finishResumed(outcome == Answered)
-	t.count(Load{Requests: -1, Tight: -t.tight, Held: -t.held})
+	t.count(Load{Requests: -1, Tight: -t.tight, MemoryTokens: -t.held})
 	t.member.health.record(now, outcome)
 	if t.prefilled {
 		t.fleet.serviceOf(t.request.Service).holding.end(now)
--- a/group/loadencoding.go
+++ b/group/loadencoding.go
@@ -50,7 +50,7 @@
 func roundLoad(l balance.Load) balance.Load {
 	l = l.Minus(balance.Load{}) // no field is negative
 	l.Unread -= l.Unread % tokenUnit
-	l.Held -= l.Held % tokenUnit
+	l.MemoryTokens -= l.MemoryTokens % tokenUnit
 	if l.Unread == 0 && l.Requests == 0 {
 		return balance.Load{}
 	}
@@ -75,7 +75,7 @@
 		c.Unread = append(c.Unread, uint32(load.Unread/tokenUnit))
 		c.Open = append(c.Open, uint32(load.Requests))
 		c.Tight = append(c.Tight, uint32(load.Tight))
-		c.Held = append(c.Held, uint32(load.Held/tokenUnit))
+		c.Held = append(c.Held, uint32(load.MemoryTokens/tokenUnit))
 	}
 	for _, column := range []*[]uint32{&c.Unread, &c.Open, &c.Tight, &c.Held} {
 		if !slices.ContainsFunc(*column, func(v uint32) bool { return v > 0 }) {
@@ -101,7 +101,7 @@
 				continue
 			}
 			l[balance.LoadKey{Upstream: upstream, Urgency: urgency}] = balance.Load{Unread: at(c.Unread, row) * tokenUnit,
-				Requests: at(c.Open, row), Tight: at(c.Tight, row), Held: at(c.Held, row) * tokenUnit}
+				Requests: at(c.Open, row), Tight: at(c.Tight, row), MemoryTokens: at(c.Held, row) * tokenUnit}
 			row++
 		}
 	}
@@ -122,7 +122,7 @@
 	l := make(Loads, len(list))
 	for _, w := range list {
 		key := balance.LoadKey{Upstream: w.Upstream, Urgency: int(w.Urgency)}
-		l[key] = balance.Load{Unread: int(w.Unread) * tokenUnit, Requests: int(w.Open), Tight: int(w.Tight), Held: int(w.Held) * tokenUnit}
+		l[key] = balance.Load{Unread: int(w.Unread) * tokenUnit, Requests: int(w.Open), Tight: int(w.Tight), MemoryTokens: int(w.Held) * tokenUnit}
 	}
 	return l
 }
--- a/group/recipients.go
+++ b/group/recipients.go
@@ -278,7 +278,7 @@
 	exceeds := func(x, y, minimum int) bool { return absDiff(x, y) >= max(minimum, int(g.minRelativeDiff*float64(x))) }
 	return exceeds(known.Unread, load.Unread, g.minUnreadDiff) || exceeds(known.Requests, load.Requests, g.minOpenDiff) ||
 		exceeds(known.Tight, load.Tight, g.minOpenDiff) ||
-		absDiff(known.Held, load.Held) >= g.minHeldDiff // a relative bound would exceed the memory reserve that placement keeps
+		absDiff(known.MemoryTokens, load.MemoryTokens) >= g.minHeldDiff // a relative bound would exceed the memory reserve that placement keeps
 }
 
 // requestWeight is the number of tokens that one request counts as when differences are compared.
@@ -288,7 +288,7 @@
 // changeWeight returns the significance of the difference between two loads.
 func changeWeight(known, load balance.Load) int {
 	return absDiff(known.Unread, load.Unread) + requestWeight*(absDiff(known.Requests, load.Requests)+absDiff(known.Tight, load.Tight)) +
-		absDiff(known.Held, load.Held)/heldTokensPerUnit
+		absDiff(known.MemoryTokens, load.MemoryTokens)/heldTokensPerUnit
 }
 
 func absDiff(a, b int) int { return max(a-b, b-a) }
--- a/group/recipients_test.go
+++ b/group/recipients_test.go
@@ -29,12 +29,12 @@
 	is := is.New(t)
 	n := nodeWithItems(3)
 	key := balance.LoadKey{Upstream: 1}
-	initial := balance.Load{Unread: 6400, Requests: 10, Held: 128000}
+	initial := balance.Load{Unread: 6400, Requests: 10, MemoryTokens: 128000}
 	list := Loads{key: initial}
 	now := 10 * time.Second
 	g := testGroup(regionPolicy, list, "a")
 	g.sendFullList(n, now)
-	list[key] = balance.Load{Unread: 6400, Requests: 30, Held: 384000}
+	list[key] = balance.Load{Unread: 6400, Requests: 30, MemoryTokens: 384000}
 	g.peers = testGroup(regionPolicy, list, "a", "b").peers
 	g.sendFullList(n, now)
 	list[key] = initial
@@ -51,10 +51,10 @@
 	is := is.New(t)
 	for _, policy := range []sendPolicy{regionPolicy, otherRegionPolicy} {
 		g := testGroup(policy, nil)
-		sent := balance.Load{Requests: 32, Held: 400_000}
-		is.True(g.isSignificant(sent, balance.Load{Requests: 32, Held: 400_000 + 4096}))
-		is.True(g.isSignificant(sent, balance.Load{Requests: 32, Held: 400_000 - 4096}))
-		is.True(!g.isSignificant(sent, balance.Load{Requests: 32, Held: 400_000 + 4095}))
+		sent := balance.Load{Requests: 32, MemoryTokens: 400_000}
+		is.True(g.isSignificant(sent, balance.Load{Requests: 32, MemoryTokens: 400_000 + 4096}))
+		is.True(g.isSignificant(sent, balance.Load{Requests: 32, MemoryTokens: 400_000 - 4096}))
+		is.True(!g.isSignificant(sent, balance.Load{Requests: 32, MemoryTokens: 400_000 + 4095}))
 	}
 }
 
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -24,7 +24,7 @@
 	for i, name := range w.names {
 		w.boxes[name].node.SetLoads(Loads{
 			{Upstream: 7, Urgency: 2}:    {Unread: tokenUnit << (i % 16), Requests: 1},
-			{Upstream: uint32(1000 + i)}: {Unread: 100 * tokenUnit, Requests: 3, Held: 1000 * tokenUnit},
+			{Upstream: uint32(1000 + i)}: {Unread: 100 * tokenUnit, Requests: 3, MemoryTokens: 1000 * tokenUnit},
 		})
 	}
 }
@@ -235,7 +235,7 @@
 		for range rapid.IntRange(0, 40).Draw(t, "loads") {
 			key := balance.LoadKey{Upstream: rapid.Uint32().Draw(t, "upstream"), Urgency: rapid.IntRange(0, balance.Levels-1).Draw(t, "urgency")}
 			l[key] = roundLoad(balance.Load{Unread: rapid.IntRange(0, 1<<20).Draw(t, "unread"), Requests: rapid.IntRange(0, 99).Draw(t, "open"),
-				Tight: rapid.IntRange(0, 9).Draw(t, "tight"), Held: rapid.IntRange(0, 1<<24).Draw(t, "held")})
+				Tight: rapid.IntRange(0, 9).Draw(t, "tight"), MemoryTokens: rapid.IntRange(0, 1<<24).Draw(t, "held")})
 		}
 		got := unpackColumns(packColumns(l))
 		if len(got) != len(l) {
--- a/group/regiontraffic_test.go
+++ b/group/regiontraffic_test.go
@@ -118,7 +118,7 @@
 	}
 	return &runningRequest{
 		key:    balance.LoadKey{Upstream: upstreamKey(upstream), Urgency: t.random.IntN(3)},
-		load:   balance.Load{Unread: tokens, Requests: 1, Held: tokens + 300},
+		load:   balance.Load{Unread: tokens, Requests: 1, MemoryTokens: tokens + 300},
 		readAt: readAt,
 		endsAt: readAt + answerTime,
 	}
