--- a/balance/reach.go
+++ b/balance/reach.go
@@ -117,7 +117,7 @@
 }
 
 // NoteUnreachable records that a probe connection to an upstream incarnation failed.
-func (f *Fleet) UnreachedLife(now time.Duration, l Incarnation) {
+func (f *Fleet) NoteUnreachable(now time.Duration, l Incarnation) {
 	if m := f.byID[l.ID]; m != nil && m.Incarnation() == l {
 		f.recordUnreachable(now, m)
 	}
--- a/balance/recovery_test.go
+++ b/balance/recovery_test.go
@@ -90,7 +90,7 @@
 			case what == 2:
 				f.NotePublished(now, now-time.Duration(rapid.IntRange(0, 3000).Draw(t, "age"))*time.Millisecond)
 			case what == 3:
-				f.UnreachedLife(now, m.Incarnation())
+				f.NoteUnreachable(now, m.Incarnation())
 			default:
 				f.ReachedLife(now, m.Incarnation())
 			}
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -81,7 +81,7 @@
 	if err == nil {
 		r.fleet.ReachedLife(r.now(), u.Incarnation())
 	} else {
-		r.fleet.UnreachedLife(r.now(), u.Incarnation())
+		r.fleet.NoteUnreachable(r.now(), u.Incarnation())
 	}
 	r.mu.Unlock()
 	if err != nil {
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -70,7 +70,7 @@
 	}
 	is.Equal(m.relay.fleet.CutOffDomains(), nil)
 	for i := 1; i < 6; i += 2 {
-		m.relay.fleet.UnreachedLife(m.relay.now(), balance.Incarnation{ID: fmt.Sprintf("u%d", i)})
+		m.relay.fleet.NoteUnreachable(m.relay.now(), balance.Incarnation{ID: fmt.Sprintf("u%d", i)})
 	}
 	m.shareCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOffDomains(), []string{"d1"})
