--- a/group/cutoff.go
+++ b/group/cutoff.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// CutOff returns the domains that the leader of this box cannot reach, or none if the leader is
+// UnreachableDomains returns the domains that the leader of this box cannot reach, or none if the leader is
 // not heard.
-func (n *Node) CutOff(now time.Duration) []string {
+func (n *Node) UnreachableDomains(now time.Duration) []string {
 	p := n.peers[n.leader().Name]
 	if p == nil || !p.isLeader || now-p.lastHeard > n.cfg.Timing.LeaderTimeout {
 		return nil
--- a/group/cutoff_test.go
+++ b/group/cutoff_test.go
@@ -22,16 +22,16 @@
 	is.Equal(member.SilentDomains(w.now), nil)
 	leader.SetUnreachableDomains([]string{"domain2"})
 	w.run(200 * time.Millisecond)
-	is.Equal(member.CutOff(w.now), []string{"domain2"})
+	is.Equal(member.UnreachableDomains(w.now), []string{"domain2"})
 	w.linkCut = nil
 	w.run(3 * time.Second)
 	is.Equal(leader.SilentDomains(w.now), nil)
 	leader.SetUnreachableDomains(nil)
 	w.run(200 * time.Millisecond)
-	is.Equal(member.CutOff(w.now), nil)
+	is.Equal(member.UnreachableDomains(w.now), nil)
 	leader.SetUnreachableDomains([]string{"domain1"})
 	w.run(200 * time.Millisecond)
 	w.boxes[boxName(0, 0)].dead = true
 	w.run(1200 * time.Millisecond)
-	is.Equal(member.CutOff(w.now), nil)
+	is.Equal(member.UnreachableDomains(w.now), nil)
 }
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -27,7 +27,7 @@
 	r := m.relay
 	now := r.now()
 	unheard := m.node.SilentDomains(now)
-	left, told := r.cutOff(now, m.node.IsLeader(), m.node.CutOff(now))
+	left, told := r.cutOff(now, m.node.IsLeader(), m.node.UnreachableDomains(now))
 	m.node.SetUnreachableDomains(left)
 	for _, domain := range left {
 		if !slices.Contains(m.left, domain) && (slices.Contains(told, domain) || slices.Contains(unheard, domain)) {
