--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -50,7 +50,7 @@
 			}
 			choice, used := f.Place(5*time.Second, plain, nil)
 			is.Equal(used, c.used)
-			is.True(used || choice.Passed == 1)
+			is.True(used || choice.Skipped == 1)
 			choice, used = f.Place(12*time.Second, plain, nil)
 			is.True(used)
 			is.True(f.Accepts(12*time.Second, choice.Upstream.Incarnation()))
--- a/balance/place.go
+++ b/balance/place.go
@@ -18,7 +18,7 @@
 	Fetch    string // address of an upstream that holds more of the prompt, to fetch it from; may be empty
 	Backlog  int    // prompt tokens that the upstream reads before this request
 	Unread   int    // tokens of this prompt that the upstream has to read
-	Passed   int    // number of upstreams skipped because they accept no more requests from this box
+	Skipped  int    // number of upstreams skipped because they accept no more requests from this box
 	Kept     bool   // the upstream is known or assumed to hold the prompt's last shared part
 }
 
@@ -37,16 +37,16 @@
 	if sharedKey(r) == 0 {
 		list = memory.fitting(list)
 		if len(list) == 0 {
-			return Choice{Passed: passed}, false
+			return Choice{Skipped: passed}, false
 		}
-		return Choice{Upstream: &f.leastBusy(list).Upstream, Passed: passed}, true
+		return Choice{Upstream: &f.leastBusy(list).Upstream, Skipped: passed}, true
 	}
 	within, beyond := f.withMemory(now, r, list, memory)
 	if len(within) == 0 {
-		return Choice{Passed: passed}, false
+		return Choice{Skipped: passed}, false
 	}
 	choice := f.placePrompt(now, r, within, beyond)
-	choice.Passed = passed
+	choice.Skipped = passed
 	return choice, true
 }
 
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -69,12 +69,12 @@
 	began := time.Now()
 	choice, ok := r.fleet.Place(r.now(), q, x.triedPresent())
 	r.stats.observe("decision_us", time.Since(began).Microseconds())
-	if choice.Passed > 0 {
+	if choice.Skipped > 0 {
 		r.stats.count(heldBack)
 	}
 	if !ok {
 		x.pausedFor = x.pauseLeft(x.triedPresent())
-		x.allLimited = choice.Passed > 0 && x.pausedFor == 0
+		x.allLimited = choice.Skipped > 0 && x.pausedFor == 0
 		x.tooLarge = r.fleet.TooLarge(q)
 		left := max(r.fleet.ColdLeft(r.now(), x.service), r.fleet.MemoryLeft(r.now(), q), r.fleet.LimitLeft(r.now(), x.service), addJitter(r.fleet.UnavailableFor(r.now(), x.service)))
 		x.retryAfter = min(left, maxRetryAfter)
