--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -216,7 +216,7 @@
 	f.Open(0, "u", prompt(7)).Close(0, ConnectionRefused)
 	news := []PartReport{{PartKey(7), m.key}}
 	f.NoteKept(time.Minute, news)
-	is.True(f.ReachedLife(time.Minute, Incarnation{"u", 100}))
+	is.True(f.NoteReachable(time.Minute, Incarnation{"u", 100}))
 	f.NoteKept(time.Minute+maxNewsAge/2, news)
 	is.True(!f.parts.holds(time.Minute+maxNewsAge/2, PartKey(7), m))
 	f.NoteKept(time.Minute+maxNewsAge, news)
@@ -228,9 +228,9 @@
 	f := newInformedFleet(3)
 	f.Put(0, entryOf("u", 200, 1))
 	f.Open(0, "u", prompt(7)).Close(0, Unreachable)
-	is.True(!f.ReachedLife(0, Incarnation{"u", 100}))
+	is.True(!f.NoteReachable(0, Incarnation{"u", 100}))
 	is.True(f.byID["u"].unreachable)
-	is.True(f.ReachedLife(0, Incarnation{"u", 200}))
+	is.True(f.NoteReachable(0, Incarnation{"u", 200}))
 	is.True(!f.byID["u"].unreachable)
 }
 
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -180,7 +180,7 @@
 
 // NoteReachable records that a probe connection to an upstream incarnation was established, and
 // reports whether that incarnation is still the one listed.
-func (f *Fleet) ReachedLife(now time.Duration, l Incarnation) bool {
+func (f *Fleet) NoteReachable(now time.Duration, l Incarnation) bool {
 	m := f.byID[l.ID]
 	if m == nil || m.Incarnation() != l {
 		return false
--- a/balance/recovery_test.go
+++ b/balance/recovery_test.go
@@ -37,7 +37,7 @@
 			for i := range c.lost {
 				f.Open(time.Second, fmt.Sprint("u", i), prompt(1)).Close(time.Second, Unreachable)
 			}
-			is.True(f.ReachedLife(back, Incarnation{ID: "u0"}))
+			is.True(f.NoteReachable(back, Incarnation{ID: "u0"}))
 			if c.entry > 0 {
 				u := *f.Get("u0")
 				u.ColdFor = c.entry
@@ -64,7 +64,7 @@
 		id := fmt.Sprint("u", i)
 		now += 10 * time.Second
 		f.Open(now, id, prompt(1)).Close(now, Unreachable)
-		is.True(f.ReachedLife(now+time.Second, Incarnation{ID: id}))
+		is.True(f.NoteReachable(now+time.Second, Incarnation{ID: id}))
 		is.True(!f.coldQuotaLeft(now+time.Second, f.byID[id])) // it may have restarted
 		f.NotePublished(now+5*time.Second, 0)
 	}
@@ -92,7 +92,7 @@
 			case what == 3:
 				f.NoteUnreachable(now, m.Incarnation())
 			default:
-				f.ReachedLife(now, m.Incarnation())
+				f.NoteReachable(now, m.Incarnation())
 			}
 			lost := 0
 			for _, m := range f.byID {
@@ -116,7 +116,7 @@
 		f.Open(0, id, prompt(1)).Close(0, Unreachable)
 	}
 	is.Equal(len(f.Unreached()), 3)
-	f.ReachedLife(time.Second, Incarnation{ID: "u1"})
+	f.NoteReachable(time.Second, Incarnation{ID: "u1"})
 	for _, id := range []string{"u1", "u7"} {
 		is.True(!f.coldQuotaLeft(time.Second, f.byID[id]))
 	}
@@ -157,7 +157,7 @@
 		if trial := back + time.Duration(n%5)*100*time.Millisecond; now >= trial && !reached[n] {
 			reached[n] = true
 			for j := 0; j < 90; j += 3 {
-				f.ReachedLife(now, Incarnation{ID: fmt.Sprint("u", j)})
+				f.NoteReachable(now, Incarnation{ID: fmt.Sprint("u", j)})
 			}
 		}
 		choice, ok := f.Place(now, prompt(uint64(i)+1), nil)
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -79,7 +79,7 @@
 	}
 	r.mu.Lock()
 	if err == nil {
-		r.fleet.ReachedLife(r.now(), u.Incarnation())
+		r.fleet.NoteReachable(r.now(), u.Incarnation())
 	} else {
 		r.fleet.NoteUnreachable(r.now(), u.Incarnation())
 	}
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -54,7 +54,7 @@
 	lead := &wire.GroupMessage{Sender: &wire.GroupBox{Name: "lead", Domain: "d0", Boot: 1, Strength: 9}, Leads: true, CutOff: []string{"d1"}}
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
-	m.relay.fleet.ReachedLife(m.relay.now(), balance.Incarnation{ID: "u1"})
+	m.relay.fleet.NoteReachable(m.relay.now(), balance.Incarnation{ID: "u1"})
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOffDomains(), nil)
--- a/relay/trial.go
+++ b/relay/trial.go
@@ -72,7 +72,7 @@
 	}
 	_ = c.Close()
 	r.mu.Lock()
-	isListed := r.fleet.ReachedLife(r.now(), life)
+	isListed := r.fleet.NoteReachable(r.now(), life)
 	r.mu.Unlock()
 	if isListed {
 		r.cfg.Log.Event("upstream", "reached again", Fields{"upstream": id, "born": life.StartedAt})
