--- a/group/messagekind.go
+++ b/group/messagekind.go
@@ -17,7 +17,7 @@
 	KindPublished      Kind = "published"      // published data
 	KindLoads          Kind = "loads"          // a complete list of loads
 	KindLoadChanges    Kind = "changed loads"  // changed loads only
-	KindParts          Kind = "parts"          // prompt parts sent to upstreams
+	KindPromptParts    Kind = "parts"          // prompt parts sent to upstreams
 	KindSuspects       Kind = "ended under"    // requests that upstreams crash under
 	KindLimits         Kind = "limits"         // rate limits that upstreams announce
 	KindPullResponse   Kind = "all, to a pull" // all published data, in the response to a pull
@@ -38,7 +38,7 @@
 func KindOf(m *wire.GroupMessage) Kind {
 	switch {
 	case len(m.Kept) > 0:
-		return KindParts
+		return KindPromptParts
 	case carriesSuspects(m):
 		return KindSuspects
 	case carriesLimits(m):
--- a/relay/traffic_test.go
+++ b/relay/traffic_test.go
@@ -41,7 +41,7 @@
 		{group.KindPublished, &wire.GroupMessage{Items: []*wire.GroupItem{{}}}},
 		{group.KindLoads, &wire.GroupMessage{HasLoads: true}},
 		{group.KindLoadChanges, &wire.GroupMessage{HasLoads: true, Partial: true}},
-		{group.KindParts, &wire.GroupMessage{Kept: []uint32{1, 2}}},
+		{group.KindPromptParts, &wire.GroupMessage{Kept: []uint32{1, 2}}},
 	}
 	for _, tt := range tests {
 		if got := group.KindOf(tt.m); got != tt.want {
