--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -64,11 +64,11 @@
 	second, ok := f.Place(2*time.Second, r, nil)
 	is.True(ok)
 	is.True(second.Upstream.Domain != first.Upstream.Domain)
-	is.Equal(second.Fetch, first.Upstream.Address)
+	is.Equal(second.FetchFrom, first.Upstream.Address)
 	f.markUnreachable(f.byID[first.Upstream.ID], false)
 	third, ok := f.Place(2*time.Second, r, nil)
 	is.True(ok)
-	is.Equal(third.Fetch, "")
+	is.Equal(third.FetchFrom, "")
 }
 
 func TestUpstreamsListedLaterAreEvacuated(t *testing.T) {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -44,15 +44,15 @@
 	c, ok := f.Place(0, prompt(7), nil)
 	is.True(ok)
 	is.True(c.Upstream.ID != home.Upstream.ID)
-	is.Equal(c.Fetch, home.Upstream.Address)
+	is.Equal(c.FetchFrom, home.Upstream.Address)
 	next := c.Upstream.Address
 	ticket.NoteFirstEvent(0) // the prompt has been read, so the home is free again
 	c, _ = f.Place(0, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
-	is.Equal(c.Fetch, next) // the box may not have received all reports of parts yet
+	is.Equal(c.FetchFrom, next) // the box may not have received all reports of parts yet
 	c, _ = f.Place(2*rereportInterval, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
-	is.Equal(c.Fetch, "")
+	is.Equal(c.FetchFrom, "")
 }
 
 func TestLeavingUpstreamIsNeverChosen(t *testing.T) {
@@ -170,13 +170,13 @@
 		id := fmt.Sprintf("new%d", i)
 		f.Put(now, Upstream{ID: id, Service: "s", Address: id, Domain: "d1", Slots: 8})
 		if c, _ := f.Place(now, prompt(7), nil); c.Upstream.ID == id {
-			is.Equal(c.Fetch, old.Upstream.Address)
+			is.Equal(c.FetchFrom, old.Upstream.Address)
 			break
 		}
 		f.Remove(id)
 	}
 	c, _ := f.Place(now+DefaultTuning.NewUpstreamPeriod, prompt(7), nil)
-	is.Equal(c.Fetch, "") // by then the new home holds what it needs
+	is.Equal(c.FetchFrom, "") // by then the new home holds what it needs
 }
 
 func TestOneLaneIsReservedForTightStreams(t *testing.T) {
@@ -271,7 +271,7 @@
 	r.CanTransfer = false
 	c, _ := f.Place(0, r, nil)
 	is.True(c.Upstream.ID != home.Upstream.ID)
-	is.Equal(c.Fetch, "")
+	is.Equal(c.FetchFrom, "")
 }
 
 // Updates of the other boxes' loads apply on top of the known loads; an empty load clears an
--- a/balance/lane_test.go
+++ b/balance/lane_test.go
@@ -235,20 +235,20 @@
 		c := serve(f, now, prompt(shared))
 		if !kept[old.ID] {
 			is.Equal(c.Upstream.ID, old.ID)
-			is.Equal(c.Fetch, "")
+			is.Equal(c.FetchFrom, "")
 			continue
 		}
 		moved++
-		is.Equal(c.Fetch, old.Address)
+		is.Equal(c.FetchFrom, old.Address)
 		again := serve(f, now, prompt(shared))
 		is.Equal(again.Upstream.ID, c.Upstream.ID)
-		is.Equal(again.Fetch, "") // already fetched
+		is.Equal(again.FetchFrom, "") // already fetched
 	}
 	is.True(moved > 0)
 	f.SizeLanes(now, LanePlan{Key("s"): {Reserved: 2}}) // back to the first size: both have the prompt
 	for shared := range before {
 		c := serve(f, now, prompt(shared))
-		is.Equal(c.Fetch, "")
+		is.Equal(c.FetchFrom, "")
 	}
 }
 
@@ -269,9 +269,9 @@
 	for shared, old := range before {
 		c, _ := f.Place(now, prompt(shared), nil)
 		is.Equal(c.Upstream.ID == old.ID, !kept[old.ID])
-		is.Equal(c.Fetch == old.Address, kept[old.ID])
+		is.Equal(c.FetchFrom == old.Address, kept[old.ID])
 		c, _ = f.Place(now+2*rereportInterval, prompt(shared), nil)
-		is.Equal(c.Fetch, "") // it would have been reported by then
+		is.Equal(c.FetchFrom, "") // it would have been reported by then
 	}
 }
 
--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -72,7 +72,7 @@
 			home, _ := f.Place(0, letter(1), nil)
 			f.Open(0, home.Upstream.ID, letter(1))
 			c, _ := f.Place(0, letter(1), []string{home.Upstream.ID})
-			return c.Fetch != ""
+			return c.FetchFrom != ""
 		}},
 		{DomainCutOff, func(f *Fleet) bool {
 			f.Open(0, "u1", letter(1)).Close(0, Unreachable)
--- a/balance/partindex_test.go
+++ b/balance/partindex_test.go
@@ -23,12 +23,12 @@
 	is := is.New(t)
 	f := newInformedFleet(9)
 	first, _ := f.Place(0, prompt(7), nil)
-	is.Equal(first.Fetch, "") // no upstream holds it
+	is.Equal(first.FetchFrom, "") // no upstream holds it
 	is.True(!first.Kept)
 	f.Open(0, first.Upstream.ID, Request{Service: "s", Tokens: 500})
 	second, _ := f.Place(0, prompt(7), nil)
 	is.True(second.Upstream.ID != first.Upstream.ID)
-	is.Equal(second.Fetch, "")
+	is.Equal(second.FetchFrom, "")
 }
 
 // Once a part has been sent to an upstream, all boxes that received the report place requests
@@ -46,11 +46,11 @@
 		c, _ := f.Place(time.Second, prompt(7), nil)
 		is.Equal(c.Upstream.ID, holder.ID) // although another upstream is its home
 		is.True(c.Kept)
-		is.Equal(c.Fetch, "")
+		is.Equal(c.FetchFrom, "")
 		f.Open(time.Second, holder.ID, Request{Service: "s", Tokens: 100000})
 		c, _ = f.Place(time.Second, prompt(7), nil)
 		is.True(c.Upstream.ID != holder.ID)
-		is.Equal(c.Fetch, holder.Address)
+		is.Equal(c.FetchFrom, holder.Address)
 	}
 }
 
--- a/balance/place.go
+++ b/balance/place.go
@@ -14,12 +14,12 @@
 
 // Choice is the result of placing a request.
 type Choice struct {
-	Upstream *Upstream
-	Fetch    string // address of an upstream that holds more of the prompt, to fetch it from; may be empty
-	Backlog  int    // prompt tokens that the upstream reads before this request
-	Unread   int    // tokens of this prompt that the upstream has to read
-	Skipped  int    // number of upstreams skipped because they accept no more requests from this box
-	Kept     bool   // the upstream is known or assumed to hold the prompt's last shared part
+	Upstream  *Upstream
+	FetchFrom string // address of an upstream that holds more of the prompt, to fetch it from; may be empty
+	Backlog   int    // prompt tokens that the upstream reads before this request
+	Unread    int    // tokens of this prompt that the upstream has to read
+	Skipped   int    // number of upstreams skipped because they accept no more requests from this box
+	Kept      bool   // the upstream is known or assumed to hold the prompt's last shared part
 }
 
 // Place chooses an upstream for a request, or returns false if none is left to try. tried lists
@@ -202,11 +202,11 @@
 		}
 	}
 	return Choice{
-		Upstream: &chosen.Upstream,
-		Fetch:    f.fetchFrom(now, r, chosen),
-		Backlog:  f.backlog(now, chosen, r.urgencyLevel()),
-		Unread:   cost.unread(chosen),
-		Kept:     cost.holds(chosen, r.lastShared()),
+		Upstream:  &chosen.Upstream,
+		FetchFrom: f.fetchFrom(now, r, chosen),
+		Backlog:   f.backlog(now, chosen, r.urgencyLevel()),
+		Unread:    cost.unread(chosen),
+		Kept:      cost.holds(chosen, r.lastShared()),
 	}
 }
 
--- a/balance/rtt_test.go
+++ b/balance/rtt_test.go
@@ -237,8 +237,8 @@
 		var tried []string
 		for c, ok := f.Place(now, r, tried); ok; c, ok = f.Place(now, r, tried) {
 			within("placed", c.Upstream.Address)
-			if c.Fetch != "" {
-				within("fetched", c.Fetch)
+			if c.FetchFrom != "" {
+				within("fetched", c.FetchFrom)
 			}
 			if m := f.moveTarget(now, r, f.byID[c.Upstream.ID]); m != nil {
 				within("moved", m.Address)
--- a/experiment/placing/run.go
+++ b/experiment/placing/run.go
@@ -172,7 +172,7 @@
 			count.InTime++
 		}
 	}
-	j.from, j.elsewhere = r.engines[choice.Fetch], r.keptBesides(e)
+	j.from, j.elsewhere = r.engines[choice.FetchFrom], r.keptBesides(e)
 	if j.from != nil {
 		j.fetchWay = r.spec.way(j.from.domain, e.domain)
 	}
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -89,7 +89,7 @@
 	x.ticket = r.fleet.Open(r.now(), choice.Upstream.ID, q)
 	wake(r.members.loaded)
 	x.upstream = *choice.Upstream
-	x.fetchOffered, x.prefixCached, x.backlog = choice.Fetch != "", choice.Kept, choice.Backlog
+	x.fetchOffered, x.prefixCached, x.backlog = choice.FetchFrom != "", choice.Kept, choice.Backlog
 	return choice, true
 }
 
@@ -129,7 +129,7 @@
 
 // runOn runs the request on the chosen upstream.
 func (x *exchange) runOn(choice balance.Choice) (runState, []byte) {
-	return x.send(x.nextRun(choice.Fetch))
+	return x.send(x.nextRun(choice.FetchFrom))
 }
 
 // send runs the request with the given parameters. With runAnswered, either the whole body has been
