--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -79,12 +79,12 @@
 	_, ok := f.Place(time.Second, Request{Service: "s"}, nil)
 	is.True(!ok)
 	f.markUnreachable(f.byID["u"], false)
-	is.Equal(len(f.Unreached()), 0) // no probes either
+	is.Equal(len(f.Unreachable()), 0) // no probes either
 	is.Equal(f.Evacuated(), []string{"d1"})
 
 	is.True(f.EndEvacuation(2*time.Second, "d1"))
 	is.True(!f.EndEvacuation(2*time.Second, "d1"))
-	is.Equal(len(f.Unreached()), 1)
+	is.Equal(len(f.Unreachable()), 1)
 	_, ok = f.Place(2*time.Second, Request{Service: "s"}, nil)
 	is.True(ok)
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -221,9 +221,9 @@
 	is := is.New(t)
 	f := newTestFleet(9)
 	f.Open(0, "u1", prompt(1)).Close(0, Unreachable)
-	is.Equal(len(f.Unreached()), 1) // a single upstream may have crashed
+	is.Equal(len(f.Unreachable()), 1) // a single upstream may have crashed
 	f.Open(0, "u4", prompt(1)).Close(time.Second, Unreachable)
-	is.Equal(len(f.Unreached()), 3) // both lie in domain d1, which counts as cut off
+	is.Equal(len(f.Unreachable()), 3) // both lie in domain d1, which counts as cut off
 	is.Equal(len(f.TakeNewlyUnreachable()), 3)
 	is.Equal(len(f.TakeNewlyUnreachable()), 0) // each is returned once
 	for shared := range uint64(50) {
@@ -231,10 +231,10 @@
 		is.True(c.Upstream.Domain != "d1")
 	}
 	f.NoteReachableByID("u7")
-	is.Equal(len(f.Unreached()), 2)
+	is.Equal(len(f.Unreachable()), 2)
 	f.Open(0, "u0", prompt(1)).Close(0, Unreachable)
 	f.Open(0, "u3", prompt(1)).Close(0, Unreachable)
-	is.Equal(len(f.Unreached()), 4) // a box never treats its own domain as cut off
+	is.Equal(len(f.Unreachable()), 4) // a box never treats its own domain as cut off
 }
 
 func TestPrefillRateIsLearned(t *testing.T) {
--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -77,7 +77,7 @@
 		{DomainCutOff, func(f *Fleet) bool {
 			f.Open(0, "u1", letter(1)).Close(0, Unreachable)
 			f.Open(0, "u4", letter(1)).Close(0, Unreachable)
-			return len(f.Unreached()) == 3
+			return len(f.Unreachable()) == 3
 		}},
 		{FailureBackoff, func(f *Fleet) bool {
 			home, _ := f.Place(0, letter(1), nil)
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -205,7 +205,7 @@
 
 // Unreachable returns the unreachable upstreams that are not evacuated, sorted by id so that a
 // caller can probe them in turn.
-func (f *Fleet) Unreached() []Upstream {
+func (f *Fleet) Unreachable() []Upstream {
 	var list []Upstream
 	for _, m := range f.byID {
 		if m.unreachable && !m.evacuated {
--- a/balance/reach_test.go
+++ b/balance/reach_test.go
@@ -35,7 +35,7 @@
 			failUnreachable(f, 0, "u1")
 			tt.between(f)
 			failUnreachable(f, time.Second, "u4")
-			is.Equal(len(f.Unreached()), tt.out)
+			is.Equal(len(f.Unreachable()), tt.out)
 		})
 	}
 }
@@ -54,14 +54,14 @@
 		}
 	}
 	is.Equal(alone, 2)
-	is.Equal(len(f.Unreached()), 4)
+	is.Equal(len(f.Unreachable()), 4)
 	f.NoteReachableByID("u4")
-	left := f.Unreached()
+	left := f.Unreachable()
 	is.Equal(len(left), 1)
 	is.Equal(left[0].ID, "u1")
 	failUnreachable(f, 2*time.Second, "u10") // and it may be cut off again
 	failUnreachable(f, 2*time.Second, "u7")
-	is.Equal(len(f.Unreached()), 4)
+	is.Equal(len(f.Unreachable()), 4)
 }
 
 // Failures that are far apart do not make a domain count as cut off.
@@ -70,7 +70,7 @@
 	f := newTestFleet(12)
 	failUnreachable(f, 0, "u1")
 	failUnreachable(f, cutOffWindow+time.Second, "u4")
-	is.Equal(len(f.Unreached()), 2)
+	is.Equal(len(f.Unreachable()), 2)
 }
 
 // A domain no longer counts as cut off once all upstreams that were out because of it have been
@@ -80,15 +80,15 @@
 	f := newTestFleet(12)
 	failUnreachable(f, 0, "u1")
 	failUnreachable(f, time.Second, "u4")
-	is.Equal(len(f.Unreached()), 4)
+	is.Equal(len(f.Unreachable()), 4)
 	for i, id := range []string{"u1", "u4", "u7", "u10"} {
 		f.Remove(id)
 		f.Put(2*time.Second, Upstream{ID: fmt.Sprintf("new%d", i), Service: "s", Domain: "d1", Slots: 8})
 	}
-	is.Equal(len(f.Unreached()), 0)
+	is.Equal(len(f.Unreachable()), 0)
 	failUnreachable(f, 10*time.Second, "new0")
 	failUnreachable(f, 10*time.Second, "new1")
-	is.Equal(len(f.Unreached()), 4)
+	is.Equal(len(f.Unreachable()), 4)
 }
 
 // A domain was cut off from the others. Each of its 125 boxes had one request per second and
--- a/balance/recovery_bench_test.go
+++ b/balance/recovery_bench_test.go
@@ -23,7 +23,7 @@
 					f.markRecovered(now, f.byID[fmt.Sprint("u", i)])
 				}
 				f.NotePublished(now+5*time.Second, now)
-				f.Unreached()
+				f.Unreachable()
 			}
 		})
 	}
--- a/balance/recovery_test.go
+++ b/balance/recovery_test.go
@@ -115,7 +115,7 @@
 	for _, id := range []string{"u1", "u4"} {
 		f.Open(0, id, prompt(1)).Close(0, Unreachable)
 	}
-	is.Equal(len(f.Unreached()), 3)
+	is.Equal(len(f.Unreachable()), 3)
 	f.NoteReachable(time.Second, Incarnation{ID: "u1"})
 	for _, id := range []string{"u1", "u7"} {
 		is.True(!f.coldQuotaLeft(time.Second, f.byID[id]))
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -39,12 +39,12 @@
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOffDomains(), []string{"d1"})
-	is.Equal(len(m.relay.fleet.Unreached()), 6)
+	is.Equal(len(m.relay.fleet.Unreachable()), 6)
 	lead.CutOff = nil
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOffDomains(), nil)
-	is.Equal(len(m.relay.fleet.Unreached()), 0)
+	is.Equal(len(m.relay.fleet.Unreachable()), 0)
 }
 
 // What a box has seen itself goes before what it is told: a connection that comes up takes the domain back.
--- a/relay/trial.go
+++ b/relay/trial.go
@@ -56,7 +56,7 @@
 func (r *Relay) unreached() []balance.Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.fleet.Unreached()
+	return r.fleet.Unreachable()
 }
 
 // try opens a connection and closes it.
