--- a/balance/lane_test.go
+++ b/balance/lane_test.go
@@ -13,7 +13,7 @@
 // own tokens.
 func classRequest(class string, gap time.Duration, shared uint64, tokens int) Request {
 	r := prompt(shared)
-	r.Class, r.Gap, r.Tokens = class, gap, r.Tokens+tokens
+	r.Class, r.MaxGap, r.Tokens = class, gap, r.Tokens+tokens
 	r.Parts[1].Tokens = tokens
 	return r
 }
--- a/balance/request.go
+++ b/balance/request.go
@@ -18,7 +18,7 @@
 	Bytes       int           // of the whole request plus, as far as it can be estimated, its answer
 	CanTransfer bool          // its upstreams can fetch prompts from each other
 	Class       string        // class of similar requests; may be empty
-	Gap         time.Duration // maximum time between events of the answer; 0 if none is set
+	MaxGap      time.Duration // maximum time between events of the answer; 0 if none is set
 	Expected    int           // answer length in tokens as the caller expects it; 0 if not stated
 	Urgency     int           // 0 is the most urgent
 	Homes       route.Homes   // regions it may run in
--- a/balance/separation.go
+++ b/balance/separation.go
@@ -74,7 +74,7 @@
 
 // observe records a request sent to an upstream that has to prefill unread tokens of it.
 func (k *classes) observe(r Request, unread int) {
-	if r.Class == "" || r.Gap == 0 {
+	if r.Class == "" || r.MaxGap == 0 {
 		return
 	}
 	key := Key(r.Class)
@@ -86,7 +86,7 @@
 		c = &class{key: key}
 		k.byKey[key] = c
 	}
-	c.gap = r.Gap
+	c.gap = r.MaxGap
 	c.observed.add(float64(unread), 1)
 }
 
--- a/experiment/placing/run.go
+++ b/experiment/placing/run.go
@@ -105,7 +105,7 @@
 		own := max(1, int(float64(c.Own)*r.random.ExpFloat64()))
 		part := balance.Part{ID: uint64(class)<<32 | uint64(r.random.IntN(c.Parts)+1), Tokens: c.Shared}
 		j := &job{class: c, out: max(1, int(float64(c.Out)*r.random.ExpFloat64())), end: at + c.Patience.Std()}
-		j.request = balance.Request{Service: serviceName, CanTransfer: true, Class: c.Name, Gap: c.Gap.Std(), Urgency: c.Urgency, Tokens: c.Shared + own, Bytes: c.Bytes,
+		j.request = balance.Request{Service: serviceName, CanTransfer: true, Class: c.Name, MaxGap: c.Gap.Std(), Urgency: c.Urgency, Tokens: c.Shared + own, Bytes: c.Bytes,
 			Parts: []balance.Part{part, {ID: math.MaxUint64 - uint64(len(r.agenda)), Tokens: own}}}
 		box := r.random.IntN(r.spec.Boxes)
 		arrived := at
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -103,7 +103,7 @@
 		Bytes:       x.request.headBytes + len(x.request.body) + p.Expected*bytesPerToken,
 		CanTransfer: x.canFetchPrompts(),
 		Class:       x.route.Name,
-		Gap:         x.route.EventGap,
+		MaxGap:      x.route.EventGap,
 		Expected:    p.Expected,
 		Homes:       route.HomesOf(x.route, x.customer),
 		Urgency:     x.urgency,
