--- a/balance/cold.go
+++ b/balance/cold.go
@@ -80,7 +80,7 @@
 }
 
 // SetQuotaPeers sets the boxes that the quotas are divided among.
-func (f *Fleet) SetSharers(s QuotaPeers) {
+func (f *Fleet) SetQuotaPeers(s QuotaPeers) {
 	if s.Box == f.sharers.Box && slices.Equal(s.Boxes, f.sharers.Boxes) {
 		return
 	}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -67,7 +67,7 @@
 			for _, box := range boxes {
 				f := NewFleet(Config{Domain: fmt.Sprintf("d%d", d), Tuning: DefaultTuning})
 				f.SetCold("s", ColdLimit{Lasts: time.Minute, Most: most})
-				f.SetSharers(QuotaPeers{Box: box, Boxes: boxes})
+				f.SetQuotaPeers(QuotaPeers{Box: box, Boxes: boxes})
 				for i := range with {
 					f.Put(0, Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: fmt.Sprintf("d%d", i), Slots: 8})
 				}
@@ -101,7 +101,7 @@
 		for j := range 30 {
 			names = append(names, fmt.Sprintf("box%d", 3*j+i%3))
 		}
-		f.SetSharers(QuotaPeers{Box: fmt.Sprintf("box%d", i), Boxes: names})
+		f.SetQuotaPeers(QuotaPeers{Box: fmt.Sprintf("box%d", i), Boxes: names})
 		for j := range 90 {
 			u := Upstream{ID: fmt.Sprintf("u%d", j), Service: "s", Address: fmt.Sprintf("10.0.0.%d:1", j), Domain: fmt.Sprintf("d%d", j%3), Slots: 64}
 			if j%3 == 0 {
@@ -172,7 +172,7 @@
 		most := rapid.IntRange(2, 20).Draw(t, "most")
 		f := NewFleet(Config{Domain: "d", Tuning: DefaultTuning})
 		f.SetCold("s", ColdLimit{Lasts: time.Hour, Most: most})
-		f.SetSharers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
+		f.SetQuotaPeers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
 		f.Put(0, Upstream{ID: "u", Service: "s", Domain: "d", Slots: 8, ColdFor: time.Hour})
 		var now time.Duration
 		var sent []time.Duration
--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -95,7 +95,7 @@
 	is := is.New(t)
 	f := newTestFleet(6)
 	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
-	f.SetSharers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
+	f.SetQuotaPeers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
 	for _, d := range []string{"d0", "d1", "d2"} {
 		f.Evacuate(d)
 	}
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -15,7 +15,7 @@
 // limitedFleet is the fleet of one box, with upstreams in two domains.
 func limitedFleet(boxes int, upstreams int) *Fleet {
 	f := NewFleet(Config{Domain: "d0", Tuning: DefaultTuning, Named: testLimitBounds, FirstStart: true})
-	f.SetSharers(QuotaPeers{Box: "box0", Boxes: boxNames(boxes)})
+	f.SetQuotaPeers(QuotaPeers{Box: "box0", Boxes: boxNames(boxes)})
 	f.SetBoxes(2*boxes, true)
 	for i := range upstreams {
 		f.Put(0, Upstream{ID: fmt.Sprint("u", i), Service: "s", Address: fmt.Sprint("10.0.0.", i, ":1"), Domain: fmt.Sprint("d", i%2), Slots: 8})
@@ -77,7 +77,7 @@
 			for _, side := range sides {
 				for _, box := range side {
 					f := NewFleet(Config{Domain: fmt.Sprint("d", d), Regions: regions, Tuning: DefaultTuning, Named: testLimitBounds})
-					f.SetSharers(QuotaPeers{Box: box, Boxes: side})
+					f.SetQuotaPeers(QuotaPeers{Box: box, Boxes: side})
 					f.Put(0, Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", Domain: "d0", Slots: 8})
 					f.advertiseLimit(time.Second, "u", perSecond)
 					l, _ := f.Limit(time.Second, "u")
@@ -176,7 +176,7 @@
 func TestBoxWithoutPeersSendsNothingUnderLimit(t *testing.T) {
 	is := is.New(t)
 	f := limitedFleet(1, 1)
-	f.SetSharers(QuotaPeers{Box: "box0"})
+	f.SetQuotaPeers(QuotaPeers{Box: "box0"})
 	f.advertiseLimit(time.Second, "u0", 3)
 	is.Equal(f.placeAndSend(2*time.Second, 0), "")
 	is.True(f.LimitLeft(2*time.Second, "s") > 0)
--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -207,7 +207,7 @@
 	ends := make(map[time.Duration]bool)
 	for box := range 50 {
 		f := pauseFleet(1)
-		f.SetSharers(QuotaPeers{Box: fmt.Sprint(box)})
+		f.SetQuotaPeers(QuotaPeers{Box: fmt.Sprint(box)})
 		till := f.Pause(0, Incarnation{ID: "u0"}, 2*time.Second)
 		is.True(till >= 2*time.Second && till < 2200*time.Millisecond)
 		ends[till] = true
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -129,7 +129,7 @@
 		}
 		f := d.fleetOf(name)
 		if (int(now/step)+i)%stepsPerTick == 0 {
-			f.SetSharers(b.node.QuotaPeers(now))
+			f.SetQuotaPeers(b.node.QuotaPeers(now))
 			f.SetBoxes(b.node.BoxCount(), true)
 			f.ExpireLimits(now)
 			b.node.SetLimits(f.KnownLimits(now))
--- a/group/quotapeers_test.go
+++ b/group/quotapeers_test.go
@@ -121,7 +121,7 @@
 		}
 		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning})
 		f.SetCold("s", balance.ColdLimit{Lasts: time.Minute, Most: most})
-		f.SetSharers(b.node.QuotaPeers(w.now))
+		f.SetQuotaPeers(b.node.QuotaPeers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8, ColdFor: time.Minute})
 		f.Put(0, balance.Upstream{ID: "other", Service: "s", Domain: domainName(1), Slots: 8, Leaving: true})
 		for range most {
@@ -145,7 +145,7 @@
 		}
 		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning, Named: limitBounds,
 			Regions: map[string]string{domainName(0): "r", domainName(1): "r"}})
-		f.SetSharers(b.node.QuotaPeers(w.now))
+		f.SetQuotaPeers(b.node.QuotaPeers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8})
 		f.NoteLimitStatement(time.Second, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: true, PerSecond: perSecond, Read: time.Second})
 		l, _ := f.Limit(time.Second, upstream)
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -13,7 +13,7 @@
 func (m *members) syncFleet() {
 	m.relay.mu.Lock()
 	defer m.relay.mu.Unlock()
-	m.relay.fleet.SetSharers(m.node.QuotaPeers(m.relay.now()))
+	m.relay.fleet.SetQuotaPeers(m.node.QuotaPeers(m.relay.now()))
 	m.relay.fleet.NotePublished(m.relay.now(), time.Duration(m.relay.belief.confirmed.Load()))
 	m.relay.fleet.SetBoxes(m.node.BoxCount(), m.node.KnowsOtherLoads(m.relay.now()))
 	m.node.SetLoads(m.relay.fleet.Loads())
