--- a/balance/memory.go
+++ b/balance/memory.go
@@ -57,10 +57,10 @@
 	switch {
 	case r.Tokens == 0:
 		return 0
-	case r.Expected == 0:
+	case r.ExpectedTokens == 0:
 		return r.Tokens + defaultAnswerTokens
 	}
-	return r.Tokens + answerFactor*r.Expected
+	return r.Tokens + answerFactor*r.ExpectedTokens
 }
 
 // held returns the number of memory tokens counted at an upstream, over all boxes.
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -14,7 +14,7 @@
 // unsharedRequest returns a request whose prompt shares almost nothing, with an expected answer
 // length.
 func unsharedRequest(id uint64, tokens, expected int) Request {
-	return Request{Service: "s", Tokens: tokens, Expected: expected, Parts: []Part{{ID: 1, Tokens: 1}, {ID: 1e9 + id, Tokens: tokens - 1}}}
+	return Request{Service: "s", Tokens: tokens, ExpectedTokens: expected, Parts: []Part{{ID: 1, Tokens: 1}, {ID: 1e9 + id, Tokens: tokens - 1}}}
 }
 
 func newMemoryFleet(upstreams int) *Fleet {
--- a/balance/move.go
+++ b/balance/move.go
@@ -55,7 +55,7 @@
 		return Move{}, false
 	}
 	a := &f.serviceOf(r.Service).answers
-	rest := a.remainingEvents(r.Expected, p.Events)
+	rest := a.remainingEvents(r.ExpectedTokens, p.Events)
 	here := time.Duration(rest * float64(p.Between))
 	there := time.Duration(rest * float64(a.movedInterval()))
 	if there == 0 || here < p.Left {
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -11,7 +11,7 @@
 // longRequest is a request whose caller expects a long answer.
 func longRequest(n uint64, expected int) Request {
 	r := prompt(n)
-	r.Expected = expected
+	r.ExpectedTokens = expected
 	return r
 }
 
@@ -41,8 +41,8 @@
 		{"ends in time", func(_ *Fleet, _ *Request, p *Progress) { p.Between = 20 * time.Millisecond }, false},
 		{"enough time left to wait", func(_ *Fleet, _ *Request, p *Progress) { p.Left = 5 * time.Second }, false},
 		{"would end too late elsewhere as well", func(_ *Fleet, _ *Request, p *Progress) { p.Left = 500 * time.Millisecond }, false},
-		{"longer than expected", func(_ *Fleet, r *Request, p *Progress) { r.Expected, p.Events = 30, 200 }, true},
-		{"no expected length", func(_ *Fleet, r *Request, _ *Progress) { r.Expected = 0 }, false},
+		{"longer than expected", func(_ *Fleet, r *Request, p *Progress) { r.ExpectedTokens, p.Events = 30, 200 }, true},
+		{"no expected length", func(_ *Fleet, r *Request, _ *Progress) { r.ExpectedTokens = 0 }, false},
 		{"upstreams cannot copy", func(_ *Fleet, r *Request, _ *Progress) { r.CanTransfer = false }, false},
 		{"no answers observed", func(f *Fleet, _ *Request, _ *Progress) { f.serviceOf("s").answers = answerStats{} }, false},
 		{"mechanism is off", func(f *Fleet, _ *Request, _ *Progress) { f.cfg.Off = Off{Moving: true} }, false},
--- a/balance/request.go
+++ b/balance/request.go
@@ -12,17 +12,17 @@
 
 // Request describes a request for placement.
 type Request struct {
-	Service     string
-	Parts       []Part        // of the prompt, in order; the last one belongs to this request alone
-	Tokens      int           // of the prompt
-	Bytes       int           // of the whole request plus, as far as it can be estimated, its answer
-	CanTransfer bool          // its upstreams can fetch prompts from each other
-	Class       string        // class of similar requests; may be empty
-	MaxGap      time.Duration // maximum time between events of the answer; 0 if none is set
-	Expected    int           // answer length in tokens as the caller expects it; 0 if not stated
-	Urgency     int           // 0 is the most urgent
-	Homes       route.Homes   // regions it may run in
-	Waited      bool          // it has waited for the end of a pause
+	Service        string
+	Parts          []Part        // of the prompt, in order; the last one belongs to this request alone
+	Tokens         int           // of the prompt
+	Bytes          int           // of the whole request plus, as far as it can be estimated, its answer
+	CanTransfer    bool          // its upstreams can fetch prompts from each other
+	Class          string        // class of similar requests; may be empty
+	MaxGap         time.Duration // maximum time between events of the answer; 0 if none is set
+	ExpectedTokens int           // answer length in tokens as the caller expects it; 0 if not stated
+	Urgency        int           // 0 is the most urgent
+	Homes          route.Homes   // regions it may run in
+	Waited         bool          // it has waited for the end of a pause
 }
 
 // Part is a section of a prompt that other prompts may share as a prefix.
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -108,7 +108,7 @@
 		recordInterval(&a.busy, events, now-t.firstEventAt)
 	}
 	if whole {
-		a.recordLength(t.request.Expected, all)
+		a.recordLength(t.request.ExpectedTokens, all)
 	}
 }
 
--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -96,7 +96,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range 5 {
-		q := balance.Request{Service: "s", Expected: 100, Parts: []balance.Part{{ID: 1, Tokens: 10}, {ID: 2, Tokens: 10}}}
+		q := balance.Request{Service: "s", ExpectedTokens: 100, Parts: []balance.Part{{ID: 1, Tokens: 10}, {ID: 2, Tokens: 10}}}
 		for _, ticket := range []*balance.Ticket{r.fleet.Open(r.now(), "slow", q), r.fleet.OpenMoved(r.now(), "slow", q)} {
 			ticket.NoteFirstEvent(r.now())
 			ticket.NoteAnswer(r.now()+2*time.Second, 101, 100, true)
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -97,17 +97,17 @@
 func (x *exchange) placement() balance.Request {
 	p := &x.request.prompt
 	return balance.Request{
-		Service:     x.service,
-		Parts:       p.Parts,
-		Tokens:      p.Tokens,
-		Bytes:       x.request.headBytes + len(x.request.body) + p.Expected*bytesPerToken,
-		CanTransfer: x.canFetchPrompts(),
-		Class:       x.route.Name,
-		MaxGap:      x.route.EventGap,
-		Expected:    p.Expected,
-		Homes:       route.HomesOf(x.route, x.customer),
-		Urgency:     x.urgency,
-		Waited:      x.pauseWaited > 0,
+		Service:        x.service,
+		Parts:          p.Parts,
+		Tokens:         p.Tokens,
+		Bytes:          x.request.headBytes + len(x.request.body) + p.Expected*bytesPerToken,
+		CanTransfer:    x.canFetchPrompts(),
+		Class:          x.route.Name,
+		MaxGap:         x.route.EventGap,
+		ExpectedTokens: p.Expected,
+		Homes:          route.HomesOf(x.route, x.customer),
+		Urgency:        x.urgency,
+		Waited:         x.pauseWaited > 0,
 	}
 }
 
