--- a/balance/cold.go
+++ b/balance/cold.go
@@ -18,8 +18,8 @@
 
 // ColdLimit is the request rate that the upstreams of a service can take while they are cold.
 type ColdLimit struct {
-	Lasts time.Duration // how long an upstream is cold after a start
-	Most  int           // requests per second, from all boxes together; 0: no limit
+	Duration time.Duration // how long an upstream is cold after a start
+	Most     int           // requests per second, from all boxes together; 0: no limit
 }
 
 // DialWait is the longest time that establishing a connection to an upstream may take. A round
--- a/balance/evacuate.go
+++ b/balance/evacuate.go
@@ -33,7 +33,7 @@
 	f.markEvacuated(domain, false)
 	for _, m := range f.byID {
 		if m.Domain == domain {
-			f.markCold(now, m, f.serviceOf(m.Service).cold.Lasts)
+			f.markCold(now, m, f.serviceOf(m.Service).cold.Duration)
 		}
 	}
 	return true
--- a/balance/recovery.go
+++ b/balance/recovery.go
@@ -30,7 +30,7 @@
 	if cold.Most == 0 || now < m.coldTill || f.majorityLost(m.Service) {
 		return
 	}
-	f.markCold(now, m, cold.Lasts)
+	f.markCold(now, m, cold.Duration)
 	m.setReachability(m.unreachable, now < m.coldTill)
 }
 
--- a/balance/recovery_test.go
+++ b/balance/recovery_test.go
@@ -12,7 +12,7 @@
 // An upstream that was unreachable may have restarted, and be cold before its entry says so.
 func TestRecoveredUpstreamIsCold(t *testing.T) {
 	const back = 10 * time.Second
-	bounded := ColdLimit{Lasts: 3 * time.Second, Most: 12}
+	bounded := ColdLimit{Duration: 3 * time.Second, Most: 12}
 	for _, c := range []struct {
 		name  string
 		cold  ColdLimit
@@ -25,7 +25,7 @@
 		{"entry may still be published", bounded, 1, back + maxPublishDelay - 1, 0, 3 * time.Second},
 		{"entry says cold", bounded, 1, back + maxPublishDelay, 2 * time.Second, 3 * time.Second},
 		{"entry says cold for longer", bounded, 1, back + maxPublishDelay, 5 * time.Second, 5 * time.Second},
-		{"service without a limit", ColdLimit{Lasts: 3 * time.Second}, 1, 0, 0, 0},
+		{"service without a limit", ColdLimit{Duration: 3 * time.Second}, 1, 0, 0, 0},
 		{"service whose upstreams are never cold", ColdLimit{Most: 12}, 1, 0, 0, 0},
 		{"a third was unreachable", bounded, 3, 0, 0, 3 * time.Second},
 		{"most were unreachable", bounded, 5, 0, 0, 0},
@@ -58,7 +58,7 @@
 func TestWarmUpstreamIsNotCountedAsLost(t *testing.T) {
 	is := is.New(t)
 	f := newInformedFleet(9)
-	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
+	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, Most: 12})
 	now := time.Duration(0)
 	for i := range 6 {
 		id := fmt.Sprint("u", i)
@@ -74,7 +74,7 @@
 func TestLostCountMatchesFullCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newInformedFleet(9)
-		f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
+		f.SetCold("s", ColdLimit{Duration: 3 * time.Second, Most: 12})
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond
@@ -111,7 +111,7 @@
 func TestRecoveredDomainIsCold(t *testing.T) {
 	is := is.New(t)
 	f := newInformedFleet(9)
-	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
+	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, Most: 12})
 	for _, id := range []string{"u1", "u4"} {
 		f.Open(0, id, prompt(1)).Close(0, Unreachable)
 	}
