--- a/balance/cold.go
+++ b/balance/cold.go
@@ -18,8 +18,8 @@
 
 // ColdLimit is the request rate that the upstreams of a service can take while they are cold.
 type ColdLimit struct {
-	Duration time.Duration // how long an upstream is cold after a start
-	Most     int           // requests per second, from all boxes together; 0: no limit
+	Duration     time.Duration // how long an upstream is cold after a start
+	MaxPerSecond int           // requests per second, from all boxes together; 0: no limit
 }
 
 // DialWait is the longest time that establishing a connection to an upstream may take. A round
@@ -130,7 +130,7 @@
 // would have prompts prefilled elsewhere that the upstream has cached. If a part is less than one
 // request, the upstream's own domain gets the whole limit.
 func (f *Fleet) domainColdShare(m *member) int {
-	shared := f.serviceOf(m.Service).cold.Most / coldReserveDivisor
+	shared := f.serviceOf(m.Service).cold.MaxPerSecond / coldReserveDivisor
 	domains := make(map[string]bool)
 	for _, other := range f.byService[m.Service] {
 		domains[other.Domain] = true
@@ -149,7 +149,7 @@
 // coldQuotaLeft reports whether this box may send a request to an upstream now: it is not cold,
 // or some of its quota is left.
 func (f *Fleet) coldQuotaLeft(now time.Duration, m *member) bool {
-	if now >= m.coldTill || f.serviceOf(m.Service).cold.Most == 0 {
+	if now >= m.coldTill || f.serviceOf(m.Service).cold.MaxPerSecond == 0 {
 		return true
 	}
 	f.refreshQuotas(now)
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -66,7 +66,7 @@
 			boxes := boxNames(rapid.IntRange(1, 8).Draw(t, "boxes"))
 			for _, box := range boxes {
 				f := NewFleet(Config{Domain: fmt.Sprintf("d%d", d), Tuning: DefaultTuning})
-				f.SetCold("s", ColdLimit{Duration: time.Minute, Most: most})
+				f.SetCold("s", ColdLimit{Duration: time.Minute, MaxPerSecond: most})
 				f.SetQuotaPeers(QuotaPeers{Box: box, Boxes: boxes})
 				for i := range with {
 					f.Put(0, Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: fmt.Sprintf("d%d", i), Slots: 8})
@@ -96,7 +96,7 @@
 	for i := range boxes {
 		domain := fmt.Sprintf("d%d", i%3)
 		f := NewFleet(Config{Domain: domain, Tuning: DefaultTuning, FirstStart: true})
-		f.SetCold("s", ColdLimit{Duration: 3 * time.Second, Most: most})
+		f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: most})
 		var names []string
 		for j := range 30 {
 			names = append(names, fmt.Sprintf("box%d", 3*j+i%3))
@@ -171,7 +171,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(2, 20).Draw(t, "most")
 		f := NewFleet(Config{Domain: "d", Tuning: DefaultTuning})
-		f.SetCold("s", ColdLimit{Duration: time.Hour, Most: most})
+		f.SetCold("s", ColdLimit{Duration: time.Hour, MaxPerSecond: most})
 		f.SetQuotaPeers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
 		f.Put(0, Upstream{ID: "u", Service: "s", Domain: "d", Slots: 8, ColdFor: time.Hour})
 		var now time.Duration
@@ -194,7 +194,7 @@
 func TestColdDuration(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
-	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, Most: 1}) // half of which rounds down to 0
+	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 1}) // half of which rounds down to 0
 	placed := func(now time.Duration) bool {
 		_, ok := f.Place(now, Request{Service: "s"}, nil)
 		return ok
--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -94,7 +94,7 @@
 func TestDomainIsColdAfterEvacuation(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6)
-	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, Most: 12})
+	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 12})
 	f.SetQuotaPeers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
 	for _, d := range []string{"d0", "d1", "d2"} {
 		f.Evacuate(d)
--- a/balance/recovery.go
+++ b/balance/recovery.go
@@ -27,7 +27,7 @@
 	}
 	m.back = now
 	cold := f.serviceOf(m.Service).cold
-	if cold.Most == 0 || now < m.coldTill || f.majorityLost(m.Service) {
+	if cold.MaxPerSecond == 0 || now < m.coldTill || f.majorityLost(m.Service) {
 		return
 	}
 	f.markCold(now, m, cold.Duration)
--- a/balance/recovery_bench_test.go
+++ b/balance/recovery_bench_test.go
@@ -12,7 +12,7 @@
 	for _, n := range []int{600, 6000, 12000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
 			f := newTestFleet(n)
-			f.SetCold("s", ColdLimit{Duration: 3 * time.Second, Most: 12})
+			f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 12})
 			now := time.Duration(0)
 			for b.Loop() {
 				now += 10 * time.Second
--- a/balance/recovery_test.go
+++ b/balance/recovery_test.go
@@ -12,7 +12,7 @@
 // An upstream that was unreachable may have restarted, and be cold before its entry says so.
 func TestRecoveredUpstreamIsCold(t *testing.T) {
 	const back = 10 * time.Second
-	bounded := ColdLimit{Duration: 3 * time.Second, Most: 12}
+	bounded := ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 12}
 	for _, c := range []struct {
 		name  string
 		cold  ColdLimit
@@ -26,7 +26,7 @@
 		{"entry says cold", bounded, 1, back + maxPublishDelay, 2 * time.Second, 3 * time.Second},
 		{"entry says cold for longer", bounded, 1, back + maxPublishDelay, 5 * time.Second, 5 * time.Second},
 		{"service without a limit", ColdLimit{Duration: 3 * time.Second}, 1, 0, 0, 0},
-		{"service whose upstreams are never cold", ColdLimit{Most: 12}, 1, 0, 0, 0},
+		{"service whose upstreams are never cold", ColdLimit{MaxPerSecond: 12}, 1, 0, 0, 0},
 		{"a third was unreachable", bounded, 3, 0, 0, 3 * time.Second},
 		{"most were unreachable", bounded, 5, 0, 0, 0},
 	} {
@@ -46,7 +46,7 @@
 			f.NotePublished(back, c.known)
 			m := f.byID["u0"]
 			is.Equal(max(0, m.coldTill-back), c.cool)
-			is.Equal(f.coldQuotaLeft(back, m), c.cool == 0 || c.cold.Most == 0) // this box knows no peers yet, so its quota is 0
+			is.Equal(f.coldQuotaLeft(back, m), c.cool == 0 || c.cold.MaxPerSecond == 0) // this box knows no peers yet, so its quota is 0
 			is.True(f.coldQuotaLeft(back+c.cool, m))
 		})
 	}
@@ -58,7 +58,7 @@
 func TestWarmUpstreamIsNotCountedAsLost(t *testing.T) {
 	is := is.New(t)
 	f := newInformedFleet(9)
-	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, Most: 12})
+	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 12})
 	now := time.Duration(0)
 	for i := range 6 {
 		id := fmt.Sprint("u", i)
@@ -74,7 +74,7 @@
 func TestLostCountMatchesFullCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newInformedFleet(9)
-		f.SetCold("s", ColdLimit{Duration: 3 * time.Second, Most: 12})
+		f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 12})
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond
@@ -111,7 +111,7 @@
 func TestRecoveredDomainIsCold(t *testing.T) {
 	is := is.New(t)
 	f := newInformedFleet(9)
-	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, Most: 12})
+	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 12})
 	for _, id := range []string{"u1", "u4"} {
 		f.Open(0, id, prompt(1)).Close(0, Unreachable)
 	}
--- a/group/quotapeers_test.go
+++ b/group/quotapeers_test.go
@@ -120,7 +120,7 @@
 			continue
 		}
 		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning})
-		f.SetCold("s", balance.ColdLimit{Duration: time.Minute, Most: most})
+		f.SetCold("s", balance.ColdLimit{Duration: time.Minute, MaxPerSecond: most})
 		f.SetQuotaPeers(b.node.QuotaPeers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8, ColdFor: time.Minute})
 		f.Put(0, balance.Upstream{ID: "other", Service: "s", Domain: domainName(1), Slots: 8, Leaving: true})
--- a/relay/news.go
+++ b/relay/news.go
@@ -151,7 +151,7 @@
 	defer r.mu.Unlock()
 	r.fleet.SetServices(r.now(), names)
 	for _, s := range d.Services {
-		r.fleet.SetCold(s.Name, balance.ColdLimit{Duration: s.ColdFor, Most: r.cfg.Cold.maxRequests(s.ColdPerSecond)})
+		r.fleet.SetCold(s.Name, balance.ColdLimit{Duration: s.ColdFor, MaxPerSecond: r.cfg.Cold.maxRequests(s.ColdPerSecond)})
 		r.fleet.SetMemory(s.Name, s.Memory)
 	}
 }
