--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -170,7 +170,7 @@
 		}
 		lost++
 		ticket.Close(now, Replaced)
-		news := f.KeptNews()
+		news := f.TakePartReports()
 		for _, other := range boxes { // as the group reports it
 			other.NoteKept(now, news)
 		}
--- a/balance/incarnation_property_test.go
+++ b/balance/incarnation_property_test.go
@@ -118,7 +118,7 @@
 // never.
 func (w *incarnationModel) tell() {
 	for i, f := range w.boxes {
-		news := f.KeptNews()
+		news := f.TakePartReports()
 		for j := range w.boxes {
 			if i != j && len(news) > 0 {
 				w.inTransit = append(w.inTransit, sentNews{j, w.now, news})
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -82,7 +82,7 @@
 	f.SetRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Requests: 3, Unread: 100}})
 	f.markCold(0, old, time.Hour)
 	is.True(f.parts.holds(0, PartKey(7), old))
-	news := f.KeptNews()
+	news := f.TakePartReports()
 
 	f.Put(time.Second, entryOf("u", 200, 2))
 	m := f.byID["u"]
@@ -102,7 +102,7 @@
 	is.Equal(m.health, health{})
 	is.Equal(f.domainReachOf("d1").consecutive, 0) // these outcomes do not count towards a cut-off domain
 	is.Equal(len(f.TakeNewlyUnreachable()), 0)
-	is.Equal(len(f.KeptNews()), 0)
+	is.Equal(len(f.TakePartReports()), 0)
 	f.Open(time.Second, "u", prompt(8)).Close(time.Second, Answered)
 	is.Equal(m.totalLoad(), Load{})
 }
@@ -117,7 +117,7 @@
 	for _, pair := range [][2]*Fleet{{behind, ahead}, {ahead, behind}} {
 		sender, receiver := pair[0], pair[1]
 		sender.Open(0, "u", prompt(7))
-		receiver.NoteKept(0, sender.KeptNews())
+		receiver.NoteKept(0, sender.TakePartReports())
 		receiver.SetRemoteLoads(sender.Loads())
 		m := receiver.byID["u"]
 		is.Equal(m.remoteWork, work{})
@@ -194,7 +194,7 @@
 				ticket.NoteFirstEvent(0)
 				open = append(open, ticket)
 			}
-			news := f.KeptNews()
+			news := f.TakePartReports()
 			now := ends(f, open, c.gap, c.outcomes...)
 			is.Equal(f.parts.holds(now, PartKey(7), m), c.keeps)
 			f.NoteKept(now+maxNewsAge-1, news) // may predate the sign
@@ -345,7 +345,7 @@
 			}
 			receiver.Put(0, entryOf("false", 900, 2))
 			finder.NoteIdentity(time.Second, Incarnation{"false", 900}, "true")
-			receiver.NoteKept(time.Second, finder.KeptNews())
+			receiver.NoteKept(time.Second, finder.TakePartReports())
 			for _, u := range c.then {
 				receiver.Put(2*time.Second, u)
 			}
--- a/balance/partindex_test.go
+++ b/balance/partindex_test.go
@@ -40,8 +40,8 @@
 	busy := a.Open(0, home.Upstream.ID, Request{Service: "s", Tokens: 500})
 	holder := serve(a, 0, prompt(7)).Upstream
 	busy.Close(0, Answered)
-	b.NoteKept(0, a.KeptNews())
-	is.Equal(len(a.KeptNews()), 0) // reported once
+	b.NoteKept(0, a.TakePartReports())
+	is.Equal(len(a.TakePartReports()), 0) // reported once
 	for _, f := range []*Fleet{a, b} {
 		c, _ := f.Place(time.Second, prompt(7), nil)
 		is.Equal(c.Upstream.ID, holder.ID) // although another upstream is its home
@@ -85,14 +85,14 @@
 	is := is.New(t)
 	f := newInformedFleet(9)
 	serve(f, 0, prompt(7))
-	is.Equal(len(f.KeptNews()), 1)
+	is.Equal(len(f.TakePartReports()), 1)
 	serve(f, time.Second, prompt(7))
-	is.Equal(len(f.KeptNews()), 0)
+	is.Equal(len(f.TakePartReports()), 0)
 	serve(f, rereportInterval, prompt(7))
-	is.Equal(len(f.KeptNews()), 1)
+	is.Equal(len(f.TakePartReports()), 1)
 	f.NoteKept(2*rereportInterval, []PartReport{{PartKey(7), f.holderOfPart(t, 7).key}})
 	serve(f, 2*rereportInterval, prompt(7))
-	is.Equal(len(f.KeptNews()), 0) // another box has just reported it
+	is.Equal(len(f.TakePartReports()), 0) // another box has just reported it
 }
 
 // holderOfPart returns the only upstream that holds a part.
@@ -154,5 +154,5 @@
 	for shared := range uint64(maxReports + 100) {
 		f.Open(cacheLifetime, "u1", prompt(shared))
 	}
-	is.Equal(len(f.KeptNews()), maxReports)
+	is.Equal(len(f.TakePartReports()), maxReports)
 }
--- a/balance/partreport.go
+++ b/balance/partreport.go
@@ -103,7 +103,7 @@
 }
 
 // TakePartReports returns the reports queued since the last call.
-func (f *Fleet) KeptNews() []PartReport {
+func (f *Fleet) TakePartReports() []PartReport {
 	news := f.parts.news
 	f.parts.news = nil
 	return news
--- a/balance/partreport_test.go
+++ b/balance/partreport_test.go
@@ -33,7 +33,7 @@
 			keeper := serve(a, 0, r).Upstream
 			busy.Close(0, Answered)
 			is.True(keeper.ID != home.Upstream.ID)
-			b.NoteKept(0, a.KeptNews())
+			b.NoteKept(0, a.TakePartReports())
 			c, _ := b.Place(time.Second, r, nil)
 			is.Equal(c.Upstream.ID == keeper.ID, test.reported)
 		})
@@ -52,7 +52,7 @@
 	key := f.byID["u"].key
 	f.Open(0, "u", prompt(9)).Close(0, Replaced)
 	is.True(f.Get("u").Leaving)
-	news := f.KeptNews()
+	news := f.TakePartReports()
 	is.Equal(len(news), maxReports)
 	is.Equal(news[0], PartReport{endedMark, key})
 }
--- a/experiment/placing/way.go
+++ b/experiment/placing/way.go
@@ -163,7 +163,7 @@
 	w.divide(now, list)
 	for _, d := range list {
 		d.loads = d.fleet.Loads()
-		news := d.fleet.KeptNews()
+		news := d.fleet.TakePartReports()
 		for _, o := range list {
 			if o != d && w.Parts {
 				o.fleet.NoteKept(now, news)
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -23,7 +23,7 @@
 	m.node.SetClasses(m.relay.fleet.Classes())
 	m.relay.fleet.NoteClasses(m.node.Classes(m.relay.now()))
 	m.sizeLanes()
-	m.node.AnnounceSentParts(m.relay.fleet.KeptNews())
+	m.node.AnnounceSentParts(m.relay.fleet.TakePartReports())
 	m.relay.fleet.NoteKept(m.relay.now(), m.node.DrainSentParts())
 	m.relay.crashSuspects.Forget(m.relay.now())
 	m.relay.budgets.Forget(m.relay.now())
