--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -172,7 +172,7 @@
 		ticket.Close(now, Replaced)
 		news := f.TakePartReports()
 		for _, other := range boxes { // as the group reports it
-			other.NoteKept(now, news)
+			other.NotePartReports(now, news)
 		}
 	}
 	is.True(lost <= 30)
--- a/balance/incarnation_property_test.go
+++ b/balance/incarnation_property_test.go
@@ -138,7 +138,7 @@
 		w.inTransit = append(w.inTransit[:i], w.inTransit[i+1:]...)
 	}
 	if w.now-n.at < maxNewsAge { // boxes send no older reports
-		w.boxes[n.to].NoteKept(w.now, n.kept)
+		w.boxes[n.to].NotePartReports(w.now, n.kept)
 	}
 }
 
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -91,7 +91,7 @@
 	is.True(!f.parts.holds(time.Second, PartKey(7), m))
 	is.Equal(m.coldTill, longAgo)
 	is.Equal(f.Loads(), map[LoadKey]Load{})
-	f.NoteKept(time.Second, news) // from a box that does not know the new incarnation yet
+	f.NotePartReports(time.Second, news) // from a box that does not know the new incarnation yet
 	f.UpdateRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Requests: 3}})
 	is.True(!f.parts.holds(time.Second, PartKey(7), m))
 	is.Equal(m.totalLoad(), Load{})
@@ -117,7 +117,7 @@
 	for _, pair := range [][2]*Fleet{{behind, ahead}, {ahead, behind}} {
 		sender, receiver := pair[0], pair[1]
 		sender.Open(0, "u", prompt(7))
-		receiver.NoteKept(0, sender.TakePartReports())
+		receiver.NotePartReports(0, sender.TakePartReports())
 		receiver.SetRemoteLoads(sender.Loads())
 		m := receiver.byID["u"]
 		is.Equal(m.remoteWork, work{})
@@ -197,10 +197,10 @@
 			news := f.TakePartReports()
 			now := ends(f, open, c.gap, c.outcomes...)
 			is.Equal(f.parts.holds(now, PartKey(7), m), c.keeps)
-			f.NoteKept(now+maxNewsAge-1, news) // may predate the sign
+			f.NotePartReports(now+maxNewsAge-1, news) // may predate the sign
 			is.Equal(f.parts.holds(now+maxNewsAge-1, PartKey(7), m), true == c.keeps)
 			f.recordReachable(now, m)
-			f.NoteKept(now+2*maxNewsAge, news) // a later report is accepted
+			f.NotePartReports(now+2*maxNewsAge, news) // a later report is accepted
 			is.True(f.parts.holds(now+2*maxNewsAge, PartKey(7), m))
 		})
 	}
@@ -215,11 +215,11 @@
 	m := f.byID["u"]
 	f.Open(0, "u", prompt(7)).Close(0, ConnectionRefused)
 	news := []PartReport{{PartKey(7), m.key}}
-	f.NoteKept(time.Minute, news)
+	f.NotePartReports(time.Minute, news)
 	is.True(f.NoteReachable(time.Minute, Incarnation{"u", 100}))
-	f.NoteKept(time.Minute+maxNewsAge/2, news)
+	f.NotePartReports(time.Minute+maxNewsAge/2, news)
 	is.True(!f.parts.holds(time.Minute+maxNewsAge/2, PartKey(7), m))
-	f.NoteKept(time.Minute+maxNewsAge, news)
+	f.NotePartReports(time.Minute+maxNewsAge, news)
 	is.True(f.parts.holds(time.Minute+maxNewsAge, PartKey(7), m))
 }
 
@@ -345,7 +345,7 @@
 			}
 			receiver.Put(0, entryOf("false", 900, 2))
 			finder.NoteIdentity(time.Second, Incarnation{"false", 900}, "true")
-			receiver.NoteKept(time.Second, finder.TakePartReports())
+			receiver.NotePartReports(time.Second, finder.TakePartReports())
 			for _, u := range c.then {
 				receiver.Put(2*time.Second, u)
 			}
--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -61,7 +61,7 @@
 			home, _ := f.Place(0, letter(1), nil)
 			for id := range f.byID {
 				if id != home.Upstream.ID && !tightUpstreams(f)[id] {
-					f.NoteKept(0, []PartReport{{PartKey(1), Key(id)}})
+					f.NotePartReports(0, []PartReport{{PartKey(1), Key(id)}})
 					c, _ := f.Place(0, letter(1), nil)
 					return c.Upstream.ID == id
 				}
--- a/balance/partindex_test.go
+++ b/balance/partindex_test.go
@@ -40,7 +40,7 @@
 	busy := a.Open(0, home.Upstream.ID, Request{Service: "s", Tokens: 500})
 	holder := serve(a, 0, prompt(7)).Upstream
 	busy.Close(0, Answered)
-	b.NoteKept(0, a.TakePartReports())
+	b.NotePartReports(0, a.TakePartReports())
 	is.Equal(len(a.TakePartReports()), 0) // reported once
 	for _, f := range []*Fleet{a, b} {
 		c, _ := f.Place(time.Second, prompt(7), nil)
@@ -90,7 +90,7 @@
 	is.Equal(len(f.TakePartReports()), 0)
 	serve(f, rereportInterval, prompt(7))
 	is.Equal(len(f.TakePartReports()), 1)
-	f.NoteKept(2*rereportInterval, []PartReport{{PartKey(7), f.holderOfPart(t, 7).key}})
+	f.NotePartReports(2*rereportInterval, []PartReport{{PartKey(7), f.holderOfPart(t, 7).key}})
 	serve(f, 2*rereportInterval, prompt(7))
 	is.Equal(len(f.TakePartReports()), 0) // another box has just reported it
 }
@@ -121,7 +121,7 @@
 			case 1:
 				f.Put(now, Upstream{ID: id, Service: "s", Slots: 4})
 			case 2:
-				f.NoteKept(now, []PartReport{{PartKey(shared), Key(id)}})
+				f.NotePartReports(now, []PartReport{{PartKey(shared), Key(id)}})
 			default:
 				if c, ok := f.Place(now, prompt(shared), nil); ok {
 					f.Open(now, c.Upstream.ID, prompt(shared)).Close(now, Outcome(rapid.IntRange(0, 4).Draw(t, "outcome")))
@@ -145,11 +145,11 @@
 	is := is.New(t)
 	f := newInformedFleet(4)
 	for shared := range uint64(maxParts + 100) {
-		f.NoteKept(0, []PartReport{{uint32(shared), Key("u1")}})
+		f.NotePartReports(0, []PartReport{{uint32(shared), Key("u1")}})
 	}
 	is.Equal(len(f.parts.holders), maxParts)
-	is.Equal(f.parts.sweptAt, time.Duration(0))                        // all excess parts caused a single scan
-	f.NoteKept(cacheLifetime, []PartReport{{maxParts + 1, Key("u1")}}) // expired parts make room
+	is.Equal(f.parts.sweptAt, time.Duration(0))                               // all excess parts caused a single scan
+	f.NotePartReports(cacheLifetime, []PartReport{{maxParts + 1, Key("u1")}}) // expired parts make room
 	is.Equal(len(f.parts.holders), 1)
 	for shared := range uint64(maxReports + 100) {
 		f.Open(cacheLifetime, "u1", prompt(shared))
--- a/balance/partreport.go
+++ b/balance/partreport.go
@@ -110,7 +110,7 @@
 }
 
 // NotePartReports applies reports from other boxes.
-func (f *Fleet) NoteKept(now time.Duration, list []PartReport) {
+func (f *Fleet) NotePartReports(now time.Duration, list []PartReport) {
 	for _, report := range list {
 		m := f.byKey[report.Upstream]
 		if m == nil {
--- a/balance/partreport_test.go
+++ b/balance/partreport_test.go
@@ -33,7 +33,7 @@
 			keeper := serve(a, 0, r).Upstream
 			busy.Close(0, Answered)
 			is.True(keeper.ID != home.Upstream.ID)
-			b.NoteKept(0, a.TakePartReports())
+			b.NotePartReports(0, a.TakePartReports())
 			c, _ := b.Place(time.Second, r, nil)
 			is.Equal(c.Upstream.ID == keeper.ID, test.reported)
 		})
--- a/balance/rtt_test.go
+++ b/balance/rtt_test.go
@@ -114,7 +114,7 @@
 		}
 	}
 	is.True(far > 30)
-	f.NoteKept(time.Second, []PartReport{{PartKey(7), Key("u2")}}) // in another region
+	f.NotePartReports(time.Second, []PartReport{{PartKey(7), Key("u2")}}) // in another region
 	c, _ := f.Place(time.Second, large(7), nil)
 	is.Equal(c.Upstream.ID, "u2")
 }
@@ -192,7 +192,7 @@
 func TestFetchesAndMovesPreferNearUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := newRegionalFleet(30)
-	f.NoteKept(time.Second, []PartReport{{PartKey(7), Key("u2")}, {PartKey(7), Key("u7")}}) // u7 is in a1
+	f.NotePartReports(time.Second, []PartReport{{PartKey(7), Key("u2")}, {PartKey(7), Key("u7")}}) // u7 is in a1
 	f.SetRemoteLoads(map[LoadKey]Load{{Key("u7"), 0}: {Requests: 5}})
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u0"]), "10.0.0.7:1")
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u8"]), "10.0.0.2:1")
@@ -221,7 +221,7 @@
 		for i := range 24 {
 			id := fmt.Sprintf("u%d", i)
 			if rapid.Bool().Draw(t, "keeps") {
-				f.NoteKept(now, []PartReport{{PartKey(uint64(rapid.IntRange(1, 3).Draw(t, "kept"))), Key(id)}})
+				f.NotePartReports(now, []PartReport{{PartKey(uint64(rapid.IntRange(1, 3).Draw(t, "kept"))), Key(id)}})
 			}
 			if rapid.IntRange(0, 4).Draw(t, "out") == 0 {
 				f.recordUnreachable(now, f.byID[id])
--- a/experiment/placing/way.go
+++ b/experiment/placing/way.go
@@ -166,7 +166,7 @@
 		news := d.fleet.TakePartReports()
 		for _, o := range list {
 			if o != d && w.Parts {
-				o.fleet.NoteKept(now, news)
+				o.fleet.NotePartReports(now, news)
 			}
 		}
 	}
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -24,7 +24,7 @@
 	m.relay.fleet.NoteClasses(m.node.Classes(m.relay.now()))
 	m.sizeLanes()
 	m.node.AnnounceSentParts(m.relay.fleet.TakePartReports())
-	m.relay.fleet.NoteKept(m.relay.now(), m.node.DrainSentParts())
+	m.relay.fleet.NotePartReports(m.relay.now(), m.node.DrainSentParts())
 	m.relay.crashSuspects.Forget(m.relay.now())
 	m.relay.budgets.Forget(m.relay.now())
 	m.node.SetWithheld(m.relay.crashSuspects.Withheld(m.relay.now()))
