--- a/balance/suspects.go
+++ b/balance/suspects.go
@@ -84,7 +84,7 @@
 // NoteConnectionLost records that an upstream closed or reset the connection during a run of a
 // content. It reports whether the content becomes withheld, which happens if the upstream is
 // already known to have crashed.
-func (s *Suspects) CutOff(now time.Duration, content uint64, l Incarnation) (withheld bool) {
+func (s *Suspects) NoteConnectionLost(now time.Duration, content uint64, l Incarnation) (withheld bool) {
 	incarnation := l.Key()
 	if at, isOver := s.crashed[incarnation]; isOver && now-at < crashRetention {
 		return s.addCrash(now, content, incarnation)
--- a/balance/suspects_test.go
+++ b/balance/suspects_test.go
@@ -15,7 +15,7 @@
 // crashDuring records that an upstream crashed during runs of contents.
 func crashDuring(s *Suspects, now time.Duration, n int, contents ...uint64) []uint64 {
 	for _, c := range contents {
-		s.CutOff(now, c, incarnationOf(n))
+		s.NoteConnectionLost(now, c, incarnationOf(n))
 	}
 	withheld, _ := s.Ended(now+time.Millisecond, incarnationOf(n))
 	return withheld
@@ -48,18 +48,18 @@
 			crashDuring(s, 0, 2, other)
 		}, 0},
 		{"cut off, but the upstreams are alive", func(s *Suspects) {
-			s.CutOff(0, content, incarnationOf(1))
-			s.CutOff(0, content, incarnationOf(2))
+			s.NoteConnectionLost(0, content, incarnationOf(1))
+			s.NoteConnectionLost(0, content, incarnationOf(2))
 		}, 0},
 		{"cut-off runs found after the crashes", func(s *Suspects) {
 			s.Ended(0, incarnationOf(1))
 			s.Ended(0, incarnationOf(2))
-			s.CutOff(9*time.Second, content, incarnationOf(1))
-			s.CutOff(9*time.Second, content, incarnationOf(2))
+			s.NoteConnectionLost(9*time.Second, content, incarnationOf(1))
+			s.NoteConnectionLost(9*time.Second, content, incarnationOf(2))
 		}, withholdBase - time.Second},
 		{"cut off long before the crashes", func(s *Suspects) {
-			s.CutOff(-20*time.Second, content, incarnationOf(1))
-			s.CutOff(-20*time.Second, content, incarnationOf(2))
+			s.NoteConnectionLost(-20*time.Second, content, incarnationOf(1))
+			s.NoteConnectionLost(-20*time.Second, content, incarnationOf(2))
 			s.Ended(0, incarnationOf(1))
 			s.Ended(0, incarnationOf(2))
 		}, 0},
@@ -138,7 +138,7 @@
 	is.True(len(s.contents) <= maxSuspects)
 	is.True(s.Left(time.Second, 7) > 0) // the content with the most crashes is kept
 	for n := range 3 * maxLostRuns {
-		s.CutOff(time.Second, uint64(n), incarnationOf(-1))
+		s.NoteConnectionLost(time.Second, uint64(n), incarnationOf(-1))
 	}
 	is.True(len(s.lostRuns) <= maxLostRuns)
 	is.True(s.Any())
--- a/cell/ends.go
+++ b/cell/ends.go
@@ -61,7 +61,7 @@
 		n.seenEnds[l.upstream] = seen
 	}
 	life := balance.Incarnation{ID: n.cfg.Box + "/" + l.upstream, StartedAt: int64(n.cfg.Boot) + seen.count}
-	n.ends.CutOff(n.now, l.req.Content, life)
+	n.ends.NoteConnectionLost(n.now, l.req.Content, life)
 	n.ends.Ended(n.now, life)
 	n.tellEnds()
 }
--- a/group/fatal_replay_test.go
+++ b/group/fatal_replay_test.go
@@ -70,7 +70,7 @@
 	default:
 		d.crashedAt = append(d.crashedAt, d.sim.now)
 		if running {
-			d.tables[r.name].CutOff(d.sim.now, fatalContent, r.incarnation)
+			d.tables[r.name].NoteConnectionLost(d.sim.now, fatalContent, r.incarnation)
 			d.tables[r.name].Ended(d.sim.now, r.incarnation)
 			if r.mayRetry {
 				d.send(r.name, false)
--- a/group/suspects_test.go
+++ b/group/suspects_test.go
@@ -47,7 +47,7 @@
 // crash lets an upstream crash while a box runs a content on it.
 func (h *suspectTables) crash(name string, content uint64, id string) {
 	s := h.tables[name]
-	s.CutOff(h.sim.now, content, balance.Incarnation{ID: id})
+	s.NoteConnectionLost(h.sim.now, content, balance.Incarnation{ID: id})
 	s.Ended(h.sim.now, balance.Incarnation{ID: id})
 }
 
--- a/relay/fatal_test.go
+++ b/relay/fatal_test.go
@@ -163,7 +163,7 @@
 	ends := func(id string) {
 		m.b.relay.mu.Lock()
 		defer m.b.relay.mu.Unlock()
-		m.b.relay.crashSuspects.CutOff(m.b.relay.now(), x.contentOf(), balance.Incarnation{ID: id})
+		m.b.relay.crashSuspects.NoteConnectionLost(m.b.relay.now(), x.contentOf(), balance.Incarnation{ID: id})
 		m.b.relay.crashSuspects.Ended(m.b.relay.now(), balance.Incarnation{ID: id})
 	}
 	ends("gone-1")
@@ -284,7 +284,7 @@
 		}
 		const content = 7
 		b.relay.mu.Lock()
-		b.relay.crashSuspects.CutOff(b.relay.now(), content, balance.Incarnation{ID: "u"})
+		b.relay.crashSuspects.NoteConnectionLost(b.relay.now(), content, balance.Incarnation{ID: "u"})
 		b.relay.mu.Unlock()
 		next := &stub{id: "next", listener: u.listener}
 		b.listUpstream(next, false)
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -61,7 +61,7 @@
 	}
 	content, u := x.contentOf(), x.upstream
 	r.mu.Lock()
-	withheld := r.crashSuspects.CutOff(r.now(), content, u.Incarnation())
+	withheld := r.crashSuspects.NoteConnectionLost(r.now(), content, u.Incarnation())
 	suspected := r.crashSuspects.Suspected(content)
 	r.mu.Unlock()
 	if withheld {
