--- a/balance/budget.go
+++ b/balance/budget.go
@@ -64,7 +64,7 @@
 }
 
 // CountRequest counts a request that was received from a caller.
-func (b *Budget) Take(now time.Duration) { b.requests[b.advance(now)%bucketsKept]++ }
+func (b *Budget) CountRequest(now time.Duration) { b.requests[b.advance(now)%bucketsKept]++ }
 
 // Spend reports whether a retry is allowed and, if so, counts it. The slack is divided evenly
 // among boxes; 0 means that this box has no share of it.
--- a/balance/budget_replay_test.go
+++ b/balance/budget_replay_test.go
@@ -56,7 +56,7 @@
 		taken, spent := 0, 0
 		for range p.Rate {
 			b := r.budgets[(p.From+r.random.IntN(p.Boxes))%len(r.budgets)]
-			b.Take(r.now)
+			b.CountRequest(r.now)
 			taken++
 			for tries := 0; tries < 2 && r.random.Float64() < p.Fail && b.Spend(r.now, len(r.budgets)); tries++ {
 				spent++
--- a/balance/budget_test.go
+++ b/balance/budget_test.go
@@ -31,9 +31,9 @@
 func TestIdleBudgetsAreDropped(t *testing.T) {
 	is := is.New(t)
 	b := NewBudgets(budgetConfig, 0, true)
-	b.Of("gone").Take(time.Second)
-	b.Of("used").Take(time.Second)
-	b.Of("used").Take(50 * time.Second)
+	b.Of("gone").CountRequest(time.Second)
+	b.Of("used").CountRequest(time.Second)
+	b.Of("used").CountRequest(50 * time.Second)
 	b.Forget(55 * time.Second)
 	is.Equal(b.Services(), []string{"used"})
 	is.Equal(b.Of("gone").Use(55*time.Second, 1).Taken, 0)
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	b := NewBudget(budgetConfig, 0, false)
 	for now := time.Duration(0); now < 30*time.Second; now += 10 * time.Millisecond {
-		b.Take(now)
+		b.CountRequest(now)
 	}
 	is.Equal(b.Left(30*time.Second, 54), 49) // slack share of 1, and a quarter of a fifth of 1,000 requests, less those in the bucket in which the window begins
 }
@@ -56,7 +56,7 @@
 	b := NewBudget(budgetConfig, 0, false)
 	spent := 0
 	for now := time.Duration(0); now < 5*time.Second; now += 10 * time.Millisecond {
-		b.Take(now)
+		b.CountRequest(now)
 		if b.Spend(now, 1) {
 			spent++
 		}
