--- a/balance/budget_test.go
+++ b/balance/budget_test.go
@@ -31,12 +31,12 @@
 func TestIdleBudgetsAreDropped(t *testing.T) {
 	is := is.New(t)
 	b := NewBudgets(budgetConfig, 0, true)
-	b.Of("gone").CountRequest(time.Second)
-	b.Of("used").CountRequest(time.Second)
-	b.Of("used").CountRequest(50 * time.Second)
+	b.ForService("gone").CountRequest(time.Second)
+	b.ForService("used").CountRequest(time.Second)
+	b.ForService("used").CountRequest(50 * time.Second)
 	b.Forget(55 * time.Second)
 	is.Equal(b.Services(), []string{"used"})
-	is.Equal(b.Of("gone").Use(55*time.Second, 1).Taken, 0)
+	is.Equal(b.ForService("gone").Use(55*time.Second, 1).Taken, 0)
 }
 
 // After a quiet period a burst of failures can use the retries granted for the requests of the
--- a/balance/budgets.go
+++ b/balance/budgets.go
@@ -23,7 +23,7 @@
 }
 
 // ForService returns the budget of a service and creates it if needed.
-func (b *Budgets) Of(service string) *Budget {
+func (b *Budgets) ForService(service string) *Budget {
 	budget := b.byService[service]
 	if budget == nil {
 		budget = NewBudget(b.cfg, b.started, b.firstStart)
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -80,7 +80,7 @@
 	r := x.relay
 	r.stats.open.Add(1)
 	r.mu.Lock()
-	r.budgets.Of(x.service).CountRequest(r.now())
+	r.budgets.ForService(x.service).CountRequest(r.now())
 	r.mu.Unlock()
 	x.ctx, x.cancel = context.WithDeadline(context.Background(), x.deadline)
 	x.watch = watchDisconnect(ctx.Conn(), x.cancel)
--- a/relay/move.go
+++ b/relay/move.go
@@ -86,7 +86,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, ok := r.fleet.MoveTo(r.now(), q, x.upstream.ID, p)
-	if !ok || !r.isPresent(x.upstream) || !x.retryPaid && !r.budgets.Of(x.service).Spend(r.now(), r.divisor()) {
+	if !ok || !r.isPresent(x.upstream) || !x.retryPaid && !r.budgets.ForService(x.service).Spend(r.now(), r.divisor()) {
 		return m, nil
 	}
 	x.retryPaid = true
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -24,7 +24,7 @@
 func (x *exchange) hasRetry() bool {
 	r := x.relay
 	r.mu.Lock()
-	budget := r.budgets.Of(x.service)
+	budget := r.budgets.ForService(x.service)
 	left := budget.Left(r.now(), r.divisor())
 	use := budget.Use(r.now(), r.divisor())
 	r.mu.Unlock()
@@ -45,7 +45,7 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !x.retryPaid && !r.budgets.Of(x.service).Spend(r.now(), r.divisor()) {
+	if !x.retryPaid && !r.budgets.ForService(x.service).Spend(r.now(), r.divisor()) {
 		return false
 	}
 	x.retryPaid = false
@@ -64,7 +64,7 @@
 func (r *Relay) retryRows() (rows []*wire.RetryRow, fewest uint32) {
 	now, boxes := r.now(), r.divisor()
 	for _, service := range r.budgets.Services() {
-		budget := r.budgets.Of(service)
+		budget := r.budgets.ForService(service)
 		use := budget.Use(now, boxes)
 		left := uint32(budget.Left(now, boxes))
 		rows = append(rows, &wire.RetryRow{Service: service, Taken: uint32(use.Taken), Spent: uint32(use.Spent), Left: left})
