--- a/relay/answer.go
+++ b/relay/answer.go
@@ -30,7 +30,7 @@
 
 // roundTrip makes a call of the box's own on a connection and reads the head of its answer.
 func (r *Relay) roundTrip(c *conn, o outgoing) (*answer, error) {
-	if r.isPaused(c.life) {
+	if r.isPaused(c.incarnation) {
 		return nil, errTakesNone
 	}
 	return r.readAnswer(c, o.id, c.send(o))
@@ -44,7 +44,7 @@
 			return nil, err
 		}
 		a.sent = sent
-		r.noteSaid(a, request)
+		r.noteNotices(a, request)
 		id := headerValue(&a.header, r.cfg.Protocol.RequestID)
 		if id == "" || id == request {
 			a.reuse = a.reuse && skipped == 0
@@ -107,10 +107,10 @@
 // to its end and nothing speaks against it.
 func (r *Relay) finish(a *answer, whole bool) {
 	if whole && a.reuse && a.sent.finished() {
-		r.conns.keep(a.conn, keepTime(&a.header))
+		r.conns.putIdle(a.conn, keepTime(&a.header))
 		return
 	}
-	r.conns.drop(a.conn)
+	r.conns.discard(a.conn)
 }
 
 // keepTime reads how long the upstream keeps the connection; 0 if it does not say.
--- a/relay/arrival.go
+++ b/relay/arrival.go
@@ -27,7 +27,7 @@
 	x, no := r.admit(q, ctx.Conn())
 	c := callerOf(ctx)
 	if no == nil {
-		no = x.withhold()
+		no = x.refuseWithheld()
 	}
 	if no == nil && c != nil {
 		no = x.charge(c)
@@ -50,10 +50,10 @@
 		c.next() // this one came together with the request before
 	}
 	c.served = true
-	c.share, c.request = shareFor(x.urgency, x.doc.Urgencies(r.cfg.Protocol.Priorities)), x.request.id
+	c.share, c.request = shareForUrgency(x.urgency, x.doc.Urgencies(r.cfg.Protocol.Priorities)), x.request.id
 	if !c.lease.Grow(requestBytes, c.share) {
 		r.turnedAway(x.request.id, "request")
-		return &refusal{fasthttp.StatusServiceUnavailable, shortReason, comeBackUsual}
+		return &refusal{fasthttp.StatusServiceUnavailable, memoryShortReason, comeBackUsual}
 	}
 	c.until = x.end.Add(lateWait)
 	x.caller = c
@@ -64,9 +64,9 @@
 // may not run at all.
 func (r *Relay) logRefused(q *request, no refusal, x *exchange) {
 	fields := Fields{"id": q.id, "status": no.status, "reason": no.reason, "host": q.host,
-		"path": q.path(), "version": r.version(), "age_ms": r.age().Milliseconds()}
+		"path": q.path(), "version": r.documentVersion(), "age_ms": r.publishedAge().Milliseconds()}
 	if x != nil && no.reason == withheldReason {
-		fields["content"], fields["route"], fields["customer"] = contentName(x.contentOf()), x.route.Name, x.customerName()
+		fields["content"], fields["route"], fields["customer"] = formatContentHash(x.contentHash()), x.route.Name, x.customerName()
 		fields["come_back_ms"] = no.after.Milliseconds()
 	}
 	r.cfg.Log.Event("request", "refused", fields)
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -46,29 +46,29 @@
 func (x *exchange) attempt(o outgoing) (runState, *answer, error) {
 	r := x.relay
 	open := r.conns.get
-	if x.distrusts() {
-		open = r.conns.fresh
+	if x.needsNewConn() {
+		open = r.conns.openNew
 	}
 	c, err := open(x.ctx, x.upstream, x.service)
 	if err != nil {
 		return runUnsent, nil, err
 	}
 	if err := x.mayGo(); err != nil {
-		r.conns.putBack(c)
+		r.conns.putUnused(c)
 		return runUnsent, nil, err
 	}
 	if !x.spendRetry() {
-		r.conns.putBack(c)
+		r.conns.putUnused(c)
 		return runUnsent, nil, errBudget
 	}
 	x.hold(c)
 	sent := c.send(o)
-	x.listen(sent)
+	x.startReadWait(sent)
 	a, err := r.readAnswer(c, o.id, sent)
-	x.heard()
+	x.endReadWait()
 	if err != nil {
 		x.release()
-		r.conns.drop(c)
+		r.conns.discard(c)
 		return runUnknown, nil, err
 	}
 	if !r.notRun(&a.header) {
--- a/relay/buffers.go
+++ b/relay/buffers.go
@@ -1,14 +1,14 @@
 package relay
 
-// This file defines the sizes of the kernel's buffers. The invariant: a size that
-// cannot be set is left as it is, since it bounds memory and nothing else.
+// This file defines how socket buffer sizes are set. The invariant: a size that cannot be set
+// is left unchanged, since it only bounds memory.
 
 import (
 	"net"
 	"syscall"
 )
 
-// setBuffers sets how much the kernel keeps of what has come and of what goes out.
+// setBuffers sets the sizes of a socket's receive and send buffers.
 func setBuffers(raw syscall.RawConn, receive, send int) {
 	_ = raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receive)
@@ -16,14 +16,14 @@
 	})
 }
 
-// boundCallers sets the buffers of the connections that a listener accepts: they are
-// its own.
-func boundCallers(l net.Listener) {
+// setCallerBuffers sets the buffer sizes of a listener, which the connections that it accepts
+// inherit.
+func setCallerBuffers(l net.Listener) {
 	sc, ok := l.(syscall.Conn)
 	if !ok {
 		return
 	}
 	if raw, err := sc.SyscallConn(); err == nil {
-		setBuffers(raw, callerBuffer, callerBuffer)
+		setBuffers(raw, callerBufferSize, callerBufferSize)
 	}
 }
--- a/relay/caller.go
+++ b/relay/caller.go
@@ -53,7 +53,7 @@
 			return nil, err
 		}
 		c := newCaller(l.relay, conn)
-		if c.lease.Grow(callerBytes, wholeShare) {
+		if c.lease.Grow(callerBytes, fullShare) {
 			return c, nil
 		}
 		l.relay.turnedAway("", "connection")
@@ -147,7 +147,7 @@
 
 // limits are those of the document in force.
 func (c *caller) limits() route.Limits {
-	if doc := c.relay.belief.document(); doc != nil {
+	if doc := c.relay.published.document(); doc != nil {
 		return doc.Limits
 	}
 	return route.Limits{}
@@ -156,7 +156,7 @@
 // next gives back what the last request has taken.
 func (c *caller) next() {
 	c.lease.Shrink(callerBytes)
-	c.share, c.request, c.until, c.served = leastShare, "", time.Time{}, false
+	c.share, c.request, c.until, c.served = minRequestShare, "", time.Time{}, false
 }
 
 // collect reads a request until it can be handed on.
@@ -170,7 +170,7 @@
 			_ = c.SetReadDeadline(time.Now().Add(readWait))
 		}
 		if !c.makeRoom(&b) {
-			c.broken = errShort
+			c.broken = errMemoryShort
 			break
 		}
 		n, err := c.Conn.Read(b.buf[len(b.buf):cap(b.buf)])
@@ -193,10 +193,10 @@
 		return true
 	}
 	size := max(collectStep, 2*cap(b.buf))
-	if !c.lease.Grow(int64(size), wholeShare) {
+	if !c.lease.Grow(int64(size), fullShare) {
 		ctx, cancel := context.WithTimeout(context.Background(), shortWait)
 		defer cancel()
-		if !c.lease.Await(ctx, int64(size), wholeShare) {
+		if !c.lease.Await(ctx, int64(size), fullShare) {
 			return false
 		}
 	}
@@ -212,20 +212,20 @@
 	if h.Read(bufio.NewReaderSize(bytes.NewReader(head), len(head))) != nil {
 		return // the server says so
 	}
-	c.share = c.relay.shareOf(&h)
+	c.share = c.relay.requestShare(&h)
 	c.request = headerValue(&h, c.relay.cfg.Protocol.RequestID)
 	body := int64(min(max(length, 0), bodyBytes)) // a longer one is refused by the server
-	if !c.lease.Grow(headerBytes, c.share) || !c.lease.Fits(bodyCost*body, c.share) {
-		c.broken = errShort
+	if !c.lease.Grow(headerBytes, c.share) || !c.lease.Fits(bodyMemoryFactor*body, c.share) {
+		c.broken = errMemoryShort
 	}
 }
 
 // readBody reads more of a body that was not collected.
 func (c *caller) readBody(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && !c.lease.Grow(bodyCost*int64(n), c.share) {
-		c.broken = errShort
-		return 0, errShort
+	if n > 0 && !c.lease.Grow(bodyMemoryFactor*int64(n), c.share) {
+		c.broken = errMemoryShort
+		return 0, errMemoryShort
 	}
 	return n, err
 }
@@ -233,7 +233,7 @@
 // Close implements net.Conn. All that was charged is given back.
 func (c *caller) Close() error {
 	c.lease.Close()
-	if errors.Is(c.broken, errShort) {
+	if errors.Is(c.broken, errMemoryShort) {
 		c.drain()
 	}
 	return c.Conn.Close()
--- a/relay/caller_test.go
+++ b/relay/caller_test.go
@@ -46,7 +46,7 @@
 
 // atRest reports whether the box keeps nothing but its callers' connections.
 func (b *bench) atRest(connections int64) bool {
-	return b.relay.stats.open.Load() == 0 && b.relay.account.Used() == connections*callerBytes
+	return b.relay.stats.openRequests.Load() == 0 && b.relay.account.Used() == connections*callerBytes
 }
 
 // flood sends events without end, 1,000 bytes each.
@@ -80,7 +80,7 @@
 	}
 	b.until(func() bool { return b.atRest(0) })
 	b.until(func() bool { return b.serving() == 0 })
-	is.Equal(b.relay.stats.counted(callersCutOff), uint64(callers))
+	is.Equal(b.relay.stats.counterValue(callersCutOff), uint64(callers))
 	b.until(func() bool { return b.log.contains(`"msg":"request: caller does not read"`) })
 	is.True(!b.log.contains(`"msg":"run: failed"`)) // nothing is said against the upstream
 	b.relay.mu.Lock()
@@ -97,7 +97,7 @@
 	b := newBenchWith(t, bounded(64<<20), u)
 	_, err := io.WriteString(b.dialBox(), lines("/once/x", ""))
 	is.NoErr(err)
-	b.until(func() bool { return b.relay.stats.counted(callersCutOff) == 1 && b.atRest(0) })
+	b.until(func() bool { return b.relay.stats.counterValue(callersCutOff) == 1 && b.atRest(0) })
 	b.until(func() bool { return b.log.contains("takes nothing") })
 }
 
@@ -123,7 +123,7 @@
 	rest, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
 	is.Equal(read+len(rest), len(whole))
-	is.Equal(b.relay.stats.counted(callersCutOff), uint64(0))
+	is.Equal(b.relay.stats.counterValue(callersCutOff), uint64(0))
 }
 
 func TestRequestsThatComeInPiecesAreServed(t *testing.T) {
@@ -191,7 +191,7 @@
 			is.Equal(a.header.Get("X-Id"), "id-/once/x")
 			is.True(strings.Contains(a.body, `"ran":"no"`))
 			is.Equal(len(u.requests()), 0)
-			is.Equal(b.relay.stats.counted(callersTurnedAway), uint64(1))
+			is.Equal(b.relay.stats.counterValue(callersTurnedAway), uint64(1))
 			is.True(b.relay.account.Peak() <= 1<<20)
 			b.until(func() bool { return b.atRest(0) })
 			is.Equal(b.do(b.request("POST", "/once/x", "small")).status, 200)
@@ -211,7 +211,7 @@
 		}
 	}
 	b.board.set("document", doc, false)
-	b.until(func() bool { return b.relay.belief.document().Version == 2 })
+	b.until(func() bool { return b.relay.published.document().Version == 2 })
 	others := b.relay.account.Lease()
 	is.True(others.Grow(600<<10, 1))
 	is.Equal(b.do(b.request("POST", "/once/x", "")).status, 503)
@@ -380,7 +380,7 @@
 	sound.Wait()
 	is.Equal(failed.Load(), int64(0))
 	is.True(b.relay.account.Peak() <= bound)
-	is.Equal(b.relay.stats.counted(callersTurnedAway), uint64(0))
+	is.Equal(b.relay.stats.counterValue(callersTurnedAway), uint64(0))
 }
 
 // A connection rests, and a head arrives, no longer than the document allows.
@@ -391,7 +391,7 @@
 	doc := testDocument(2)
 	doc.Limits.HeaderWait, doc.Limits.IdleWait = 150*time.Millisecond, 100*time.Millisecond
 	b.board.set("document", doc, false)
-	b.until(func() bool { return b.relay.belief.document().Version == 2 })
+	b.until(func() bool { return b.relay.published.document().Version == 2 })
 	for _, c := range []struct {
 		name string
 		sent string
--- a/relay/collect_test.go
+++ b/relay/collect_test.go
@@ -50,10 +50,10 @@
 	for _, c := range []struct {
 		urgency, of int
 		want        float64
-	}{{0, 10, mostShare}, {9, 10, leastShare}, {12, 10, leastShare}, {0, 0, mostShare}} {
-		is.Equal(shareFor(c.urgency, c.of), c.want)
+	}{{0, 10, maxRequestShare}, {9, 10, minRequestShare}, {12, 10, minRequestShare}, {0, 0, maxRequestShare}} {
+		is.Equal(shareForUrgency(c.urgency, c.of), c.want)
 	}
 	for u := range 9 {
-		is.True(shareFor(u, 10) > shareFor(u+1, 10))
+		is.True(shareForUrgency(u, 10) > shareForUrgency(u+1, 10))
 	}
 }
--- a/relay/way_test.go
+++ b/relay/connecttime_test.go
@@ -10,15 +10,16 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// A box measures the way by its own connections and tells operators.
-func TestTheWayIsMeasuredByConnections(t *testing.T) {
+// A box measures the connect time to a domain by its own connections and reports it to
+// operators.
+func TestConnectTimeIsMeasured(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", func(c net.Conn, _ stubRequest) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 		return false // each request takes a new connection
 	})
 	b := newBench(t, u)
-	b.listIn(u, "far")
+	b.listInDomain(u, "far")
 	b.until(func() bool {
 		b.relay.mu.Lock()
 		defer b.relay.mu.Unlock()
@@ -35,5 +36,5 @@
 	is.Equal(rows[0].Way, uint64(way.Microseconds()))
 	is.True(way > 0)
 	guess := balance.NewFleet(balance.Config{Domain: "d"}).Way("far")
-	is.True(way != guess) // what was measured, no more the layout
+	is.True(way != guess) // measured, no longer estimated from the layout
 }
--- a/relay/conns.go
+++ b/relay/conns.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines the connections to upstreams. The invariants: a connection
-// carries one request at a time; it is kept only after a whole answer with nothing
-// behind it; and a kept one is looked at before it is used again.
+// This file defines the pool of connections to upstreams. The invariants: a connection carries
+// one request at a time; it is returned to the pool only after a complete answer with no
+// further bytes buffered; and an idle connection is checked before it is reused.
 
 import (
 	"bufio"
@@ -16,95 +16,97 @@
 )
 
 const (
-	// defaultConnections is used where a service states no bound.
+	// defaultConnections is the limit per upstream for a service that configures none.
 	defaultConnections = 64
-	// idleKeep is how long a connection is kept where the upstream gives no time.
-	idleKeep = 3 * time.Second
-	// idleMargin is kept of the time that an upstream gives, so that its close and
-	// the next request do not cross.
-	idleMargin = 500 * time.Millisecond
-	// readBuffer is the size of a connection's buffer, in bytes.
-	readBuffer = 4 << 10
+	// defaultIdleTimeout is how long a connection stays idle where the upstream states no
+	// keep-alive timeout.
+	defaultIdleTimeout = 3 * time.Second
+	// idleTimeoutMargin is subtracted from the keep-alive timeout that an upstream states, so
+	// that no request is sent on a connection that the upstream is closing.
+	idleTimeoutMargin = 500 * time.Millisecond
+	// readBufferSize is the size of a connection's read buffer, in bytes.
+	readBufferSize = 4 << 10
 )
 
 // conn is a connection to an upstream.
 type conn struct {
 	net.Conn
-	reader   *bufio.Reader
-	life     balance.Incarnation // of its upstream, that was listed when it was opened
-	opened   time.Time
-	keepTill time.Time // it may be used again up to then
+	reader      *bufio.Reader
+	incarnation balance.Incarnation // of the upstream, as listed when the connection was opened
+	opened      time.Time
+	idleUntil   time.Time // it may be reused until then
 }
 
-// conns keeps connections by upstream.
-type conns struct {
-	limit  func(service string) int                  // connections to an upstream of the service, from this box
-	cameUp func(upstream string, took time.Duration) // told of each connection that came up; may be nil
+// connPool holds the idle connections to upstreams and counts all open ones.
+type connPool struct {
+	maxConns  func(service string) int                  // returns this box's limit for each upstream of the service
+	onConnect func(upstream string, took time.Duration) // called for each connection that was opened; may be nil
 
-	mu     sync.Mutex
-	idle   map[string][]*conn // by upstream, the newest last
-	open   map[string]int     // connections by upstream, idle ones included
-	over   map[string]int64   // by upstream: lives that began up to then are over
-	closed bool               // none is kept any more
+	mu         sync.Mutex
+	idle       map[string][]*conn // by upstream ID, the most recently used last
+	open       map[string]int     // open connections by upstream ID, idle ones included
+	endedStart map[string]int64   // by upstream ID: incarnations started at or before this time (Unix ms) have ended
+	closed     bool               // no connection is kept any more
 }
 
-func newConns(limit func(string) int) *conns {
-	return &conns{limit: limit, idle: make(map[string][]*conn), open: make(map[string]int), over: make(map[string]int64)}
+func newConnPool(limit func(string) int) *connPool {
+	return &connPool{maxConns: limit, idle: make(map[string][]*conn), open: make(map[string]int), endedStart: make(map[string]int64)}
 }
 
-// errConnections says that this box's share of an upstream's connections is used up.
-var errConnections = &Error{Op: "connect", Kind: KindFull}
+// errConnLimit reports that this box has as many connections to the upstream as it may open.
+var errConnLimit = &Error{Op: "connect", Kind: KindFull}
 
-// get returns a connection that is known to be open, so that a failure after this
-// has to do with the request.
-func (p *conns) get(ctx context.Context, u balance.Upstream, service string) (*conn, error) {
+// get returns a connection that is known to be open, so that a later failure is due to the
+// request or the upstream. It reuses an idle connection if one is usable.
+func (p *connPool) get(ctx context.Context, u balance.Upstream, service string) (*conn, error) {
 	id := u.ID
-	for c := p.takeIdle(id); c != nil; c = p.takeIdle(id) {
-		if c.life == u.Incarnation() && time.Now().Before(c.keepTill) && c.quiet() {
+	for c := p.popIdle(id); c != nil; c = p.popIdle(id) {
+		if c.incarnation == u.Incarnation() && time.Now().Before(c.idleUntil) && c.isUsable() {
 			return c, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 	return p.connect(ctx, u, service)
 }
 
-// putBack puts a connection aside on which nothing was sent.
-func (p *conns) putBack(c *conn) {
-	if c.keepTill.IsZero() {
-		p.keep(c, idleKeep)
+// putUnused returns a connection to the pool on which nothing was sent.
+func (p *connPool) putUnused(c *conn) {
+	if c.idleUntil.IsZero() {
+		p.putIdle(c, defaultIdleTimeout)
 		return
 	}
-	p.keep(c, time.Until(c.keepTill)+idleMargin)
+	p.putIdle(c, time.Until(c.idleUntil)+idleTimeoutMargin)
 }
 
-// fresh opens a connection, and closes one that rests in its place.
-func (p *conns) fresh(ctx context.Context, u balance.Upstream, service string) (*conn, error) {
-	if c := p.takeIdle(u.ID); c != nil {
-		p.drop(c)
+// openNew opens a connection and closes an idle one, if any, so that their number stays the
+// same.
+func (p *connPool) openNew(ctx context.Context, u balance.Upstream, service string) (*conn, error) {
+	if c := p.popIdle(u.ID); c != nil {
+		p.discard(c)
 	}
 	return p.connect(ctx, u, service)
 }
 
 // connect opens a connection.
-func (p *conns) connect(ctx context.Context, u balance.Upstream, service string) (*conn, error) {
-	if !p.reserve(u.ID, p.limit(service)) {
-		return nil, errConnections
+func (p *connPool) connect(ctx context.Context, u balance.Upstream, service string) (*conn, error) {
+	if !p.reserve(u.ID, p.maxConns(service)) {
+		return nil, errConnLimit
 	}
-	began := time.Now()
+	start := time.Now()
 	c, err := dial(ctx, u.Address)
 	if err != nil {
 		p.release(u.ID)
 		return nil, err
 	}
-	if p.cameUp != nil {
-		p.cameUp(u.ID, time.Since(began))
+	if p.onConnect != nil {
+		p.onConnect(u.ID, time.Since(start))
 	}
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), life: u.Incarnation(), opened: time.Now()}, nil
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferSize), incarnation: u.Incarnation(), opened: time.Now()}, nil
 }
 
-// quiet reports whether the upstream has neither closed the connection nor sent
-// anything nobody asked for.
-func (c *conn) quiet() bool {
+// isUsable reports whether the upstream has neither closed the connection nor sent bytes
+// without a request.
+func (c *conn) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -112,27 +114,28 @@
 	if err != nil {
 		return false
 	}
-	known := true
-	err = raw.Control(func(fd uintptr) { _, known = peekEnd(int(fd)) })
-	return err == nil && !known
+	readable := true
+	err = raw.Control(func(fd uintptr) { _, readable = peekEnd(int(fd)) })
+	return err == nil && !readable
 }
 
-// takeIdle takes the newest idle connection of an upstream; nil where there is none.
-func (p *conns) takeIdle(id string) *conn {
+// popIdle removes and returns the most recently used idle connection to an upstream; nil if
+// there is none.
+func (p *connPool) popIdle(id string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[id]
-	if len(list) == 0 {
+	conns := p.idle[id]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := list[len(list)-1]
-	p.idle[id] = list[:len(list)-1]
+	c := conns[len(conns)-1]
+	p.idle[id] = conns[:len(conns)-1]
 	return c
 }
 
-// reserve counts a new connection. If this box's share is used up, its own idle
-// ones were taken before, so there is nothing to close for it.
-func (p *conns) reserve(id string, limit int) bool {
+// reserve counts a new connection and reports whether it is within this box's limit. The caller
+// has taken the idle connections before, so there is none to close instead.
+func (p *connPool) reserve(id string, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open[id] >= limit {
@@ -143,7 +146,7 @@
 }
 
 // release undoes reserve.
-func (p *conns) release(id string) {
+func (p *connPool) release(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open[id]--; p.open[id] <= 0 {
@@ -151,60 +154,60 @@
 	}
 }
 
-// drop closes a connection for good.
-func (p *conns) drop(c *conn) {
+// discard closes a connection and stops counting it.
+func (p *connPool) discard(c *conn) {
 	_ = c.Close()
-	p.release(c.life.ID)
+	p.release(c.incarnation.ID)
 }
 
-// keep puts a connection aside whose answer was read to its end; keepFor is the
-// time the upstream gave, or 0.
-func (p *conns) keep(c *conn, keepFor time.Duration) {
-	if keepFor == 0 {
-		keepFor = idleKeep
+// putIdle returns a connection to the pool after its answer was read to the end. keepFor is the
+// keep-alive timeout that the upstream stated, or 0 for the default.
+func (p *connPool) putIdle(c *conn, idleTimeout time.Duration) {
+	if idleTimeout == 0 {
+		idleTimeout = defaultIdleTimeout
 	}
-	c.keepTill = time.Now().Add(keepFor - idleMargin)
+	c.idleUntil = time.Now().Add(idleTimeout - idleTimeoutMargin)
 	_ = c.SetDeadline(time.Time{})
 	p.mu.Lock()
-	if !p.closed && c.reader.Buffered() == 0 && !p.isOver(c.life) {
-		p.idle[c.life.ID] = append(p.idle[c.life.ID], c)
+	if !p.closed && c.reader.Buffered() == 0 && !p.hasEnded(c.incarnation) {
+		p.idle[c.incarnation.ID] = append(p.idle[c.incarnation.ID], c)
 		p.mu.Unlock()
 		return
 	}
 	p.mu.Unlock()
-	p.drop(c)
+	p.discard(c)
 }
 
-// isOver reports whether a life is known to be over.
-func (p *conns) isOver(l balance.Incarnation) bool {
-	born, ended := p.over[l.ID]
-	return ended && l.StartedAt <= born
+// hasEnded reports whether an incarnation of an upstream is known to have ended.
+func (p *connPool) hasEnded(inc balance.Incarnation) bool {
+	start, ended := p.endedStart[inc.ID]
+	return ended && inc.StartedAt <= start
 }
 
-// end closes the idle connections of a life that is over; those that are in use are closed
-// when their answers have ended.
-func (p *conns) end(l balance.Incarnation) {
-	if l.StartedAt > 0 {
+// endIncarnation closes the idle connections to an incarnation that has ended; those in use are
+// closed when their answers have ended.
+func (p *connPool) endIncarnation(inc balance.Incarnation) {
+	if inc.StartedAt > 0 {
 		p.mu.Lock()
-		p.over[l.ID] = max(l.StartedAt, p.over[l.ID])
+		p.endedStart[inc.ID] = max(inc.StartedAt, p.endedStart[inc.ID])
 		p.mu.Unlock()
 	}
-	p.forget(l.ID)
+	p.closeIdle(inc.ID)
 }
 
-// forget closes the idle connections of an upstream.
-func (p *conns) forget(id string) {
+// closeIdle closes the idle connections to an upstream.
+func (p *connPool) closeIdle(id string) {
 	p.mu.Lock()
-	list := p.idle[id]
+	conns := p.idle[id]
 	delete(p.idle, id)
 	p.mu.Unlock()
-	for _, c := range list {
-		p.drop(c)
+	for _, c := range conns {
+		p.discard(c)
 	}
 }
 
-// close closes all idle connections and keeps none from now on.
-func (p *conns) close() {
+// close closes all idle connections; later ones are closed instead of being kept.
+func (p *connPool) close() {
 	p.mu.Lock()
 	p.closed = true
 	ids := make([]string, 0, len(p.idle))
@@ -213,6 +216,6 @@
 	}
 	p.mu.Unlock()
 	for _, id := range ids {
-		p.forget(id)
+		p.closeIdle(id)
 	}
 }
--- a/relay/content.go
+++ b/relay/content.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines what a request is apart from its id: the same content, sent again by the
-// same customer, is the same request whatever id it has and whichever box it comes to. The
-// invariant: all boxes find the same number for it.
+// This file defines the hash that identifies the content of a request: the same content, sent
+// again by the same customer, has the same hash whatever its request ID and whichever box
+// receives it. The invariant: all boxes compute the same hash.
 
 import (
 	"strconv"
@@ -11,19 +11,20 @@
 	"github.com/doormast/doormast/internal/content"
 )
 
-// contentOf is a hash of a request's method, host, path with query, customer and body. It is called by
-// the exchange, and by others as long as they hold the relay's mu and a run of it goes on.
-func (x *exchange) contentOf() uint64 {
-	if number := x.content.Load(); number != 0 {
-		return number
+// contentHash is a hash of the request's method, host, path with query, customer and body. It
+// is called by the exchange's own goroutine, or by others while they hold the relay's mu and
+// the request has a run.
+func (x *exchange) contentHash() uint64 {
+	if hash := x.content.Load(); hash != 0 {
+		return hash
 	}
-	q := x.request
-	number := content.Of(x.customerName(), q.body, q.method, strings.ToLower(q.host), q.uri)
-	x.content.Store(number)
-	return number
+	req := x.request
+	hash := content.Of(x.customerName(), req.body, req.method, strings.ToLower(req.host), req.uri)
+	x.content.Store(hash)
+	return hash
 }
 
-// customerName is whose request it is; empty on a public route.
+// customerName is the name of the request's customer; empty on a public route.
 func (x *exchange) customerName() string {
 	if x.customer == nil {
 		return ""
@@ -31,5 +32,5 @@
 	return x.customer.Name
 }
 
-// contentName is a content as logs name it.
-func contentName(number uint64) string { return strconv.FormatUint(number, 16) }
+// formatContentHash formats a content hash as it appears in logs.
+func formatContentHash(hash uint64) string { return strconv.FormatUint(hash, 16) }
--- a/relay/content_test.go
+++ b/relay/content_test.go
@@ -8,14 +8,14 @@
 	"github.com/doormast/doormast/route"
 )
 
-func TestWhatIsTheSameContent(t *testing.T) {
+func TestContentHash(t *testing.T) {
 	first := request{id: "1", method: "POST", host: "h.example", uri: "/a/b?c", body: []byte("body")}
 	customer := &route.Customer{Name: "one"}
 	same := func(change func(*request), by *route.Customer) bool {
 		q := first
 		change(&q)
 		a, b := &exchange{request: &first, customer: customer}, &exchange{request: &q, customer: by}
-		return a.contentOf() == b.contentOf()
+		return a.contentHash() == b.contentHash()
 	}
 	for _, test := range []struct {
 		name   string
@@ -25,8 +25,8 @@
 	}{
 		{"another id", func(q *request) { q.id = "2" }, customer, true},
 		{"another key of the customer", func(q *request) { q.key = "k2" }, customer, true},
-		{"taken up behind an event", func(q *request) { q.lastSeen = "7" }, customer, true},
-		{"the host in capitals", func(q *request) { q.host = "H.example" }, customer, true},
+		{"resumed after an event", func(q *request) { q.lastSeen = "7" }, customer, true},
+		{"host in upper case", func(q *request) { q.host = "H.example" }, customer, true},
 		{"another method", func(q *request) { q.method = "GET" }, customer, false},
 		{"another host", func(q *request) { q.host = "g.example" }, customer, false},
 		{"another path", func(q *request) { q.uri = "/a/c?c" }, customer, false},
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -1,8 +1,10 @@
 package relay
 
-// This file defines how a box finds out that a failure domain is cut off, or is told so by its lead, and what becomes of the
-// runs there. The invariant: silence between boxes alone leaves no domain. A lead that hears nobody of one tries
-// its upstreams, and only where no connection comes up counts the domain as cut off, until one does again.
+// This file defines how a box detects that a failure domain is cut off by a network partition,
+// or learns it from its leader, and what happens to the runs there. The invariant: missing
+// messages from boxes alone never mark a domain as cut off. A leader that hears from no box of
+// a domain probes its upstreams; only if no connection succeeds does it mark the domain as cut
+// off, until a connection succeeds again.
 
 import (
 	"context"
@@ -15,61 +17,62 @@
 )
 
 const (
-	// probesAtOnce is how many upstreams of a domain are tried of which no box is heard.
-	probesAtOnce = 3
-	// probeEvery is the least time between two such trials.
-	probeEvery = 500 * time.Millisecond
+	// domainProbeSize is how many upstreams are probed of a domain from which no box is heard.
+	domainProbeSize = 3
+	// domainProbeInterval is the shortest time between two probes of silent domains.
+	domainProbeInterval = 500 * time.Millisecond
 )
 
-// shareCutOff tells the node which domains this box has left, and leaves those that its lead has left. It is called by
-// the members' duty, ten times a second.
-func (m *members) shareCutOff(ctx context.Context) {
+// syncCutOff passes the domains that this box treats as cut off to the node, and adopts those
+// of its leader. It is called by the members' loop, ten times a second.
+func (m *members) syncCutOff(ctx context.Context) {
 	r := m.relay
 	now := r.now()
-	unheard := m.node.Unheard(now)
-	left, told := r.cutOff(now, m.node.IsLeader(), m.node.CutOff(now))
-	m.node.SetCutOff(left)
-	for _, domain := range left {
-		if !slices.Contains(m.left, domain) && (slices.Contains(told, domain) || slices.Contains(unheard, domain)) {
-			r.cfg.Log.Event("domain", "cut off", Fields{"domain": domain, "told_by": m.node.LeaderName(), "unheard": unheard})
-			r.moveRunsFrom(domain)
-			r.tryLater()
+	silent := m.node.Unheard(now)
+	cutOff, reported := r.updateCutOff(now, m.node.IsLeader(), m.node.CutOff(now))
+	m.node.SetCutOff(cutOff)
+	for _, domain := range cutOff {
+		if !slices.Contains(m.cutOffDomains, domain) && (slices.Contains(reported, domain) || slices.Contains(silent, domain)) {
+			r.cfg.Log.Event("domain", "cut off", Fields{"domain": domain, "told_by": m.node.LeaderName(), "unheard": silent})
+			r.closeRetriableRunsIn(domain)
+			r.wakeProbeLoop()
 		}
 	}
-	m.left = left
-	if len(unheard) > 0 && now-m.probedAt >= probeEvery {
-		m.probedAt = now
-		r.probe(ctx, unheard)
+	m.cutOffDomains = cutOff
+	if len(silent) > 0 && now-m.lastProbe >= domainProbeInterval {
+		m.lastProbe = now
+		r.probeDomains(ctx, silent)
 	}
 }
 
-// cutOff lists the domains that this box has left, after it has followed its lead where it does not lead itself, and those
-// that it was told of.
-func (r *Relay) cutOff(now time.Duration, leads bool, told []string) (left, followed []string) {
+// updateCutOff returns the domains that this box treats as cut off, and those that its leader
+// reported. A box that does not lead first adopts its leader's.
+func (r *Relay) updateCutOff(now time.Duration, isLeader bool, reported []string) (cutOff, adopted []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !leads {
-		r.fleet.FollowCutOff(now, told)
-		followed = told
+	if !isLeader {
+		r.fleet.FollowCutOff(now, reported)
+		adopted = reported
 	}
-	return r.fleet.CutOff(), followed
+	return r.fleet.CutOff(), adopted
 }
 
-// probe tries a few upstreams of each domain.
-func (r *Relay) probe(ctx context.Context, domains []string) {
+// probeDomains probes a few upstreams of each domain.
+func (r *Relay) probeDomains(ctx context.Context, domains []string) {
 	r.mu.Lock()
 	var list []balance.Upstream
 	for _, domain := range domains {
-		list = append(list, r.fleet.Sample(domain, probesAtOnce)...)
+		list = append(list, r.fleet.Sample(domain, domainProbeSize)...)
 	}
 	r.mu.Unlock()
 	for _, u := range list {
-		go r.probeOne(ctx, u)
+		go r.probeUpstream(ctx, u)
 	}
 }
 
-// probeOne tries an upstream, and notes whether it can be reached. One that refuses can be.
-func (r *Relay) probeOne(ctx context.Context, u balance.Upstream) {
+// probeUpstream tries to connect to an upstream and records whether it is reachable. An
+// upstream that refuses the connection is left as it is: its host is reachable.
+func (r *Relay) probeUpstream(ctx context.Context, u balance.Upstream) {
 	c, err := dial(ctx, u.Address)
 	if err == nil {
 		_ = c.Close()
@@ -86,18 +89,18 @@
 	r.mu.Unlock()
 	if err != nil {
 		r.stats.count("probes_failed")
-		r.logUnreached(u.ID)
-		r.tryLater()
+		r.logUnreachable(u.ID)
+		r.wakeProbeLoop()
 	}
 }
 
-// moveRunsFrom ends the runs on the upstreams of a domain that is cut off, where the request may run again: it goes
-// on elsewhere, instead of waiting until its connection is known to be dead.
-func (r *Relay) moveRunsFrom(domain string) {
+// closeRetriableRunsIn closes the connections of the runs in a domain that is cut off, where
+// the request may run again: it is retried elsewhere at once instead of after the TCP timeout.
+func (r *Relay) closeRetriableRunsIn(domain string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for x, c := range r.runs {
-		u := r.fleet.Get(c.life.ID)
+		u := r.fleet.Get(c.incarnation.ID)
 		if u != nil && u.Domain == domain && x.route.Again() {
 			_ = c.Close()
 		}
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -14,14 +14,15 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// newCutOffMember is a box's part of a group whose lead is heard, before upstreams of two domains of which none can be connected to.
+// newCutOffMember returns the membership of a box in a group with a leader; its fleet has
+// upstreams of two domains, none of which accepts connections.
 func newCutOffMember(t *testing.T, self string) *members {
 	t.Helper()
 	fleet := balance.NewFleet(balance.Config{Domain: "d0", Tuning: balance.DefaultTuning})
 	for i := range 12 {
 		fleet.Put(0, balance.Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Address: fmt.Sprintf("127.0.0.1:%d", i+1), Domain: fmt.Sprintf("d%d", i%2), Slots: 1})
 	}
-	r := &Relay{start: time.Now(), fleet: fleet, budgets: new(balance.Budgets), conns: newConns(nil), stats: newStats(), trials: make(chan struct{}, 1),
+	r := &Relay{start: time.Now(), fleet: fleet, budgets: new(balance.Budgets), conns: newConnPool(nil), stats: newStats(), probeWake: make(chan struct{}, 1),
 		cfg: Config{Log: NewLog(self, io.Discard), Decode: decode, Self: &wire.GroupBox{Name: self, Domain: "d0", Boot: 1}, Timing: group.DefaultTiming, Boxes: 1}}
 	m, err := newMembers(r)
 	if err != nil {
@@ -30,48 +31,51 @@
 	return m
 }
 
-// A zone with 125 boxes was cut off for six seconds. Each box had a request a second, and learned for each upstream, by a
-// wait of 350 ms, what its lead could have told it of all.
-func TestABoxFollowsItsLeadInLeavingADomain(t *testing.T) {
+// A domain was cut off for six seconds from a group of 125 boxes. Each box got one request per
+// second and found out about each upstream by its own connection timeout of 350 ms, although
+// its leader could have told it about all of them at once.
+func TestBoxAdoptsCutOffDomainsOfLeader(t *testing.T) {
 	is := is.New(t)
 	m := newCutOffMember(t, "box")
 	lead := &wire.GroupMessage{Sender: &wire.GroupBox{Name: "lead", Domain: "d0", Boot: 1, Strength: 9}, Leads: true, CutOff: []string{"d1"}}
 	m.node.Handle(m.relay.now(), lead)
-	m.shareCutOff(context.Background())
+	m.syncCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOff(), []string{"d1"})
 	is.Equal(len(m.relay.fleet.Unreached()), 6)
 	lead.CutOff = nil
 	m.node.Handle(m.relay.now(), lead)
-	m.shareCutOff(context.Background())
+	m.syncCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOff(), nil)
 	is.Equal(len(m.relay.fleet.Unreached()), 0)
 }
 
-// What a box has seen itself goes before what it is told: a connection that comes up takes the domain back.
-func TestAConnectionGoesBeforeWhatTheLeadTells(t *testing.T) {
+// A box's own observation takes precedence over its leader's: a successful connection restores
+// the domain.
+func TestConnectionOverridesLeader(t *testing.T) {
 	is := is.New(t)
 	m := newCutOffMember(t, "box")
 	lead := &wire.GroupMessage{Sender: &wire.GroupBox{Name: "lead", Domain: "d0", Boot: 1, Strength: 9}, Leads: true, CutOff: []string{"d1"}}
 	m.node.Handle(m.relay.now(), lead)
-	m.shareCutOff(context.Background())
+	m.syncCutOff(context.Background())
 	m.relay.fleet.ReachedLife(m.relay.now(), balance.Incarnation{ID: "u1"})
 	m.node.Handle(m.relay.now(), lead)
-	m.shareCutOff(context.Background())
+	m.syncCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOff(), nil)
 }
 
-// A lead that hears no box of a domain leaves it only where its upstreams cannot be connected to; those that refuse can.
-func TestSilenceOfBoxesAloneLeavesNoDomain(t *testing.T) {
+// A leader that hears from no box of a domain marks it as cut off only if its upstreams do not
+// respond to connection attempts; refused connections count as responses.
+func TestSilentBoxesAloneCutOffNoDomain(t *testing.T) {
 	is := is.New(t)
 	m := newCutOffMember(t, "lead")
 	for i := 1; i < 6; i += 2 {
 		u, _ := m.relay.fleet.Present(fmt.Sprintf("u%d", i))
-		m.relay.probeOne(context.Background(), u) // nobody listens there
+		m.relay.probeUpstream(context.Background(), u) // nothing listens there
 	}
 	is.Equal(m.relay.fleet.CutOff(), nil)
 	for i := 1; i < 6; i += 2 {
 		m.relay.fleet.UnreachedLife(m.relay.now(), balance.Incarnation{ID: fmt.Sprintf("u%d", i)})
 	}
-	m.shareCutOff(context.Background())
+	m.syncCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOff(), []string{"d1"})
 }
--- a/relay/dial.go
+++ b/relay/dial.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines how a connection to an upstream comes up, and how the kernel
-// watches it. The invariant: an upstream that goes silent is noticed within seconds,
-// whether bytes are under way to it or not.
+// This file defines how connections to upstreams are opened, and the socket options by which
+// the kernel monitors them. The invariant: an unresponsive upstream host is detected within
+// seconds, whether or not sent data is unacknowledged.
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 )
 
 func dial(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: balance.DialWait, KeepAliveConfig: keepAlive, Control: setOptions}
+	d := net.Dialer{Timeout: balance.DialWait, KeepAliveConfig: keepAlive, Control: setSocketOptions}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// noteWay tells the fleet how long a connection to an upstream took to come up.
-func (r *Relay) noteWay(upstream string, took time.Duration) {
+// recordConnectTime reports to the fleet how long it took to open a connection to an upstream.
+func (r *Relay) recordConnectTime(upstream string, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if u := r.fleet.Get(upstream); u != nil {
@@ -27,16 +27,16 @@
 	}
 }
 
-// keepAlive makes the kernel notice within 3 s that an upstream is gone without a
-// word.
+// keepAlive makes the kernel detect within 3 s that an upstream host has disappeared without
+// closing the connection.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// userTimeout is how long sent bytes may stay unacknowledged, in ms.
-const userTimeout = 1200
+// userTimeoutMillis is how long sent bytes may stay unacknowledged, in ms.
+const userTimeoutMillis = 1200
 
-// setOptions sets what a connection to an upstream has from its start on.
-func setOptions(_, _ string, raw syscall.RawConn) error {
-	setBuffers(raw, upstreamReceive, upstreamSend)
+// setSocketOptions sets the options of a connection to an upstream before it connects.
+func setSocketOptions(_, _ string, raw syscall.RawConn) error {
+	setBuffers(raw, upstreamReceiveBuffer, upstreamSendBuffer)
 	return setUserTimeout(raw)
 }
 
@@ -44,7 +44,7 @@
 	const tcpUserTimeout = 18 // TCP_USER_TIMEOUT of tcp(7)
 	var set error
 	err := raw.Control(func(fd uintptr) {
-		set = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, userTimeout)
+		set = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, userTimeoutMillis)
 	})
 	if err != nil {
 		return err
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -9,8 +9,8 @@
 //   - a request from its arrival (arrival.go, starting.go) to its end (exchange.go), from one upstream to the
 //     next (runs.go), one run (attempt.go, outgoing.go) and what became of it (outcome.go)
 //   - answers: answer.go, body.go, events.go, stream.go, pace.go; one that goes on elsewhere: move.go
-//   - upstreams: conns.go, dial.go, trial.go, silence.go, lives.go, limit.go, withhold.go, content.go
-//   - what the box believes: belief.go, news.go, reader.go
+//   - upstreams: conns.go, dial.go, probe.go, silence.go, incarnation.go, limit.go, withhold.go, content.go
+//   - what the box believes: published.go, update.go, reader.go
 //   - its part of the group: members.go, peers.go, pull.go, sync.go, traffic.go
 //   - memory: memory.go, buffers.go
 //   - what it tells: log.go, stats.go, state.go
--- a/relay/evacuate_test.go
+++ b/relay/evacuate_test.go
@@ -10,13 +10,13 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// listIn lists an upstream in a failure domain of its own choice.
-func (b *bench) listIn(s *stub, domain string) {
+// listInDomain publishes an upstream in a failure domain.
+func (b *bench) listInDomain(s *stub, domain string) {
 	b.board.set(s.id, balance.Upstream{ID: s.id, Service: "s", Address: s.listener.Addr().String(), Domain: domain, Slots: 8}, false)
 }
 
-// evacuated waits until the box goes by what is published.
-func (b *bench) evacuated(domains ...string) {
+// awaitEvacuated waits until exactly these domains are evacuated on the box.
+func (b *bench) awaitEvacuated(domains ...string) {
 	b.t.Helper()
 	b.until(func() bool {
 		b.relay.mu.Lock()
@@ -25,14 +25,14 @@
 	})
 }
 
-func TestNothingGoesToADomainThatIsEvacuated(t *testing.T) {
+func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	u1, u2 := newStub(t, "u1", answerOK("1")), newStub(t, "u2", answerOK("2"))
 	b := newBench(t, u1, u2)
-	b.listIn(u1, "d1")
-	b.listIn(u2, "d2")
+	b.listInDomain(u1, "d1")
+	b.listInDomain(u2, "d2")
 	b.board.set("evacuate/d1", "", false)
-	b.evacuated("d1")
+	b.awaitEvacuated("d1")
 	for i := range 20 {
 		is.Equal(b.do(b.request("GET", fmt.Sprintf("/safe/%d", i), "")).body, "2")
 	}
@@ -40,22 +40,21 @@
 	is.True(b.log.contains("domain: evacuated"))
 
 	b.board.set("evacuate/d2", "", false)
-	b.evacuated("d1", "d2")
-	a := b.do(b.request("POST", "/once/x", "")) // nobody is left: refused, and not run
+	b.awaitEvacuated("d1", "d2")
+	a := b.do(b.request("POST", "/once/x", "")) // no upstream is left: refused, and not run
 	is.Equal(a.status, 503)
 	is.True(a.header.Get("Retry-After") != "")
 	is.Equal(len(u1.requests()), 0)
 	is.Equal(len(u2.requests()), 20)
 
 	b.board.set("evacuate/d1", "", true)
-	b.evacuated("d2")
+	b.awaitEvacuated("d2")
 	is.Equal(b.do(b.request("POST", "/once/y", "")).body, "1")
-	is.True(b.log.contains("domain: taken back"))
+	is.True(b.log.contains("domain: restored"))
 }
 
-// What runs in a domain when it is evacuated may end there, but a stream that breaks goes on
-// elsewhere.
-func TestAStreamThatBreaksInAnEvacuatedDomainGoesOnElsewhere(t *testing.T) {
+// A run in an evacuated domain may finish there, but a stream that breaks continues elsewhere.
+func TestBrokenStreamLeavesEvacuatedDomain(t *testing.T) {
 	is := is.New(t)
 	broken := make(chan struct{})
 	breaks := func(c net.Conn, r stubRequest) bool {
@@ -75,14 +74,14 @@
 	}
 	u1, u2, u3 := newStub(t, "u1", breaks), newStub(t, "u2", breaks), newStub(t, "u3", goesOn)
 	b := newBench(t, u1, u2)
-	b.listIn(u1, "d1")
-	b.listIn(u2, "d1")
+	b.listInDomain(u1, "d1")
+	b.listInDomain(u2, "d1")
 	done := make(chan answered, 1)
 	go func() { done <- b.do(b.request("POST", "/flow/x", "")) }()
 	b.until(func() bool { return len(u1.requests())+len(u2.requests()) == 1 })
-	b.listIn(u3, "d3")
+	b.listInDomain(u3, "d3")
 	b.board.set("evacuate/d1", "", false)
-	b.evacuated("d1")
+	b.awaitEvacuated("d1")
 	b.until(func() bool { return b.known() == 3 })
 	close(broken)
 	is.Equal((<-done).body, event(1)+event(2))
@@ -90,9 +89,9 @@
 	is.Equal(len(u3.requests()), 1)
 }
 
-// An upstream that says that it is another start than the one meant is left at once: on a route
-// that allows one run, the second request already goes elsewhere.
-func TestAnUpstreamThatWasReplacedIsLeftAtTheFirstWord(t *testing.T) {
+// An upstream that identifies itself as another instance than the intended one gets no more
+// requests. On a route that allows one run, the second request already goes elsewhere.
+func TestReplacedUpstreamGetsNoMoreRequests(t *testing.T) {
 	is := is.New(t)
 	replaced := newStub(t, "u1", func(c net.Conn, r stubRequest) bool {
 		say(c, fmt.Sprintf("HTTP/1.1 421 No\nX-Id: %s\nX-Started: u9\nX-Not-Run: 1\nContent-Length: 0\n\n", r.Header.Get("X-Id")))
@@ -100,7 +99,7 @@
 	})
 	b := newBench(t, replaced)
 	a := b.do(b.request("POST", "/brief/x", ""))
-	is.Equal(a.status, 503) // its only run; it has not run
+	is.Equal(a.status, 503) // its only run was refused
 	b.list(newStub(t, "u2", answerOK("2")), false)
 	b.until(func() bool { return b.known() == 2 })
 	for i := range 20 {
@@ -108,13 +107,13 @@
 	}
 	is.Equal(len(replaced.requests()), 1)
 
-	b.list(newStub(t, "u9", answerOK("9")), false) // what took its place is listed
+	b.list(newStub(t, "u9", answerOK("9")), false) // the instance that took its place is listed
 	b.until(func() bool { return b.known() == 3 })
 }
 
-// A refusal with the same status that names no other start, as for another version of the
-// weights, says nothing about the upstream.
-func TestAnUpstreamThatRefusesAVersionIsNotLeft(t *testing.T) {
+// A refusal with the same status that names no other instance, as for another version of the
+// weights, does not affect the upstream.
+func TestVersionRefusalKeepsUpstream(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", refuseRun(421))
 	b := newBench(t, u)
@@ -124,23 +123,23 @@
 	is.True(!b.relay.fleet.Get("u1").Leaving)
 }
 
-func TestWhatAColdUpstreamMayBeSent(t *testing.T) {
+func TestColdBounds(t *testing.T) {
 	for _, c := range []struct {
 		bounds    ColdBounds
 		perSecond float64
 		want      int
 	}{
 		{ColdBounds{Overshoot: 1.5, Slack: 5}, 5.2, 12},
-		{ColdBounds{Overshoot: 1.5, Slack: 5}, 0, 0}, // the service states no bound
-		{ColdBounds{}, 5.2, 0},                       // there is none
+		{ColdBounds{Overshoot: 1.5, Slack: 5}, 0, 0}, // the service configures no limit
+		{ColdBounds{}, 5.2, 0},                       // unbounded
 	} {
 		is.New(t).Equal(c.bounds.most(c.perSecond), c.want)
 	}
 }
 
-// A box that says it is ready takes new connections, whatever it is busy with: here streams that
-// hang, at upstreams of which none may be sent anything more.
-func TestABoxThatIsReadyTakesNewConnections(t *testing.T) {
+// A box that reports ready accepts new connections, whatever else it is doing: here it holds
+// hanging streams, and no upstream may be sent anything more.
+func TestReadyBoxAcceptsConnections(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{})
 	hangs := func(c net.Conn, r stubRequest) bool {
@@ -151,7 +150,7 @@
 	}
 	u := newStub(t, "u1", hangs)
 	b := newBench(t, u)
-	b.listIn(u, "d1")
+	b.listInDomain(u, "d1")
 	const streams, callers = 40, 7
 	done := make(chan answered, streams)
 	for i := range streams {
@@ -159,9 +158,9 @@
 	}
 	b.until(func() bool { return len(u.requests()) == streams })
 	b.board.set("evacuate/d1", "", false)
-	b.evacuated("d1")
+	b.awaitEvacuated("d1")
 	is.True(b.relay.Ready())
-	for i := range callers { // each on a connection of its own
+	for i := range callers { // each on a new connection
 		is.Equal(b.do(b.request("POST", fmt.Sprintf("/once/%d", i), "")).status, 503)
 	}
 	close(ended)
--- a/relay/events.go
+++ b/relay/events.go
@@ -76,7 +76,7 @@
 
 // charge charges a buffer of a size, where it is larger than any before.
 func (e *events) charge(size int64) error {
-	if e.keep == nil || size <= max(e.kept, freeAnswer) {
+	if e.keep == nil || size <= max(e.kept, freeAnswerBytes) {
 		return nil
 	}
 	n := size - e.kept
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -41,7 +41,7 @@
 	unsent        int                   // upstreams that could not be reached
 	paid          bool                  // its next run has been taken from the retry budget
 	mayHave       bool                  // a run may have happened
-	cutOff        int                   // runs under which the upstream closed or reset the connection
+	disconnects   int                   // runs under which the upstream closed or reset the connection
 	refusalStatus int                   // status of the last refusal by an upstream
 	instead       string                // id of the upstream that gave it, where that is not the one meant
 	ticket        *balance.Ticket
@@ -61,10 +61,10 @@
 	moved    bool      // it has gone on elsewhere
 	lookedAt time.Time // when it was last looked at whether it should
 
-	waits  atomic.Pointer[wait] // for the upstream's next bytes; nil: it waits for none
-	silent atomic.Bool          // its connection was ended as a silent one
-	begun  atomic.Bool          // events of it have come
-	held   atomic.Bool          // its run was ended since it is withheld
+	wait     atomic.Pointer[upstreamWait] // for the upstream's next bytes; nil: it waits for none
+	silent   atomic.Bool                  // its connection was ended as a silent one
+	begun    atomic.Bool                  // events of it have come
+	withheld atomic.Bool                  // its run was ended since it is withheld
 
 	answer  *answer       // of the last run that brought one
 	failure *wholeFailure // the last one of an upstream
@@ -78,7 +78,7 @@
 // serve runs the request and answers the caller.
 func (x *exchange) serve(ctx *fasthttp.RequestCtx) {
 	r := x.relay
-	r.stats.open.Add(1)
+	r.stats.openRequests.Add(1)
 	r.mu.Lock()
 	r.budgets.Of(x.service).Take(r.now())
 	r.mu.Unlock()
@@ -135,7 +135,7 @@
 	x.settle(balance.Neutral)
 	x.watch.stop()
 	x.cancel()
-	r.stats.open.Add(-1)
+	r.stats.openRequests.Add(-1)
 	r.stats.count("requests_" + x.outcome)
 	r.stats.latency("first_ms_"+x.route.Name, x.first)
 	r.cfg.Log.Event("request", x.outcome, x.fields())
@@ -145,7 +145,7 @@
 func (x *exchange) fields() Fields {
 	f := Fields{"id": x.request.id, "route": x.route.Name, "upstream": x.upstream.ID, "runs": x.sent, "unreachable": x.unsent,
 		"left_ms": x.left().Milliseconds(), "urgency": x.urgency, "first_ms": x.first.Milliseconds(), "total_ms": time.Since(x.arrived).Milliseconds(),
-		"version": x.doc.Version, "age_ms": x.relay.age().Milliseconds(), "kept": x.kept, "fetched": x.fetched, "come_back_ms": x.comeBack.Milliseconds(),
+		"version": x.doc.Version, "age_ms": x.relay.publishedAge().Milliseconds(), "kept": x.kept, "fetched": x.fetched, "come_back_ms": x.comeBack.Milliseconds(),
 		"ahead": x.ahead, "loads_age_ms": x.relay.members.loadsAge().Milliseconds()}
 	if x.route.Target > 0 {
 		f["target_ms"] = x.route.Target.Milliseconds()
@@ -166,8 +166,8 @@
 	if x.customer != nil {
 		f["customer"] = x.customer.Name
 	}
-	if x.cutOff > 0 {
-		f["cut_off"], f["content"] = x.cutOff, contentName(x.contentOf())
+	if x.disconnects > 0 {
+		f["cut_off"], f["content"] = x.disconnects, formatContentHash(x.contentHash())
 	}
 	if x.answer != nil {
 		f["status"] = x.answer.header.StatusCode()
--- a/relay/front.go
+++ b/relay/front.go
@@ -40,7 +40,7 @@
 		ErrorHandler:                  f.malformed,
 		ExpectHandler:                 f.expected,
 		ReadBufferSize:                headerBytes,
-		WriteBufferSize:               readBuffer,
+		WriteBufferSize:               readBufferSize,
 		MaxRequestBodySize:            bodyBytes,
 		ReadTimeout:                   readWait,
 		IdleTimeout:                   idleWait,
@@ -66,7 +66,7 @@
 func (silent) Printf(string, ...any) {}
 
 func (f *front) serve(l net.Listener) {
-	boundCallers(l)
+	setCallerBuffers(l)
 	_ = f.server.Serve(callers{l, f.relay})
 }
 
@@ -101,12 +101,12 @@
 func (f *front) turnAway(ctx *fasthttp.RequestCtx, c *caller) {
 	f.relay.turnedAway(c.request, "request")
 	ctx.SetConnectionClose()
-	f.relay.answerSelf(ctx, &request{id: c.request}, refusal{fasthttp.StatusServiceUnavailable, shortReason, comeBackUsual})
+	f.relay.answerSelf(ctx, &request{id: c.request}, refusal{fasthttp.StatusServiceUnavailable, memoryShortReason, comeBackUsual})
 }
 
 // malformed answers what could not be read as a request.
 func (f *front) malformed(ctx *fasthttp.RequestCtx, err error) {
-	if c := callerOf(ctx); c != nil && errors.Is(c.broken, errShort) {
+	if c := callerOf(ctx); c != nil && errors.Is(c.broken, errMemoryShort) {
 		f.turnAway(ctx, c)
 		return
 	}
--- a/relay/header_test.go
+++ b/relay/header_test.go
@@ -12,7 +12,7 @@
 func TestCallersCannotSetWhatOnlyABoxMay(t *testing.T) {
 	u := newStub(t, "u1", answerOK("ok"))
 	b := newBench(t, u)
-	for _, name := range testProtocol.own() {
+	for _, name := range testProtocol.neverForwarded() {
 		for _, c := range []struct {
 			name   string
 			header []string
@@ -58,7 +58,7 @@
 func TestWhatDescribesARequestAlwaysGoesOn(t *testing.T) {
 	u := newStub(t, "u1", answerOK("ok"))
 	b := newBench(t, u)
-	for _, name := range testProtocol.vital() {
+	for _, name := range testProtocol.alwaysForwarded() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := b.request("POST", "/open/x", "body", "Connection", name)
--- a/relay/lives_test.go
+++ b/relay/incarnation_test.go
@@ -17,13 +17,14 @@
 	"github.com/doormast/doormast/route"
 )
 
-// listBorn lists an upstream in a life.
-func (b *bench) listBorn(s *stub, born int64, leaving bool) {
-	b.board.set(s.id, balance.Upstream{ID: s.id, StartedAt: born, Service: "s", Address: s.listener.Addr().String(), Domain: "d", Slots: 8, Leaving: leaving}, false)
+// listIncarnation publishes an incarnation of an upstream.
+func (b *bench) listIncarnation(s *stub, start int64, leaving bool) {
+	b.board.set(s.id, balance.Upstream{ID: s.id, StartedAt: start, Service: "s", Address: s.listener.Addr().String(), Domain: "d", Slots: 8, Leaving: leaving}, false)
 }
 
-// bornOf is the life that the relay has an upstream listed in; -1 where it is not listed.
-func (b *bench) bornOf(id string) int64 {
+// listedStart is the start time of the listed incarnation of an upstream; -1 if it is not
+// listed.
+func (b *bench) listedStart(id string) int64 {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	if u := b.relay.fleet.Get(id); u != nil {
@@ -32,15 +33,15 @@
 	return -1
 }
 
-// await waits until an upstream is listed in a life.
-func (b *bench) await(id string, born int64) {
+// awaitIncarnation waits until an upstream is listed in an incarnation.
+func (b *bench) awaitIncarnation(id string, start int64) {
 	b.t.Helper()
-	b.until(func() bool { return b.bornOf(id) == born })
+	b.until(func() bool { return b.listedStart(id) == start })
 }
 
-// again is another life of a stub, at the same address. Connections to the one before stay open
-// and silent, as those of a machine that lost its power.
-func (s *stub) again(t *testing.T, script func(net.Conn, stubRequest) bool) *stub {
+// restart starts a new incarnation of a stub at the same address. Connections to the previous
+// one stay open and silent, as after a power loss.
+func (s *stub) restart(t *testing.T, script func(net.Conn, stubRequest) bool) *stub {
 	t.Helper()
 	address := s.listener.Addr().String()
 	if err := s.listener.Close(); err != nil {
@@ -64,10 +65,11 @@
 	return next
 }
 
-// An upstream starts again under its id and address amid streams, and its connections say nothing
-// of that: streams that may be resumed go on at once at its new life, though no other upstream is
-// there; a request that may run once keeps its connection, in case its answer still comes.
-func TestAnUpstreamStartsAgainAmidStreams(t *testing.T) {
+// An upstream restarts under the same ID and address during streams, and its old connections
+// stay open and silent. Resumable streams continue at once on the new incarnation, though there
+// is no other upstream; a request that may run only once keeps its connection, in case its
+// answer still arrives.
+func TestRestartDuringStreams(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{})
 	first := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
@@ -81,8 +83,8 @@
 		return false
 	})
 	b := newBench(t, first)
-	b.listBorn(first, 100, false)
-	b.await("u", 100)
+	b.listIncarnation(first, 100, false)
+	b.awaitIncarnation("u", 100)
 	const streams = 5
 	flows, once, fixed := make(chan answered, streams), make(chan answered, 1), make(chan answered, 1)
 	for i := range streams {
@@ -92,7 +94,7 @@
 	go func() { fixed <- b.do(b.request("POST", "/fixed/x", "")) }()
 	b.until(func() bool { return len(first.requests()) == streams+2 })
 
-	next := first.again(t, func(c net.Conn, r stubRequest) bool {
+	next := first.restart(t, func(c net.Conn, r stubRequest) bool {
 		startStream(c, r)
 		for id := 1; id <= 2; id++ {
 			if fmt.Sprint(id) != r.Header.Get("X-Last") {
@@ -102,87 +104,87 @@
 		chunk(c, "")
 		return true
 	})
-	b.listBorn(next, time.Now().UnixMilli()+1, false)
+	b.listIncarnation(next, time.Now().UnixMilli()+1, false)
 	for range streams {
 		a := <-flows
 		is.NoErr(a.err)
 		is.Equal(a.body, event(1)+event(2))
 	}
 	is.True(b.log.contains("upstream: started again"))
-	is.True(b.log.contains("use of closed network connection")) // as operators are told
+	is.True(b.log.contains("use of closed network connection")) // the cause that is logged
 	is.Equal(len(next.requests()), streams)
 	close(answer)
 	is.Equal((<-once).body, "late")
-	is.True((<-fixed).err != nil) // it broke off in its own life, and may not run again
+	is.True((<-fixed).err != nil) // it broke off in its own incarnation, and may not run again
 	is.Equal(len(next.requests()), streams)
 }
 
-// What an upstream's entry says, in turn, and whether it gets requests then.
-func TestAnUpstreamThatDrainedComesBack(t *testing.T) {
+// An upstream that was leaving gets requests again only after an entry of a newer incarnation.
+func TestDrainedUpstreamComesBack(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerOK("u"))
 	b := newBench(t, u)
 	gets := func() bool { return b.do(b.request("GET", "/safe/x", "")).status == 200 }
-	b.listBorn(u, 100, true)
-	b.await("u", 100)
+	b.listIncarnation(u, 100, true)
+	b.awaitIncarnation("u", 100)
 	is.True(!gets())
-	b.listBorn(u, 100, false) // an entry that came late: one that is leaving stays so
+	b.listIncarnation(u, 100, false) // a late entry: an incarnation that is leaving stays so
 	b.board.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 1}, false)
-	b.await("mark", 1)
+	b.awaitIncarnation("mark", 1)
 	is.True(!gets())
-	b.listBorn(u, 200, false)
-	b.await("u", 200)
+	b.listIncarnation(u, 200, false)
+	b.awaitIncarnation("u", 200)
 	is.True(gets())
-	b.listBorn(u, 100, true) // of the earlier life, whatever its revision
+	b.listIncarnation(u, 100, true) // of the earlier incarnation, whatever its revision
 	b.board.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 2}, false)
-	b.await("mark", 2)
-	is.Equal(b.bornOf("u"), int64(200))
+	b.awaitIncarnation("mark", 2)
+	is.Equal(b.listedStart("u"), int64(200))
 	is.True(gets())
 }
 
-// A connection that rests is not used for another life, though it is open.
-func TestNoConnectionOfAnEarlierLifeIsUsed(t *testing.T) {
+// An idle connection is not used for another incarnation, though it is still open.
+func TestIdleConnectionOfEarlierIncarnationIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	first := newStub(t, "u", answerOK("first"))
 	b := newBench(t, first)
-	b.listBorn(first, 100, false)
-	b.await("u", 100)
+	b.listIncarnation(first, 100, false)
+	b.awaitIncarnation("u", 100)
 	is.Equal(b.do(b.request("GET", "/safe/a", "")).body, "first")
-	next := first.again(t, answerOK("next"))
-	b.listBorn(next, 200, false)
-	b.await("u", 200)
+	next := first.restart(t, answerOK("next"))
+	b.listIncarnation(next, 200, false)
+	b.awaitIncarnation("u", 200)
 	is.Equal(b.do(b.request("POST", "/once/b", "")).body, "next")
 	<-first.ended // the box has closed it
 }
 
-// A connection that is given back after its life was over is not kept.
-func TestAConnectionIsNotKeptBeyondItsLife(t *testing.T) {
+// A connection that is returned after its incarnation has ended is closed.
+func TestConnectionOfEndedIncarnationIsNotKept(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerOK("ok"))
-	p := newConns(func(string) int { return 9 })
-	life := balance.Upstream{ID: "u", StartedAt: 100, Address: u.listener.Addr().String()}
-	c, err := p.get(context.Background(), life, "s")
+	p := newConnPool(func(string) int { return 9 })
+	upstream := balance.Upstream{ID: "u", StartedAt: 100, Address: u.listener.Addr().String()}
+	c, err := p.get(context.Background(), upstream, "s")
 	is.NoErr(err)
-	p.end(life.Incarnation())
-	p.keep(c, time.Minute)
+	p.endIncarnation(upstream.Incarnation())
+	p.putIdle(c, time.Minute)
 	is.Equal(len(p.idle["u"]), 0)
 	is.Equal(p.open["u"], 0)
-	life.StartedAt = 200
-	c, err = p.get(context.Background(), life, "s")
+	upstream.StartedAt = 200
+	c, err = p.get(context.Background(), upstream, "s")
 	is.NoErr(err)
-	p.keep(c, time.Minute)
+	p.putIdle(c, time.Minute)
 	is.Equal(len(p.idle["u"]), 1)
-	life.StartedAt = 300 // one that was kept is not handed out for another life either
-	other, err := p.get(context.Background(), life, "s")
+	upstream.StartedAt = 300 // nor is an idle connection reused for another incarnation
+	other, err := p.get(context.Background(), upstream, "s")
 	is.NoErr(err)
 	is.True(other != c)
 	is.Equal(p.open["u"], 1)
-	p.drop(other)
+	p.discard(other)
 }
 
-// An entry that names no upstream to use: the one that was sound at its key is used no more, all
-// others are; the log names it once, with its key.
-func TestAnEntryOfAnotherWriter(t *testing.T) {
+// An invalid entry under an upstream's key removes that upstream and no other; the log names
+// the key once.
+func TestInvalidEntryRemovesItsUpstream(t *testing.T) {
 	is := is.New(t)
 	u1, u2 := newStub(t, "u1", answerOK("1")), newStub(t, "u2", answerOK("2"))
 	b := newBench(t, u1, u2)
@@ -193,78 +195,80 @@
 	for i := range 10 {
 		is.Equal(b.do(b.request("GET", fmt.Sprintf("/safe/%d", i), "")).body, "2")
 	}
-	b.list(u1, false) // its writer writes it again
+	b.list(u1, false) // the upstream publishes its entry again
 	b.until(func() bool { return b.known() == 2 })
 	b.list(u2, true)
 	b.until(func() bool { return b.do(b.request("GET", "/safe/x", "")).body == "1" })
 	is.True(b.log.contains("entry unusable"))
-	b.until(func() bool { return b.log.contains("published: not taken") })
-	is.Equal(b.log.count("published: not taken"), 1)
+	b.until(func() bool { return b.log.contains("published: item rejected") })
+	is.Equal(b.log.count("published: item rejected"), 1)
 }
 
-// count is how often a text was written.
+// count is the number of occurrences of a text.
 func (l *lockedText) count(s string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), s)
 }
 
-// wrongField is an error that names the field that is wrong.
-type wrongField struct{ error }
+// badFieldError is an error that names the invalid field.
+type badFieldError struct{ error }
 
-func (wrongField) BadField() string { return "slots" }
+func (badFieldError) BadField() string { return "slots" }
 
-func TestWhatIsNotTakenIsNamedOnceForEachContent(t *testing.T) {
+func TestRejectedItemIsLoggedOncePerContent(t *testing.T) {
 	is := is.New(t)
 	var text lockedText
 	log := NewLog("box", &text)
-	m := &members{relay: &Relay{cfg: Config{Log: log}, stats: newStats()}, refused: make(map[string]uint64)}
-	err := wrongField{errors.New("no")}
+	m := &members{relay: &Relay{cfg: Config{Log: log}, stats: newStats()}, rejected: make(map[string]uint64)}
+	err := badFieldError{errors.New("no")}
 	for _, it := range []mirror.Item{{Key: "a", Value: []byte("1")}, {Key: "a", Value: []byte("1"), Revision: 2}, {Key: "b", Value: []byte("1")}, {Key: "a", Value: []byte("2")}} {
-		m.logRefused(it, err)
+		m.logRejected(it, err)
 	}
 	is.NoErr(log.Close())
-	is.Equal(text.count("published: not taken"), 3)
+	is.Equal(text.count("published: item rejected"), 3)
 	is.Equal(text.count(`"field":"slots"`), 3)
-	for i := range maxRefused + 5 {
-		m.refused[fmt.Sprint(i)] = 1
+	for i := range maxRejected + 5 {
+		m.rejected[fmt.Sprint(i)] = 1
 	}
-	m.logRefused(mirror.Item{Key: "c"}, err)
-	is.True(len(m.refused) <= maxRefused)
+	m.logRejected(mirror.Item{Key: "c"}, err)
+	is.True(len(m.rejected) <= maxRejected)
 }
 
-// The entry of a life went while entries may come back, and a new life's came: that stays.
-func TestANewLifeIsNotDroppedWithTheOneThatIsMissing(t *testing.T) {
+// An entry was removed while entries may come back, and that of a newer incarnation arrived:
+// the upstream stays listed.
+func TestNewIncarnationIsNotDroppedWithMissingOne(t *testing.T) {
 	is := is.New(t)
-	r := &Relay{start: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConns(nil), stats: newStats()}
+	r := &Relay{start: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConnPool(nil), stats: newStats()}
 	missing := make(map[string]time.Duration)
 	u := upstreamOf("u")
 	u.StartedAt = 100
-	r.takeNews(Update{Upstream: u}, 0, missing)
-	r.takeNews(Update{Removed: "u"}, r.now()+time.Hour, missing)
+	r.applyUpdate(Update{Upstream: u}, 0, missing)
+	r.applyUpdate(Update{Removed: "u"}, r.now()+time.Hour, missing)
 	later := *u
 	later.StartedAt = 200
-	r.takeNews(Update{Upstream: &later}, 0, missing)
+	r.applyUpdate(Update{Upstream: &later}, 0, missing)
 	is.Equal(len(missing), 0)
 	is.Equal(r.fleet.Get("u").StartedAt, int64(200))
-	r.takeNews(Update{Upstream: u}, 0, missing)
+	r.applyUpdate(Update{Upstream: u}, 0, missing)
 	is.Equal(r.fleet.Get("u").StartedAt, int64(200))
-	r.takeNews(Update{Invalid: "u"}, r.now()+time.Hour, missing)
+	r.applyUpdate(Update{Invalid: "u"}, r.now()+time.Hour, missing)
 	is.Equal(r.fleet.Get("u"), nil)
 	is.NoErr(r.cfg.Log.Close())
 }
 
-// A copy that lies where another life has begun is not used, and freed at its source.
-func TestACopyAtAnEarlierLifeIsNotUsed(t *testing.T) {
+// A copy is not used if another incarnation has started where it was made, and is freed at its
+// source.
+func TestCopyOfEarlierIncarnationIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	var m *movingBench
 	m = newMovingBench(t, func(c net.Conn, stop func()) {
-		m.listBorn(m.fast, 200, false)
-		m.await("fast", 200)
+		m.listIncarnation(m.fast, 200, false)
+		m.awaitIncarnation("fast", 200)
 		stop()
 		reply(c, 200, "h7")
 	})
-	is.Equal((<-m.stream("/flow/x")).body, wholeStream()) // resumed there, and read anew
+	is.Equal((<-m.stream("/flow/x")).body, wholeStream()) // resumed there, without the copy
 	at := m.fast.requests()
 	is.Equal(len(at), 1)
 	is.Equal(at[0].Header.Get("X-Memory"), "")
@@ -275,8 +279,9 @@
 	})
 }
 
-// One that answers that it is another has the address, if its entry was passed over for it.
-func TestAnUpstreamSaysItselfWhoHasItsAddress(t *testing.T) {
+// An upstream whose entry was ignored in favor of another one with the same address identifies
+// itself in its refusal, and is listed again.
+func TestMisdirectedRefusalRestoresUpstream(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "true", func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Instance") != "true" {
@@ -286,46 +291,47 @@
 		return answerOK("ok")(c, r)
 	})
 	b := newBench(t, u)
-	b.listBorn(u, 100, false)
-	b.await("true", 100)
+	b.listIncarnation(u, 100, false)
+	b.awaitIncarnation("true", 100)
 	b.board.set("false", balance.Upstream{ID: "false", StartedAt: 900, Service: "s", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
-	b.await("false", 900)
-	is.Equal(b.bornOf("true"), int64(-1))
-	is.Equal(b.do(b.request("GET", "/safe/x", "")).body, "ok") // one refusal, and the second run is answered
-	is.Equal(b.bornOf("true"), int64(100))
-	is.True(b.log.contains("upstream: is another"))
+	b.awaitIncarnation("false", 900)
+	is.Equal(b.listedStart("true"), int64(-1))
+	is.Equal(b.do(b.request("GET", "/safe/x", "")).body, "ok") // one refusal, then the second run is answered
+	is.Equal(b.listedStart("true"), int64(100))
+	is.True(b.log.contains("upstream: identified itself as another"))
 }
 
-// An entry of a service that no document names takes no address, until one does.
-func TestAnEntryOfAServiceThatNobodyNames(t *testing.T) {
+// An entry of a service that the document does not name takes over no address until the
+// document names it.
+func TestEntryOfUnnamedService(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerOK("ok"))
 	b := newBench(t, u)
-	b.listBorn(u, 100, false)
-	b.await("u", 100)
+	b.listIncarnation(u, 100, false)
+	b.awaitIncarnation("u", 100)
 	b.board.set("x", balance.Upstream{ID: "x", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
-	b.await("x", 900)
-	is.Equal(b.bornOf("u"), int64(100))
+	b.awaitIncarnation("x", 900)
+	is.Equal(b.listedStart("u"), int64(100))
 	is.Equal(b.do(b.request("POST", "/once/x", "")).body, "ok")
 	b.board.set("u", balance.Upstream{ID: "u", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
-	b.await("u", 900) // and at a sound one's key it does no more harm than that this one is not used
+	b.awaitIncarnation("u", 900) // under the key of a sound upstream, its only effect is that this one is not used
 	is.Equal(b.do(b.request("POST", "/once/x", "")).status, 503)
-	b.listBorn(u, 100, false)
-	b.await("u", 100)
+	b.listIncarnation(u, 100, false)
+	b.awaitIncarnation("u", 100)
 	is.Equal(b.do(b.request("POST", "/once/x", "")).body, "ok")
-	is.Equal(b.log.count("started again"), 1) // when it first named its start
+	is.Equal(b.log.count("started again"), 1) // when its start time was first published
 	b.relay.conns.mu.Lock()
-	is.Equal(len(b.relay.conns.over), 0)
+	is.Equal(len(b.relay.conns.endedStart), 0)
 	b.relay.conns.mu.Unlock()
 
 	document := testDocument(2)
 	document.Services = append(document.Services, route.Service{Name: "x"})
 	b.board.set("document", document, false)
-	b.await("u", -1) // the later start has the address now
-	is.Equal(b.bornOf("x"), int64(900))
+	b.awaitIncarnation("u", -1) // the later incarnation has the address now
+	is.Equal(b.listedStart("x"), int64(900))
 }
 
-// twoEvents makes a stream of two events, the second when it may go on.
+// twoEvents answers with a stream of two events, and sends the second once goOn allows it.
 func twoEvents(goOn <-chan struct{}) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
 		startStream(c, r)
@@ -337,19 +343,20 @@
 	}
 }
 
-// A box that hears late of a new life has connections to it already: what runs there goes on.
-func TestABoxThatHearsLateEndsNothing(t *testing.T) {
+// A box that learns late of a new incarnation has connections to it already: their runs
+// continue.
+func TestLateUpdateEndsNoRuns(t *testing.T) {
 	is := is.New(t)
 	goOn := make(chan struct{})
 	u := newStub(t, "u", twoEvents(goOn))
 	b := newBench(t, u)
-	b.listBorn(u, 100, false)
-	b.await("u", 100)
+	b.listIncarnation(u, 100, false)
+	b.awaitIncarnation("u", 100)
 	done := make(chan answered, 1)
 	go func() { done <- b.do(b.request("POST", "/flow/x", "")) }()
 	b.until(func() bool { return len(u.requests()) == 1 })
-	b.listBorn(u, 200, false) // it began long before the connection was opened
-	b.await("u", 200)
+	b.listIncarnation(u, 200, false) // it started long before the connection was opened
+	b.awaitIncarnation("u", 200)
 	b.until(func() bool { return b.log.contains(`"born":200`) })
 	close(goOn)
 	a := <-done
@@ -358,8 +365,9 @@
 	is.Equal(len(u.requests()), 1)
 }
 
-// An earlier life at another address may still serve; where nobody listens, its runs end.
-func TestRunsAtTheAddressBefore(t *testing.T) {
+// An earlier incarnation at another address may still finish its runs; if nothing listens
+// there, they are ended.
+func TestRunsAtEarlierAddress(t *testing.T) {
 	for _, listens := range []bool{true, false} {
 		t.Run(fmt.Sprint("listens ", listens), func(t *testing.T) {
 			is := is.New(t)
@@ -372,8 +380,8 @@
 				return true
 			})
 			b := newBench(t, first)
-			b.listBorn(first, 100, false)
-			b.await("u", 100)
+			b.listIncarnation(first, 100, false)
+			b.awaitIncarnation("u", 100)
 			done := make(chan answered, 1)
 			go func() { done <- b.do(b.request("POST", "/flow/x", "")) }()
 			b.until(func() bool { return len(first.requests()) == 1 })
@@ -381,10 +389,10 @@
 				is.NoErr(first.listener.Close())
 			}
 			born := time.Now().UnixMilli() + 1
-			b.listBorn(next, born, false)
-			b.await("u", born)
+			b.listIncarnation(next, born, false)
+			b.awaitIncarnation("u", born)
 			if listens {
-				is.Equal(b.do(b.request("POST", "/fixed/y", "")).status, 200) // the trial of the address before is over by now, or will be
+				is.Equal(b.do(b.request("POST", "/fixed/y", "")).status, 200) // the check of the earlier address may still be in progress
 				close(goOn)
 			}
 			is.Equal((<-done).body, event(1)+event(2))
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -1,9 +1,9 @@
 package relay
 
-// This file defines what the box makes of the limits that upstreams name in their answers: how many
-// requests a second they take from all boxes together. The invariants: what cannot be read as a limit
-// says nothing, neither that there is one nor that there is none; and an answer speaks for the upstream
-// that gave it alone.
+// This file defines how the box handles the rate limits that upstreams state in their answers:
+// how many requests per second they accept from all boxes together. The invariants: a value
+// that cannot be parsed neither sets nor clears a limit; and an answer sets the limit only of
+// the upstream that gave it.
 
 import (
 	"strings"
@@ -15,91 +15,94 @@
 	"github.com/doormast/doormast/internal/retryafter"
 )
 
-// limitSpan is the span over which the lines tell how many requests an upstream was sent.
-const limitSpan = 4 * time.Second
+// sentWindow is the window for which log lines state how many requests were sent to an
+// upstream.
+const sentWindow = 4 * time.Second
 
-// Counters of limits, and of the requests that an upstream was passed over for, as it takes no more.
+// Counters of limits, and of requests for which an upstream was skipped because of its limit.
 const (
-	limitsNamed = "limits_named"
-	limitsEnded = "limits_ended"
-	heldBack    = "requests_held_back_by_limits"
+	limitsNamed      = "limits_named"
+	limitsEnded      = "limits_ended"
+	requestsHeldBack = "requests_held_back_by_limits"
 )
 
-// limitReason is why a request is refused that only upstreams are left for which take no more.
+// limitReason is the reason given when a request is refused because all remaining upstreams are
+// at their limits.
 const limitReason = "upstreams take no more"
 
-// limitSaid is what an answer says of a limit.
-type limitSaid struct {
-	read      bool    // it can be read; false: it says nothing
-	named     bool    // it names one
-	perSecond float64 // requests
+// limitHeader is the parsed limit header of an answer.
+type limitHeader struct {
+	valid     bool    // the header is absent or parsable; if false, it is ignored
+	present   bool    // a limit was stated
+	perSecond float64 // requests per second
 }
 
-// limitIn reads what the head of an answer says of a limit. Of several that can be read the lowest holds.
-func limitIn(h *fasthttp.ResponseHeader, name string) limitSaid {
-	said := limitSaid{read: true}
-	for sent, value := range h.All() {
-		if !strings.EqualFold(string(sent), name) {
+// readLimit parses the limit header of an answer. Of several valid values the lowest applies.
+func readLimit(h *fasthttp.ResponseHeader, name string) limitHeader {
+	limit := limitHeader{valid: true}
+	for key, value := range h.All() {
+		if !strings.EqualFold(string(key), name) {
 			continue
 		}
 		perSecond, ok := parseLimit(string(value))
 		switch {
-		case !ok && !said.named:
-			said.read = false
-		case ok && (!said.named || perSecond < said.perSecond):
-			said = limitSaid{read: true, named: true, perSecond: perSecond}
+		case !ok && !limit.present:
+			limit.valid = false
+		case ok && (!limit.present || perSecond < limit.perSecond):
+			limit = limitHeader{valid: true, present: true, perSecond: perSecond}
 		}
 	}
-	return said
+	return limit
 }
 
-// parseLimit reads a limit, requests a second.
+// parseLimit parses a limit in requests per second.
 func parseLimit(text string) (perSecond float64, ok bool) {
 	perSecond, ok = retryafter.Decimal(strings.TrimSpace(text))
 	return min(perSecond, balance.NoLimit), ok
 }
 
-// noteLimit notes what an answer says of its upstream's limit; request is empty where it answers a call of
-// the box's own, of which nothing says that it names the limit whenever there is one.
+// noteLimit records the limit that an answer states for its upstream. request is the ID of the
+// answered request, or empty for a call by the box itself; an answer to such a call need not
+// repeat the limit, so a missing header there clears nothing.
 func (r *Relay) noteLimit(a *answer, request string) {
 	if r.cfg.Protocol.Limit == "" {
 		return
 	}
-	said := limitIn(&a.header, r.cfg.Protocol.Limit)
-	if !said.read || !said.named && request == "" {
+	limit := readLimit(&a.header, r.cfg.Protocol.Limit)
+	if !limit.valid || !limit.present && request == "" {
 		return
 	}
-	life := a.conn.life
-	if _, err := r.whyRefused(&a.header, life.ID); err != nil {
-		return // another start of it answers there
+	inc := a.conn.incarnation
+	if _, err := r.whyRefused(&a.header, inc.ID); err != nil {
+		return // another incarnation answers at that address
 	}
 	r.mu.Lock()
 	now := r.now()
-	c, changed := r.fleet.Says(now, life, balance.LimitStatement{Named: said.named, PerSecond: said.perSecond, Sent: now - time.Since(a.sent.began), Read: now})
+	c, changed := r.fleet.Says(now, inc, balance.LimitStatement{Named: limit.present, PerSecond: limit.perSecond, Sent: now - time.Since(a.sent.began), Read: now})
 	r.mu.Unlock()
 	if changed {
 		r.logLimit(c, request)
-		wake(r.members.loaded) // others are to be told at once
+		wake(r.members.loadsChanged) // send the change to the other boxes at once
 	}
 }
 
-// logLimit writes the line about a limit that is new here, another one, or over.
+// logLimit logs and counts a limit that was set, changed or cleared.
 func (r *Relay) logLimit(c balance.LimitChange, request string) {
 	r.mu.Lock()
 	now := r.now()
 	u, isListed := r.fleet.ByKey(c.Life)
-	sent := r.fleet.Sent(now, u.Incarnation(), limitSpan)
+	sent := r.fleet.Sent(now, u.Incarnation(), sentWindow)
 	limit, _ := r.fleet.Limit(now, u.ID)
 	r.mu.Unlock()
 	if !isListed {
-		return // it is of no concern here
+		return // the upstream is not listed here
 	}
 	event, counter := "names a limit", limitsNamed
 	if !c.Named {
 		event, counter = "names no limit any more", limitsEnded
 	}
 	fields := Fields{"upstream": u.ID, "born": u.StartedAt, "per_second": c.PerSecond, "before": c.Before, "source": "seen here", "id": request,
-		"sent_lately": sent, "span_ms": limitSpan.Milliseconds(), "ration": limit.Ration, "ration_span_ms": limit.Span.Milliseconds()}
+		"sent_lately": sent, "span_ms": sentWindow.Milliseconds(), "ration": limit.Ration, "ration_span_ms": limit.Span.Milliseconds()}
 	if c.Told {
 		fields["source"], fields["age_ms"] = "told", c.Age.Milliseconds()
 		delete(fields, "id")
@@ -108,15 +111,16 @@
 	r.stats.count(counter)
 }
 
-// shareLimits hands the node what others are to be told of limits, and takes in what they told.
+// shareLimits passes the box's own observations of limits to the node, and applies those
+// received from other boxes.
 func (m *members) shareLimits() {
 	r := m.relay
-	heard := m.node.DrainLimits()
+	received := m.node.DrainLimits()
 	now := r.now()
 	r.mu.Lock()
-	changes := r.fleet.TakeNamed(now, heard)
-	if news := r.fleet.NamedNews(now); len(news) > 0 {
-		m.node.TellLimits(news)
+	changes := r.fleet.TakeNamed(now, received)
+	if own := r.fleet.NamedNews(now); len(own) > 0 {
+		m.node.TellLimits(own)
 		m.node.SetLimits(r.fleet.NamedAll(now))
 	}
 	r.mu.Unlock()
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -16,34 +16,36 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// An upstream in need named in its answers how many requests a second it takes from all boxes together.
-// Boxes passed that on to their callers like any other header and sent it as much as before: nobody read it,
-// and so no box told another. On the recorded day one that named 3.3 a second got, second by second,
+// An overloaded upstream stated in its answers how many requests per second it accepts from all
+// boxes together. Boxes forwarded that header to their callers like any other and did not tell
+// each other, so the load stayed as it was. In a recorded run, an upstream that stated 3.3 per
+// second got, second by second,
 //
-//	7 s: 9   8 s: 12 (names its limit)   9 s: 5   10 s: 6   11 s: 9   12 s: 7
+//         7 s: 9   8 s: 12 (limit stated)   9 s: 5   10 s: 6   11 s: 9   12 s: 7
 //
-// which is 27 in 4 s from boxes that it had told, where 25 are allowed; another, that named 1.5, got 17, allowed
-// 14. The lines of the boxes held no word of it, and each of these requests had run once: it was neither
-// repeats nor a share that each box took for itself.
+// which is 27 in 4 s from boxes that knew the limit, where 25 are allowed; another, which
+// stated 1.5, got 17 where 14 are allowed. Each of these requests had run once, so neither
+// retries nor the division among boxes caused the excess.
 
-// What an upstream may get in allowedSpan: allowedTimes what it names, and allowedSlack.
+// Bounds on the requests to an upstream in allowedSpan: allowedFactor times its limit, plus
+// allowedSlack.
 const (
-	allowedSpan  = 4 * time.Second
-	allowedTimes = 1.5
-	allowedSlack = 5
+	allowedSpan   = 4 * time.Second
+	allowedFactor = 1.5
+	allowedSlack  = 5
 )
 
-// needy are upstreams of which the first names a limit.
-type needy struct {
+// limitedUpstreams are upstreams of which the first states a limit.
+type limitedUpstreams struct {
 	t     testing.TB
 	list  []*stub
 	mu    sync.Mutex
-	limit string      // as its answers name it; empty: they name none
+	limit string      // as stated in answers; empty: none
 	got   []time.Time // when requests reached it
 }
 
-func newNeedy(t testing.TB, limit string) *needy {
-	n := &needy{t: t, limit: limit}
+func newLimitedUpstreams(t testing.TB, limit string) *limitedUpstreams {
+	n := &limitedUpstreams{t: t, limit: limit}
 	for i := range 3 {
 		n.list = append(n.list, newStub(t, fmt.Sprint("u", i), func(c net.Conn, r stubRequest) bool {
 			if i > 0 || r.Header.Get("X-Id") == "" {
@@ -51,20 +53,21 @@
 			}
 			n.mu.Lock()
 			n.got = append(n.got, time.Now())
-			named := ""
+			header := ""
 			if n.limit != "" {
-				named = "X-Limit: " + n.limit + "\n"
+				header = "X-Limit: " + n.limit + "\n"
 			}
 			n.mu.Unlock()
-			say(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\n%sContent-Length: 4\n\nwell", r.Header.Get("X-Id"), named))
+			say(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\n%sContent-Length: 4\n\nwell", r.Header.Get("X-Id"), header))
 			return true
 		}))
 	}
 	return n
 }
 
-// arrivals is how many requests have reached the one in need, and most the most of them in allowedSpan.
-func (n *needy) arrivals() (all, most int) {
+// arrivals returns how many requests have reached the first upstream, and the highest number of
+// them within allowedSpan.
+func (n *limitedUpstreams) arrivals() (all, mostInSpan int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, at := range n.got {
@@ -74,20 +77,21 @@
 				within++
 			}
 		}
-		most = max(most, within)
+		mostInSpan = max(mostInSpan, within)
 	}
-	return len(n.got), most
+	return len(n.got), mostInSpan
 }
 
-// send sends requests by a box, one after the other.
-func (n *needy) send(b *bench, name string, count int) {
+// send sends requests through a box, one after the other.
+func (n *limitedUpstreams) send(b *bench, name string, count int) {
 	for i := range count {
 		b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", fmt.Sprint(name, "-", i)))
 	}
 }
 
-// untilNamed sends requests by a box until one has reached the upstream that names its limit.
-func (n *needy) untilNamed(b *bench) {
+// untilLimitSeen sends requests through a box until one has reached the upstream that states its
+// limit.
+func (n *limitedUpstreams) untilLimitSeen(b *bench) {
 	for i := 0; ; i++ {
 		if all, _ := n.arrivals(); all > 0 {
 			return
@@ -96,65 +100,67 @@
 	}
 }
 
-func TestAnUpstreamGetsNoMoreThanItNames(t *testing.T) {
+func TestUpstreamLimitIsRespected(t *testing.T) {
 	is := is.New(t)
-	n := newNeedy(t, "1")
+	n := newLimitedUpstreams(t, "1")
 	b := newBench(t, n.list...)
-	n.untilNamed(b)
+	n.untilLimitSeen(b)
 	n.send(b, "more", 60)
 	_, most := n.arrivals()
 	t.Logf("%d requests in %v", most, allowedSpan)
-	is.True(float64(most) <= allowedTimes*allowedSpan.Seconds()*1+allowedSlack)
+	is.True(float64(most) <= allowedFactor*allowedSpan.Seconds()*1+allowedSlack)
 }
 
-// A box that the upstream has not told yet is told by the one that it has.
-func TestBoxesTellEachOtherWhatUpstreamsName(t *testing.T) {
+// A box that has not received an upstream's limit itself learns it from another box.
+func TestLimitIsSharedBetweenBoxes(t *testing.T) {
 	is := is.New(t)
-	n := newNeedy(t, "1")
+	n := newLimitedUpstreams(t, "1")
 	var self *wire.GroupBox
 	first := newBenchWith(t, func(c *Config) {
-		joins(t, c, "first")
+		joinGroup(t, c, "first")
 		self = c.Self
 	}, n.list...)
-	second := first.peerOf(self)
-	n.untilNamed(first)
+	second := first.startPeer(self)
+	n.untilLimitSeen(first)
 	second.until(func() bool { return second.log.contains(`"msg":"upstream: names a limit"`) })
 	before, _ := n.arrivals()
 	n.send(second, "second", 40)
 	all, most := n.arrivals()
 	t.Logf("%d requests by the second box, %d in %v", all-before, most, allowedSpan)
-	is.True(float64(most) <= allowedTimes*allowedSpan.Seconds()*1+allowedSlack)
+	is.True(float64(most) <= allowedFactor*allowedSpan.Seconds()*1+allowedSlack)
 }
 
-func TestWhatALimitIsReadAs(t *testing.T) {
-	nothing, none := limitSaid{}, limitSaid{read: true}
-	named := func(perSecond float64) limitSaid { return limitSaid{read: true, named: true, perSecond: perSecond} }
+func TestReadLimit(t *testing.T) {
+	ignored, none := limitHeader{}, limitHeader{valid: true}
+	named := func(perSecond float64) limitHeader {
+		return limitHeader{valid: true, present: true, perSecond: perSecond}
+	}
 	for _, c := range []struct {
 		name    string
 		headers []string
-		want    limitSaid
+		want    limitHeader
 	}{
 		{"no header", nil, none},
-		{"a whole number", []string{"3"}, named(3)},
-		{"a decimal one", []string{" 3.25 "}, named(3.25)},
-		{"nothing may be sent", []string{"0"}, named(0)},
-		{"next to nothing", []string{"0.01"}, named(0.01)},
+		{"integer", []string{"3"}, named(3)},
+		{"decimal fraction", []string{" 3.25 "}, named(3.25)},
+		{"zero", []string{"0"}, named(0)},
+		{"small", []string{"0.01"}, named(0.01)},
 		{"huge", []string{"1" + strings.Repeat("0", 400)}, named(balance.NoLimit)},
-		{"empty", []string{""}, nothing},
-		{"a point alone", []string{"."}, nothing},
-		{"two points", []string{"1.2.3"}, nothing},
-		{"below 0", []string{"-1"}, nothing},
-		{"a sign", []string{"+1"}, nothing},
-		{"an exponent", []string{"1e3"}, nothing},
-		{"hexadecimal", []string{"0x10"}, nothing},
-		{"infinite", []string{"inf"}, nothing},
-		{"not a number", []string{"NaN"}, nothing},
-		{"a unit", []string{"3/s"}, nothing},
-		{"a list", []string{"3, 4"}, nothing},
-		{"the lower of two", []string{"4", "3"}, named(3)},
-		{"the one that can be read", []string{"many", "3"}, named(3)},
-		{"the one that can be read, before", []string{"3", "many"}, named(3)},
-		{"none that can be read", []string{"many", "more"}, nothing},
+		{"empty", []string{""}, ignored},
+		{"decimal point only", []string{"."}, ignored},
+		{"two decimal points", []string{"1.2.3"}, ignored},
+		{"negative", []string{"-1"}, ignored},
+		{"plus sign", []string{"+1"}, ignored},
+		{"exponent", []string{"1e3"}, ignored},
+		{"hexadecimal", []string{"0x10"}, ignored},
+		{"infinity", []string{"inf"}, ignored},
+		{"not a number", []string{"NaN"}, ignored},
+		{"unit", []string{"3/s"}, ignored},
+		{"list", []string{"3, 4"}, ignored},
+		{"lower of two", []string{"4", "3"}, named(3)},
+		{"invalid, then valid", []string{"many", "3"}, named(3)},
+		{"valid, then invalid", []string{"3", "many"}, named(3)},
+		{"two invalid", []string{"many", "more"}, ignored},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -163,41 +169,42 @@
 			for i, value := range c.headers {
 				h.Add([]string{"X-Limit", "x-limit"}[i], value)
 			}
-			is.Equal(limitIn(&h, "X-Limit"), c.want)
+			is.Equal(readLimit(&h, "X-Limit"), c.want)
 		})
 	}
 }
 
-// limitOf is what a box keeps to.
+// limitOf returns the limit that a box applies to an upstream.
 func (b *bench) limitOf(id string) (balance.LimitOf, bool) {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	return b.relay.fleet.Limit(b.relay.now(), id)
 }
 
-// answerNaming answers with headers besides.
-func answerNaming(status string, headers ...string) func(net.Conn, stubRequest) bool {
+// answerWithHeaders answers with additional headers.
+func answerWithHeaders(status string, headers ...string) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
 		say(c, fmt.Sprintf("HTTP/1.1 %s\nX-Id: %s\nX-Sign: s\n%s\nContent-Length: 4\n\nwell", status, r.Header.Get("X-Id"), strings.Join(headers, "\n")))
 		return true
 	}
 }
 
-// All upstreams take nothing: who is refused hears it at once, with when to come back; and operators see why.
-func TestWhereAllUpstreamsTakeNoMoreCallersHearItAtOnce(t *testing.T) {
+// If all upstreams have reached their limits, callers are refused at once and told when to come
+// back, and the cause shows in the state.
+func TestRefusalWhenAllUpstreamsAreAtLimits(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerNaming("200 OK", "X-Limit: 0"))
+	u := newStub(t, "u", answerWithHeaders("200 OK", "X-Limit: 0"))
 	b := newBench(t, u)
 	got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "first"))
 	is.Equal(got.status, http.StatusOK)
-	is.Equal(got.header.Get("X-Limit"), "0") // the answer is passed on as it came
+	is.Equal(got.header.Get("X-Limit"), "0") // the answer is forwarded unchanged
 	got = b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "second"))
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(got.header.Get("Retry-After") != "")
 	is.True(strings.Contains(got.body, limitReason))
 	is.True(strings.Contains(got.body, `"ran":"no"`))
 	is.Equal(len(u.requests()), 1)
-	is.Equal(b.relay.stats.counted(heldBack), uint64(1))
+	is.Equal(b.relay.stats.counterValue(requestsHeldBack), uint64(1))
 	rows := b.relay.state().Upstreams
 	is.Equal(len(rows), 1)
 	is.True(rows[0].Limit != nil)
@@ -205,26 +212,26 @@
 	is.Equal(rows[0].Limit.Span, uint64(10*time.Second/time.Microsecond))
 }
 
-// What names no limit, or none that can be read, is believed of nobody, whoever wrote it.
-func TestWhoseLimitIsBelieved(t *testing.T) {
+// Only the upstream's own answers set its limit, and only with a valid value.
+func TestAnswersThatSetLimit(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		script func(net.Conn, stubRequest) bool
 		known  bool
 	}{
-		{"an answer's", answerNaming("200 OK", "x-limit: 7"), true},
-		{"a failure's", answerNaming("500 Broken", "X-Limit: 7"), true},
-		{"a refusal's", answerNaming("503 Full", "X-Not-Run: 1", "X-Limit: 7"), true},
-		{"another start's", answerNaming("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Limit: 7"), false},
-		{"one that cannot be read", answerNaming("200 OK", "X-Limit: -7"), false},
-		{"the caller's", answerOK("well"), false},
+		{"answer", answerWithHeaders("200 OK", "x-limit: 7"), true},
+		{"failure", answerWithHeaders("500 Broken", "X-Limit: 7"), true},
+		{"refusal", answerWithHeaders("503 Full", "X-Not-Run: 1", "X-Limit: 7"), true},
+		{"another instance", answerWithHeaders("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Limit: 7"), false},
+		{"invalid value", answerWithHeaders("200 OK", "X-Limit: -7"), false},
+		{"caller's header only", answerOK("well"), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			u := newStub(t, "u", c.script)
 			b := newBench(t, u)
 			b.do(b.request(http.MethodPost, "/once/x", "x", "X-Limit", "7"))
-			is.Equal(u.requests()[0].Header.Get("X-Limit"), "7") // a caller's header goes on like any other
+			is.Equal(u.requests()[0].Header.Get("X-Limit"), "7") // a caller's header is forwarded like any other
 			l, known := b.limitOf("u")
 			is.Equal(known, c.known)
 			if known {
@@ -234,12 +241,12 @@
 	}
 }
 
-// Another start under the same id has named nothing, and one whose limit has ended gets requests again.
-func TestALimitIsThatOfALife(t *testing.T) {
+// A new incarnation under the same ID starts without a limit.
+func TestLimitIsPerIncarnation(t *testing.T) {
 	is := is.New(t)
-	n := newNeedy(t, "0")
+	n := newLimitedUpstreams(t, "0")
 	b := newBench(t, n.list...)
-	n.untilNamed(b)
+	n.untilLimitSeen(b)
 	_, known := b.limitOf("u0")
 	is.True(known)
 	u := balance.Upstream{ID: "u0", StartedAt: 5, Service: "s", Address: n.list[0].listener.Addr().String(), Domain: "d", Slots: 8}
@@ -249,12 +256,12 @@
 	is.True(!known)
 }
 
-// Calls of the box's own tell of limits as well; that such an answer names none ends none, since nothing says that
-// it would.
-func TestWhatAnswersToCallsSayOfLimits(t *testing.T) {
+// Answers to the box's own calls set limits as well; a missing header in such an answer does
+// not clear one, since those answers need not repeat it.
+func TestLimitInAnswersToCalls(t *testing.T) {
 	is := is.New(t)
 	limit := "X-Limit: 7"
-	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return answerNaming("200 OK", limit)(c, r) })
+	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return answerWithHeaders("200 OK", limit)(c, r) })
 	b := newBench(t, u)
 	call := func() {
 		_, _, err := b.relay.call(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
@@ -268,17 +275,18 @@
 	call()
 	_, known = b.limitOf("u")
 	is.True(known)
-	b.until(func() bool { // a box that has just started has no part
+	b.until(func() bool { // a box that has just started has no share
 		l, _ := b.limitOf("u")
 		return l.Ration > 0
 	})
 	b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	_, known = b.limitOf("u")
-	is.True(!known) // an answer to a request does
+	is.True(!known) // an answer to a request clears it
 }
 
-// A connection on which nothing was sent, since its upstream takes no more, can be used again.
-func TestAConnectionThatWasNotUsedIsKept(t *testing.T) {
+// A connection on which nothing was sent, because its upstream had reached its limit, is
+// reused.
+func TestUnusedConnectionIsKept(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerOK("well"))
 	b := newBench(t, u)
@@ -286,10 +294,10 @@
 	c, err := b.relay.conns.get(t.Context(), to, "s")
 	is.NoErr(err)
 	for range 3 {
-		b.relay.conns.putBack(c)
+		b.relay.conns.putUnused(c)
 		again, err := b.relay.conns.get(t.Context(), to, "s")
 		is.NoErr(err)
 		is.True(again == c)
 	}
-	b.relay.conns.drop(c)
+	b.relay.conns.discard(c)
 }
--- a/relay/log.go
+++ b/relay/log.go
@@ -1,8 +1,9 @@
 package relay
 
-// This file defines the log: a line of JSON for each decision. The invariants: a
-// writer never waits, what finds the ring full is dropped; a kind of line takes at
-// most linesPerSecond; and both are counted in the next line that gets through.
+// This file defines the log: one line of JSON for each event. The invariants: a writer never
+// blocks, and a line that finds the queue full is dropped; each kind of event gets at most
+// linesPerSecond lines; and lines lost to either limit are counted in the next line that is
+// written.
 
 import (
 	"context"
@@ -15,34 +16,34 @@
 	"github.com/doormast/doormast/internal/ring"
 )
 
-// Fields are what a line tells besides its part and event.
+// Fields are the fields of a line besides its part and event.
 type Fields = logrus.Fields
 
 const (
-	// logRing is how many lines wait at most, some 400 KB of memory.
-	logRing = 1024
-	// linesPerSecond bounds the lines of one kind, ten times what a box takes in
-	// requests on a calm day.
+	// logQueueSize is the number of lines that may be queued, some 400 KB of memory.
+	logQueueSize = 1024
+	// linesPerSecond bounds the lines of one kind: ten times the requests that a box receives
+	// on a calm day.
 	linesPerSecond = 100
-	// logTime is the form of a line's time.
-	logTime = "2006-01-02T15:04:05.000Z07:00"
+	// logTimeLayout is the layout of a line's time.
+	logTimeLayout = "2006-01-02T15:04:05.000Z07:00"
 )
 
 type logLine struct {
 	part, event string
 	at          time.Time
 	fields      Fields
-	leftOut     int // lines of its kind, since the one before
+	suppressed  int // lines of its kind that the rate limit suppressed since the previous one
 }
 
-// kind counts the lines of one kind.
-type kind struct {
-	second  int64
-	lines   int
-	leftOut int
+// eventRate counts the lines of one kind in the current second.
+type eventRate struct {
+	second     int64
+	lines      int
+	suppressed int
 }
 
-// Log writes lines from a goroutine of its own.
+// Log writes lines from its own goroutine.
 type Log struct {
 	logger *logrus.Entry
 	lines  *ring.Ring[logLine]
@@ -51,65 +52,65 @@
 	done   chan struct{}
 
 	mu    sync.Mutex
-	kinds map[string]*kind
+	rates map[string]*eventRate
 }
 
-// NewLog returns a box's log that writes to w; Close ends it.
+// NewLog returns a box's log that writes to w; Close flushes and stops it.
 func NewLog(box string, w io.Writer) *Log { return newLog(box, w, time.Now) }
 
 func newLog(box string, w io.Writer, now func() time.Time) *Log {
 	logger := logrus.New()
 	logger.SetOutput(w)
-	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTime})
+	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTimeLayout})
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Log{logger: logger.WithField("box", box), lines: ring.New[logLine](logRing), now: now, cancel: cancel,
-		done: make(chan struct{}), kinds: make(map[string]*kind)}
+	l := &Log{logger: logger.WithField("box", box), lines: ring.New[logLine](logQueueSize), now: now, cancel: cancel,
+		done: make(chan struct{}), rates: make(map[string]*eventRate)}
 	go l.write(ctx)
 	return l
 }
 
-// Event logs that something happened to a part of the box. The fields are the log's
-// afterwards.
+// Event logs an event of a part of the box. The log owns the fields afterwards.
 func (l *Log) Event(part, event string, fields Fields) {
 	at := l.now()
-	leftOut, ok := l.admit(part+": "+event, at)
+	suppressed, ok := l.admit(part+": "+event, at)
 	if ok {
-		l.lines.TryPush(logLine{part, event, at, fields, leftOut})
+		l.lines.TryPush(logLine{part, event, at, fields, suppressed})
 	}
 }
 
-// admit decides whether a line of the kind may be written.
-func (l *Log) admit(name string, at time.Time) (leftOut int, ok bool) {
+// admit decides whether a line of a kind may be written. It also returns how many were
+// suppressed before.
+func (l *Log) admit(name string, at time.Time) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.kinds[name]
+	k := l.rates[name]
 	if k == nil {
-		k = new(kind)
-		l.kinds[name] = k
+		k = new(eventRate)
+		l.rates[name] = k
 	}
 	if second := at.Unix(); second != k.second {
 		k.second, k.lines = second, 0
 	}
 	if k.lines >= linesPerSecond {
-		k.leftOut++
+		k.suppressed++
 		return 0, false
 	}
 	k.lines++
-	leftOut, k.leftOut = k.leftOut, 0
-	return leftOut, true
+	suppressed, k.suppressed = k.suppressed, 0
+	return suppressed, true
 }
 
 func (l *Log) write(ctx context.Context) {
 	defer close(l.done)
 	var batch []logLine
-	var told uint64
+	var reported uint64
 	for {
 		var ok bool
 		batch, ok = l.lines.Wait(ctx, batch[:0])
 		for _, line := range batch {
 			dropped := l.lines.Dropped()
-			l.writeLine(line, dropped-told)
-			told = dropped
+			l.writeLine(line, dropped-reported)
+			reported = dropped
 		}
 		if !ok {
 			return
@@ -122,13 +123,13 @@
 	if dropped > 0 {
 		entry = entry.WithField("lines_dropped", dropped)
 	}
-	if line.leftOut > 0 {
-		entry = entry.WithField("lines_left_out", line.leftOut)
+	if line.suppressed > 0 {
+		entry = entry.WithField("lines_left_out", line.suppressed)
 	}
 	entry.Info(line.part + ": " + line.event)
 }
 
-// Close writes what waits and ends the log.
+// Close writes the queued lines and stops the log.
 func (l *Log) Close() error {
 	l.cancel()
 	<-l.done
--- a/relay/log_test.go
+++ b/relay/log_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestLinesOfOneKindAreBoundedAndCounted(t *testing.T) {
+func TestLogRateLimit(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
@@ -17,7 +17,7 @@
 	for range linesPerSecond + 30 {
 		l.Event("run", "failed", Fields{"id": "a"})
 	}
-	l.Event("document", "in force", nil) // another kind is not held back
+	l.Event("document", "in force", nil) // another kind is not limited
 	now = now.Add(time.Second)
 	l.Event("run", "failed", Fields{"id": "b"})
 	is.NoErr(l.Close())
@@ -31,23 +31,23 @@
 	is.Equal(last["id"], "b")
 }
 
-// stuck is a writer whose reader has stopped reading.
-type stuck chan struct{}
+// blockedWriter is a writer that blocks until it is closed.
+type blockedWriter chan struct{}
 
-func (s stuck) Write(b []byte) (int, error) {
+func (s blockedWriter) Write(b []byte) (int, error) {
 	<-s
 	return len(b), nil
 }
 
-func TestAWriterNeverWaits(t *testing.T) {
+func TestLogWriterNeverBlocks(t *testing.T) {
 	is := is.New(t)
-	out := make(stuck)
+	out := make(blockedWriter)
 	now := time.Unix(0, 0)
 	l := newLog("box", out, func() time.Time { now = now.Add(time.Second); return now })
-	for range 3 * logRing {
-		l.Event("request", "answered", nil) // it would hang here
+	for range 3 * logQueueSize {
+		l.Event("request", "answered", nil) // would block here if it waited for the writer
 	}
 	close(out)
 	is.NoErr(l.Close())
-	is.True(l.lines.Dropped() >= logRing)
+	is.True(l.lines.Dropped() >= logQueueSize)
 }
--- a/relay/members.go
+++ b/relay/members.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file defines the duty that keeps the box's part of the group. The invariant: it
-// alone touches the node and the mirror, and hands what is new to the rest of the box.
+// This file defines the loop that maintains the box's membership in the group. The invariant:
+// only this loop accesses the node and the mirror; it passes changes to the rest of the box.
 
 import (
 	"context"
@@ -16,71 +16,72 @@
 )
 
 const (
-	// memberRing is how many events wait for the duty at most.
-	memberRing = 512
-	// memberTick is how often the duty looks at what is due by time; beats are
-	// 400 ms apart, and a silent lead is to be noticed within a fraction of one.
-	memberTick = 100 * time.Millisecond
+	// eventQueueSize is the capacity of the loop's event queue.
+	eventQueueSize = 512
+	// tickInterval is how often the loop checks timers. Heartbeats are 400 ms apart, and a
+	// silent leader is to be noticed within a fraction of that.
+	tickInterval = 100 * time.Millisecond
 )
 
-// memberEvent is something that the duty has to take in; one of its fields is set.
+// memberEvent is an event for the loop. One of message, read, pulled, mirrorReply and leave is
+// set.
 type memberEvent struct {
-	message *wire.GroupMessage
-	read    *readResult
-	pulled  *pullResult
-	ask     chan<- *wire.MirrorResponse // another box wants everything
-	request *wire.MirrorRequest         // what it said
-	leave   chan<- struct{}             // the box is about to end; closed when the others were told
+	message       *wire.GroupMessage
+	read          *readResult
+	pulled        *pullResult
+	mirrorReply   chan<- *wire.MirrorResponse // receives the reply to another box's request for all items
+	mirrorRequest *wire.MirrorRequest         // the request that mirrorReply answers
+	leave         chan<- struct{}             // the box is about to stop; closed when the others were told
 }
 
-// members is the box's part of the group, with what other duties may look at.
+// members is the box's membership in the group, with the state it shares with other goroutines.
 type members struct {
 	relay  *Relay
 	node   *group.Node
 	mirror *mirror.Mirror
 	events *ring.Ring[memberEvent]
-	socket *datagram.Socket // nil where a box has no peers
+	socket *datagram.Socket // nil if the box has no peers
 
 	traffic traffic
 
-	// What other duties look at.
-	revision atomic.Uint64 // of the mirror
-	loadsAt  atomic.Int64  // time.Duration since the start, when the others' loads came
-	boxes    atomic.Int64
-	divisor  atomic.Int64 // of what all boxes share; 0: this box has no part
-	lead     atomic.Pointer[string]
-	reads    atomic.Bool   // the box is to read the publisher
-	watch    atomic.Int64  // time.Duration for which a reading waits for a change
-	kick     chan struct{} // readable when reads has become true
-	known    chan struct{} // closed when the mirror is no longer empty
-	loaded   chan struct{} // readable when this box's loads have changed
-	more     chan struct{} // readable while there is a backlog
-
-	// What the duty alone looks at.
-	pulling   bool
-	left      []string                 // domains that the box had left when it last looked
-	probedAt  time.Duration            // when upstreams of silent domains were tried last
-	goesOn    bool                     // of the reader alone: its last reading of everything failed
-	wholeFrom time.Duration            // and when it, or the one it went on from, began
-	failures  int                      // readings that failed, in a row
-	backlog   []mirror.Item            // what is new in the mirror and not handed in yet, in its order
-	packed    packedMessage            // the last one that was sent
-	missing   map[string]time.Duration // upstreams whose entries went while in doubt, and when to drop them
-	refused   map[string]uint64        // by key: hash of the content that was last named in the log as not taken
+	// State that other goroutines read.
+	revision        atomic.Uint64 // of the mirror
+	loadsReceivedAt atomic.Int64  // time.Duration since the start, when loads last arrived from others
+	boxes           atomic.Int64
+	divisor         atomic.Int64 // of what all boxes share; 0: this box has no share
+	leader          atomic.Pointer[string]
+	shouldRead      atomic.Bool   // the box is to read the publisher
+	watchFor        atomic.Int64  // time.Duration for which a read waits for a change
+	readWake        chan struct{} // readable when shouldRead has become true
+	filled          chan struct{} // closed when the mirror is no longer empty
+	loadsChanged    chan struct{} // readable when this box's loads have changed
+	backlogReady    chan struct{} // readable while there is a backlog
+
+	// State of the loop alone, except resumesRead and fullReadStart.
+	pulling       bool
+	cutOffDomains []string                 // domains that the box treated as cut off at the last check
+	lastProbe     time.Duration            // when upstreams of silent domains were last probed
+	resumesRead   bool                     // used by readLoop only: its last full read failed
+	fullReadStart time.Duration            // used by readLoop only: when the first of a sequence of full reads started
+	failures      int                      // consecutive failed reads
+	backlog       []mirror.Item            // changed items of the mirror that are not applied yet, in order
+	lastEncoded   encodedMessage           // the last message that was sent
+	missing       map[string]time.Duration // upstreams whose entries were removed while in doubt, and when to drop them
+	rejected      map[string]uint64        // by key: hash of the content last logged as rejected
 }
 
 func newMembers(r *Relay) (*members, error) {
 	m := &members{
-		relay:   r,
-		mirror:  mirror.New(),
-		events:  ring.New[memberEvent](memberRing),
-		kick:    make(chan struct{}, 1),
-		known:   make(chan struct{}),
-		loaded:  make(chan struct{}, 1),
-		more:    make(chan struct{}, 1),
-		traffic: newTraffic(r.stats),
-		missing: make(map[string]time.Duration),
-		refused: make(map[string]uint64),
+		relay:        r,
+		mirror:       mirror.New(),
+		events:       ring.New[memberEvent](eventQueueSize),
+		readWake:     make(chan struct{}, 1),
+		filled:       make(chan struct{}),
+		loadsChanged: make(chan struct{}, 1),
+		backlogReady: make(chan struct{}, 1),
+		traffic:      newTraffic(r.stats),
+		missing:      make(map[string]time.Duration),
+		rejected:     make(map[string]uint64),
 	}
 	m.boxes.Store(int64(r.cfg.Boxes))
 	m.node = group.NewNode(group.Config{
@@ -88,7 +89,7 @@
 		Seeds:      r.cfg.Seeds,
 		Timing:     r.cfg.Timing,
 		Mirror:     m.mirror,
-		Changed:    m.changed,
+		Changed:    m.mirrorChanged,
 		FirstStart: r.cfg.FirstStart,
 		Link:       r.cfg.Link,
 		Domains:    len(r.cfg.Regions),
@@ -96,11 +97,11 @@
 	return m, m.listen()
 }
 
-// duty takes in events until ctx ends.
-func (m *members) duty(ctx context.Context) {
-	ticker := time.NewTicker(memberTick)
+// run handles events until ctx ends.
+func (m *members) run(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	m.after(ctx) // the reader may be wanted at once
+	m.flush(ctx) // the box may have to read at once
 	var batch []memberEvent
 	for {
 		select {
@@ -110,103 +111,103 @@
 			m.relay.noticeSleep()
 			m.syncFleet()
 			m.node.Tick(m.relay.now())
-			m.shareCutOff(ctx)
+			m.syncCutOff(ctx)
 			m.dropMissing()
-		case <-m.loaded:
-			m.takeLoads()
-		case <-m.more:
+		case <-m.loadsChanged:
+			m.updateLoads()
+		case <-m.backlogReady:
 		case <-m.events.Ready():
-			m.relay.noticeSleep() // messages that waited meanwhile are not to be taken for new
+			m.relay.noticeSleep() // messages that waited during a suspension must not be taken for new
 		}
 		batch = m.events.Drain(batch[:0])
 		for _, e := range batch {
-			m.take(ctx, e)
+			m.handle(ctx, e)
 		}
-		m.handIn()
-		m.after(ctx)
+		m.applyBacklog()
+		m.flush(ctx)
 	}
 }
 
-// leadName is the box that leads the domain, as far as is known.
-func (m *members) leadName() string {
-	if lead := m.lead.Load(); lead != nil {
-		return *lead
+// leaderName is the box that leads the domain, as far as is known.
+func (m *members) leaderName() string {
+	if leader := m.leader.Load(); leader != nil {
+		return *leader
 	}
 	return ""
 }
 
-// take takes in one event.
-func (m *members) take(ctx context.Context, e memberEvent) {
+// handle handles one event.
+func (m *members) handle(ctx context.Context, e memberEvent) {
 	now := m.relay.now()
 	switch {
 	case e.message != nil:
 		m.node.Handle(now, e.message)
 		if e.message.HasLoads {
-			m.loadsAt.Store(int64(now))
+			m.loadsReceivedAt.Store(int64(now))
 		}
 	case e.read != nil:
-		m.takeRead(now, e.read)
+		m.applyRead(now, e.read)
 	case e.pulled != nil:
-		m.takePulled(now, e.pulled)
-	case e.ask != nil:
-		e.ask <- m.node.Answer(now, e.request)
+		m.applyPull(now, e.pulled)
+	case e.mirrorReply != nil:
+		e.mirrorReply <- m.node.Answer(now, e.mirrorRequest)
 	case e.leave != nil:
 		m.node.Leave(now)
-		m.after(ctx)
+		m.flush(ctx)
 		close(e.leave)
 	}
 }
 
-// after sends what the node wants sent, and shows other duties what they look at.
-func (m *members) after(ctx context.Context) {
-	m.tellLoads()
+// flush sends pending messages, and updates the state that other goroutines read.
+func (m *members) flush(ctx context.Context) {
+	m.flushLoads()
 	m.shareSuspects()
 	m.shareLimits()
-	m.sendOut(ctx)
-	m.showRevision()
-	if len(m.backlog) == 0 { // else the box still goes by what is older
-		m.relay.belief.confirmed.Store(int64(m.node.Confirmed()))
+	m.sendPending(ctx)
+	m.publishRevision()
+	if len(m.backlog) == 0 { // otherwise the box still uses older data
+		m.relay.published.confirmedAt.Store(int64(m.node.Confirmed()))
 	}
 	if m.node.Known() {
 		m.boxes.Store(int64(m.node.Boxes()))
 	}
 	m.divisor.Store(int64(m.node.Divisor()))
-	m.showReads()
-	m.showLead()
+	m.updateReading()
+	m.updateLeader()
 }
 
-// sendOut sends what the node wants sent, and begins the pull that it wants.
-func (m *members) sendOut(ctx context.Context) {
-	out, pull := m.node.Drain()
-	for _, o := range out {
+// sendPending sends the node's pending messages, and starts the pull that it requests.
+func (m *members) sendPending(ctx context.Context) {
+	messages, pullFrom := m.node.Drain()
+	for _, o := range messages {
 		m.send(o)
 	}
-	if pull != "" && !m.pulling {
+	if pullFrom != "" && !m.pulling {
 		m.pulling = true
-		go m.pull(ctx, pull)
+		go m.pull(ctx, pullFrom)
 	}
 }
 
-// showRevision shows what the mirror holds. A reading of everything ends with the first time
-// that it holds something: another box was faster.
-func (m *members) showRevision() {
+// publishRevision updates revision. It closes filled when the mirror first holds data, which
+// ends a full read in progress: another box was faster.
+func (m *members) publishRevision() {
 	if before := m.revision.Swap(m.mirror.Revision()); before == 0 && m.mirror.Revision() > 0 {
-		close(m.known)
+		close(m.filled)
 	}
 }
 
-// showReads tells the reader whether this box is to read, and wakes it.
-func (m *members) showReads() {
+// updateReading sets whether this box is to read the publisher, and wakes readLoop.
+func (m *members) updateReading() {
 	now := m.relay.now()
-	m.watch.Store(int64(m.node.WatchTimeout(now)))
-	reads := m.node.ShouldRead(now)
-	if before := m.reads.Swap(reads); before || !reads {
+	m.watchFor.Store(int64(m.node.WatchTimeout(now)))
+	shouldRead := m.node.ShouldRead(now)
+	if before := m.shouldRead.Swap(shouldRead); before || !shouldRead {
 		return
 	}
-	wake(m.kick)
+	wake(m.readWake)
 }
 
-// wake makes a channel of one place readable.
+// wake sends on a channel with capacity 1 unless it is full.
 func wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -214,18 +215,18 @@
 	}
 }
 
-func (m *members) showLead() {
-	if lead := m.node.LeaderName(); lead != m.leadName() {
-		m.lead.Store(&lead)
-		m.relay.cfg.Log.Event("group", "led by", Fields{"box": lead, "boxes": m.node.Boxes(), "age_ms": m.relay.age().Milliseconds()})
+func (m *members) updateLeader() {
+	if leader := m.node.LeaderName(); leader != m.leaderName() {
+		m.leader.Store(&leader)
+		m.relay.cfg.Log.Event("group", "led by", Fields{"box": leader, "boxes": m.node.Boxes(), "age_ms": m.relay.publishedAge().Milliseconds()})
 	}
 }
 
-// leave tells the other boxes that this one is about to end.
+// leave tells the other boxes that this one is about to stop.
 func (m *members) leave(ctx context.Context) {
 	done := make(chan struct{})
 	if !m.events.TryPush(memberEvent{leave: done}) {
-		return // the others will notice the silence
+		return // the others will detect the missing heartbeats
 	}
 	select {
 	case <-done:
@@ -233,12 +234,12 @@
 	}
 }
 
-// close closes the socket, where there is one.
+// close closes the socket, if there is one.
 func (m *members) close() {
 	if m.socket == nil {
 		return
 	}
 	if err := m.socket.Close(); err != nil {
-		m.relay.cfg.Log.Event("group", "not closed", Fields{"error": err.Error()})
+		m.relay.cfg.Log.Event("group", "closing the socket failed", Fields{"error": err.Error()})
 	}
 }
--- a/relay/memory.go
+++ b/relay/memory.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines what a box may keep on behalf of callers and upstreams, and how
-// much of it is whose. The invariant: what does not fit is turned away before it is
-// read, or waits with nothing read; and the most urgent are turned away last.
+// This file defines the memory that a box may use on behalf of callers and upstreams, and its
+// division by urgency. The invariant: what does not fit is refused before it is read, or waits
+// with nothing read; and the most urgent requests are refused last.
 
 import (
 	"errors"
@@ -10,102 +10,103 @@
 	"github.com/valyala/fasthttp"
 )
 
-// What is charged, in bytes, besides what others have sent.
+// Charges, in bytes, in addition to the data received.
 const (
-	// callerBytes is for a caller's connection.
+	// callerBytes is charged for a caller's connection.
 	callerBytes = 12 << 10
-	// requestBytes is for a request under way: its goroutines, its head, its
-	// connection to an upstream with its buffer, and an answer of up to freeAnswer.
+	// requestBytes is charged for a request in progress: its goroutines, its header, its
+	// upstream connection with its buffer, and an answer of up to freeAnswerBytes.
 	requestBytes = 32 << 10
-	// freeAnswer is how much of an answer requestBytes covers.
-	freeAnswer = 8 << 10
-	// unreadBytes is for an answer that its caller does not take: what both kernels'
-	// buffers then hold, as they count (a buffer takes twice what was asked for).
-	unreadBytes = 2*callerBuffer + 2*upstreamReceive
-	// bodyCost is how much a byte of a body that is being read takes: a buffer that
-	// grows is held twice for a moment.
-	bodyCost = 2
+	// freeAnswerBytes is how much of an answer requestBytes covers.
+	freeAnswerBytes = 8 << 10
+	// unreadBytes is charged for an answer that its caller does not read: the contents of both
+	// kernel buffers, by the kernel's own accounting (a buffer takes twice the requested size).
+	unreadBytes = 2*callerBufferSize + 2*upstreamReceiveBuffer
+	// bodyMemoryFactor is the memory charged per byte of a body that is being read: a growing
+	// buffer briefly exists twice.
+	bodyMemoryFactor = 2
 )
 
-// Sizes of the kernel's buffers, in bytes: with its own choice, some 8 MB went into
-// them for each stream that its caller did not read (20 callers on loopback). A buffer
-// this large still carries 1 MB/s over a way of 60 ms there and back.
+// Sizes of socket buffers, in bytes. With the kernel's default sizes, they took some 8 MB for
+// each stream that its caller did not read (20 callers on loopback). A buffer of these sizes
+// still carries 1 MB/s at a round-trip time of 60 ms.
 const (
-	callerBuffer    = 64 << 10
-	upstreamReceive = 64 << 10
-	upstreamSend    = 256 << 10
+	callerBufferSize      = 64 << 10
+	upstreamReceiveBuffer = 64 << 10
+	upstreamSendBuffer    = 256 << 10
 )
 
 const (
-	// leastShare is the share of the bound that the least urgent may fill, mostShare
-	// the most urgent; what is left is for answers, which have been paid for.
-	leastShare = 0.5
-	mostShare  = 0.9
-	// wholeShare is for what is small and tells more: heads, and answers.
-	wholeShare = 1
+	// minRequestShare is the share of the bound that the least urgent requests may fill, and
+	// maxRequestShare that for the most urgent ones; the rest is reserved for answers, whose
+	// processing has already been paid for.
+	minRequestShare = 0.5
+	maxRequestShare = 0.9
+	// fullShare is for small or more valuable data: headers and answers.
+	fullShare = 1
 )
 
-// errShort says that the box has no memory for something.
-var errShort = &Error{Op: "keep", Kind: KindFull, Err: errors.New("memory is short")}
+// errMemoryShort reports that the box has no memory for an answer.
+var errMemoryShort = &Error{Op: "store answer", Kind: KindFull, Err: errors.New("memory limit reached")}
 
-// shortReason is how callers and logs are told of it.
-const shortReason = "memory short"
+// memoryShortReason is the reason given to callers and in logs.
+const memoryShortReason = "memory short"
 
-// shareFor is the share of the bound that requests of an urgency may fill; of is how
-// many urgencies there are.
-func shareFor(urgency, of int) float64 {
+// shareForUrgency is the share of the bound that requests of an urgency (0 first) may fill; of
+// is the number of urgencies.
+func shareForUrgency(urgency, of int) float64 {
 	if of < 2 {
-		return mostShare
+		return maxRequestShare
 	}
-	return mostShare - (mostShare-leastShare)*float64(min(urgency, of-1))/float64(of-1)
+	return maxRequestShare - (maxRequestShare-minRequestShare)*float64(min(urgency, of-1))/float64(of-1)
 }
 
-// shareOf is the share that a request may fill, by its head.
-func (r *Relay) shareOf(h *fasthttp.RequestHeader) float64 {
-	doc := r.belief.document()
+// requestShare is the share of the bound that a request may fill, by its header.
+func (r *Relay) requestShare(h *fasthttp.RequestHeader) float64 {
+	doc := r.published.document()
 	if doc == nil {
-		return leastShare
+		return minRequestShare
 	}
-	q := request{uri: string(h.RequestURI())}
-	rt := doc.Match(string(h.Host()), q.path())
+	req := request{uri: string(h.RequestURI())}
+	rt := doc.Match(string(h.Host()), req.path())
 	if rt == nil {
-		return leastShare
+		return minRequestShare
 	}
 	customer := doc.Customer(headerValue(h, r.cfg.Protocol.Key))
 	levels := r.cfg.Protocol.Priorities
-	return shareFor(doc.Urgency(rt, customer, levels), doc.Urgencies(levels))
+	return shareForUrgency(doc.Urgency(rt, customer, levels), doc.Urgencies(levels))
 }
 
-// keep charges bytes of an answer to the request's caller. It waits, with nothing read
-// meanwhile, until they fit or the request is given up. While nothing is read, the upstream
-// is not waited for: what it has made is held up here.
-func (x *exchange) keep(n int64) error {
-	if x.caller == nil || x.caller.lease.Grow(n, wholeShare) {
+// chargeAnswer charges n bytes of an answer to the request's caller. It waits, with nothing
+// read meanwhile, until they fit or the request is given up. While nothing is read, the
+// upstream does not count as silent: its data is held up here.
+func (x *exchange) chargeAnswer(n int64) error {
+	if x.caller == nil || x.caller.lease.Grow(n, fullShare) {
 		return nil
 	}
-	waited := x.waits.Load() != nil
-	x.heard()
-	if !x.caller.lease.Await(x.ctx, n, wholeShare) {
-		return errShort
+	wasWaiting := x.wait.Load() != nil
+	x.endReadWait()
+	if !x.caller.lease.Await(x.ctx, n, fullShare) {
+		return errMemoryShort
 	}
-	if waited {
-		x.listen(nil)
+	if wasWaiting {
+		x.startReadWait(nil)
 	}
 	return nil
 }
 
-// keptReader charges what is read of a body beyond what is free.
-type keptReader struct {
+// chargedReader charges the part of a body that exceeds freeAnswerBytes.
+type chargedReader struct {
 	exchange *exchange
 	answer   *answer
 	read     int64
-	charged  int64 // of what was read
+	charged  int64 // of the bytes read
 }
 
 // Read implements io.Reader.
-func (k *keptReader) Read(p []byte) (int, error) {
-	if k.read > freeAnswer && k.read > k.charged {
-		if err := k.exchange.keep(bodyCost * (k.read - k.charged)); err != nil {
+func (k *chargedReader) Read(p []byte) (int, error) {
+	if k.read > freeAnswerBytes && k.read > k.charged {
+		if err := k.exchange.chargeAnswer(bodyMemoryFactor * (k.read - k.charged)); err != nil {
 			return 0, err
 		}
 		k.charged = k.read
--- a/relay/memory_test.go
+++ b/relay/memory_test.go
@@ -8,15 +8,15 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// documentWithMemory is the tests' document with what the memory of an upstream holds.
+// documentWithMemory is the tests' document with a memory size for upstreams, in tokens.
 func documentWithMemory(version uint64, tokens int) any {
 	d := testDocument(version)
 	d.Services[0].Memory = tokens
 	return d
 }
 
-// remembers waits until the box goes by an upstream's memory.
-func (b *bench) remembers(tokens int) {
+// awaitMemory waits until the box applies a memory size to its upstreams.
+func (b *bench) awaitMemory(tokens int) {
 	b.t.Helper()
 	b.until(func() bool {
 		for _, u := range b.relay.state().Upstreams {
@@ -28,26 +28,26 @@
 	})
 }
 
-func TestWhatNoUpstreamCanHoldIsRefusedAtOnce(t *testing.T) {
+func TestTooLargePromptIsRefused(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", answerOK("1"))
 	b := newBench(t, u)
 	b.board.set("document", documentWithMemory(2, 2000), false)
-	b.remembers(2000)
+	b.awaitMemory(2000)
 	a := b.do(b.request("POST", "/once/x", "body", "X-Parts", "1:2000 2:100"))
-	is.Equal(a.status, 503) // as an upstream says it
+	is.Equal(a.status, 503) // the same status as an upstream's own refusal
 	is.Equal(a.body, `{"error":"larger than an upstream's memory","ran":"no"}`)
 	is.Equal(a.header.Get("Retry-After"), "3.00")
 	is.Equal(len(u.requests()), 0)
 	is.Equal(b.do(b.request("POST", "/once/x", "body", "X-Parts", "1:900 2:100")).status, 200)
 }
 
-func TestWhatFindsNoMemoryIsToldWhenToComeBack(t *testing.T) {
+func TestRefusalForLackOfUpstreamMemory(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", answerOK("1"))
 	b := newBench(t, u)
 	b.board.set("document", documentWithMemory(2, 10000), false)
-	b.remembers(10000)
+	b.awaitMemory(10000)
 	b.relay.mu.Lock()
 	other := b.relay.fleet.Open(0, "u1", balance.Request{Service: "s", Tokens: 5000})
 	b.relay.mu.Unlock()
--- a/relay/move.go
+++ b/relay/move.go
@@ -85,7 +85,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, ok := r.fleet.MoveTo(r.now(), q, x.upstream.ID, p)
-	if !ok || !r.isPresent(x.upstream) || !x.paid && !r.budgets.Of(x.service).Spend(r.now(), r.divisor()) {
+	if !ok || !r.isCurrent(x.upstream) || !x.paid && !r.budgets.Of(x.service).Spend(r.now(), r.divisor()) {
 		return m, nil
 	}
 	x.paid = true
@@ -97,7 +97,7 @@
 	r.mu.Lock()
 	m.aside.Close(r.now(), balance.Neutral)
 	r.mu.Unlock()
-	wake(r.members.loaded)
+	wake(r.members.loadsChanged)
 }
 
 // copyRun has a run's memory copied, and the run stopped.
@@ -125,7 +125,7 @@
 	defer stop()
 	a, err := r.roundTrip(c, r.outgoingCall(u, call))
 	if err != nil {
-		r.conns.drop(c)
+		r.conns.discard(c)
 		return 0, nil, err
 	}
 	body, err = io.ReadAll(io.LimitReader(a.body, wholeAnswer))
@@ -149,12 +149,12 @@
 	if c.Name == "" {
 		return false
 	}
-	if at := m.liesAt(c); x.relay.isOver(at) || x.relay.takesNone(at) {
+	if at := m.copyHolder(c); x.relay.isReplaced(at) || x.relay.takesNone(at) {
 		x.relay.dropCopy(m, c, x)
 		return false
 	}
 	x.endRun(false, balance.Neutral)
-	x.upstream = m.liesAt(c)
+	x.upstream = m.copyHolder(c)
 	x.openMoved()
 	n := x.nextRun("")
 	n.memory = c.Memory
@@ -189,7 +189,7 @@
 	r.mu.Lock()
 	x.ticket = r.fleet.OpenMoved(r.now(), x.upstream.ID, q)
 	r.mu.Unlock()
-	wake(r.members.loaded)
+	wake(r.members.loadsChanged)
 }
 
 // dropCopy frees a copy that was made and is not used.
--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -71,7 +71,7 @@
 	document := testDocument(2)
 	document.Services[0].Moves = true
 	m.board.set("document", document, false)
-	m.until(func() bool { return m.relay.version() == 2 })
+	m.until(func() bool { return m.relay.documentVersion() == 2 })
 	m.learn()
 	return m
 }
--- a/relay/said_test.go
+++ b/relay/notices_test.go
@@ -14,18 +14,19 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// announcer is three upstreams of which the first says something in its answers, and the publisher says that all are ready.
-type announcer struct {
+// noticeUpstreams are three upstreams, all listed as ready, of which the first includes a
+// notice in its answers.
+type noticeUpstreams struct {
 	t    testing.TB
 	list []*stub
 
 	mu     sync.Mutex
-	status string // of the first's answers
+	status string // of the first upstream's answers
 	says   string // header lines
 }
 
-func newAnnouncer(t testing.TB, status, says string) *announcer {
-	a := &announcer{t: t, status: status, says: says}
+func newNoticeUpstreams(t testing.TB, status, says string) *noticeUpstreams {
+	a := &noticeUpstreams{t: t, status: status, says: says}
 	for i := range 3 {
 		a.list = append(a.list, newStub(t, fmt.Sprint("u", i), func(c net.Conn, r stubRequest) bool {
 			if i > 0 {
@@ -34,66 +35,67 @@
 			a.mu.Lock()
 			status, says := a.status, a.says
 			a.mu.Unlock()
-			return answerNaming(status, says)(c, r)
+			return answerWithHeaders(status, says)(c, r)
 		}))
 	}
 	return a
 }
 
-// arrivals is how many requests have reached the first.
-func (a *announcer) arrivals() int { return len(a.list[0].requests()) }
+// arrivals is how many requests have reached the first upstream.
+func (a *noticeUpstreams) arrivals() int { return len(a.list[0].requests()) }
 
-// send sends requests by a box, one after the other.
-func (a *announcer) send(b *bench, name string, count int) {
+// send sends requests through a box, one after the other.
+func (a *noticeUpstreams) send(b *bench, name string, count int) {
 	for i := range count {
 		b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", fmt.Sprint(name, "-", i)))
 	}
 }
 
-// untilSaid sends requests by a box until one has reached the first.
-func (a *announcer) untilSaid(b *bench) {
+// untilNoticed sends requests through a box until one has reached the first upstream.
+func (a *noticeUpstreams) untilNoticed(b *bench) {
 	for i := 0; a.arrivals() == 0; i++ {
 		a.send(b, fmt.Sprint("first-", i), 1)
 	}
 }
 
-// An upstream said in each answer that it was leaving while its entry said it was ready, and got requests as before.
-func TestAnUpstreamThatSaysItIsLeavingGetsNothingNew(t *testing.T) {
+// An upstream states in each answer that it is leaving while its entry still lists it as ready:
+// it gets no more requests.
+func TestLeavingNoticeStopsRequests(t *testing.T) {
 	is := is.New(t)
-	a := newAnnouncer(t, "200 OK", "X-Leaving: 1")
+	a := newNoticeUpstreams(t, "200 OK", "X-Leaving: 1")
 	b := newBench(t, a.list...)
-	a.untilSaid(b)
+	a.untilNoticed(b)
 	a.send(b, "more", 60)
 	is.Equal(a.arrivals(), 1)
 }
 
-// isLeaving reports whether a box takes an upstream for one that is leaving.
+// isLeaving reports whether a box treats an upstream as leaving.
 func (b *bench) isLeaving(id string) bool {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	return b.relay.fleet.Get(id).Leaving
 }
 
-func TestWhichAnswersSayThatTheirUpstreamIsLeaving(t *testing.T) {
+func TestAnswersWithLeavingNotice(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		script func(net.Conn, stubRequest) bool
 		want   bool
 	}{
-		{"a whole answer", answerNaming("200 OK", "X-Leaving: 1"), true},
-		{"in another case", answerNaming("200 OK", "x-leaving: 1"), true},
-		{"not found", answerNaming("404 No", "X-Leaving: 1"), true},
-		{"a failure", answerNaming("500 Broken", "X-Leaving: 1"), true},
-		{"a refusal", answerNaming("503 Full", "X-Not-Run: 1", "X-Leaving: 1"), true},
-		{"too many", answerNaming("429 Many", "X-Not-Run: 1", "X-Leaving: 1"), true},
-		{"the same with a pause", answerNaming("503 Full", "X-Not-Run: 1", "Retry-After: 1", "X-Leaving: 1"), true},
+		{"answer", answerWithHeaders("200 OK", "X-Leaving: 1"), true},
+		{"header name in lower case", answerWithHeaders("200 OK", "x-leaving: 1"), true},
+		{"not found", answerWithHeaders("404 No", "X-Leaving: 1"), true},
+		{"a failure", answerWithHeaders("500 Broken", "X-Leaving: 1"), true},
+		{"a refusal", answerWithHeaders("503 Full", "X-Not-Run: 1", "X-Leaving: 1"), true},
+		{"too many requests", answerWithHeaders("429 Many", "X-Not-Run: 1", "X-Leaving: 1"), true},
+		{"refusal with a pause", answerWithHeaders("503 Full", "X-Not-Run: 1", "Retry-After: 1", "X-Leaving: 1"), true},
 		{"an answer to another request", func(c net.Conn, r stubRequest) bool {
 			say(c, "HTTP/1.1 200 OK\nX-Id: before\nX-Leaving: 1\nContent-Length: 0\n\n")
 			return answerOK("well")(c, r)
 		}, true},
-		{"another start of it", answerNaming("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Leaving: 1"), false},
-		{"it does not", answerNaming("200 OK", "X-Leaving: 0"), false},
-		{"the caller's own", answerOK("well"), false},
+		{"another instance", answerWithHeaders("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Leaving: 1"), false},
+		{"value 0", answerWithHeaders("200 OK", "X-Leaving: 0"), false},
+		{"caller's header only", answerOK("well"), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -103,24 +105,25 @@
 			is.Equal(len(u.requests()), 1)
 			b.list(v, false)
 			b.until(func() bool { return b.known() == 2 })
-			is.Equal(b.relay.stats.counted(leavingSaid) == 1, c.want)
+			is.Equal(b.relay.stats.counterValue(leavingNotices) == 1, c.want)
 			is.True(b.isLeaving("u") || !c.want)
 		})
 	}
 }
 
-// Answers to calls of the box's own say it as well.
-func TestAnAnswerToACallSaysThatItsUpstreamIsLeaving(t *testing.T) {
+// Answers to the box's own calls may state it as well.
+func TestLeavingNoticeInAnswerToCall(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerNaming("200 OK", "X-Leaving: 1"))
+	u := newStub(t, "u", answerWithHeaders("200 OK", "X-Leaving: 1"))
 	b := newBench(t, u)
 	_, _, err := b.relay.call(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 	is.NoErr(err)
 	is.True(b.isLeaving("u"))
 }
 
-// What runs at an upstream when it says that it is leaving ends there; what breaks goes on elsewhere.
-func TestAStreamEndsWhereItsUpstreamIsLeaving(t *testing.T) {
+// Runs at an upstream that states it is leaving may finish there; a stream that breaks
+// continues elsewhere.
+func TestStreamOnLeavingUpstream(t *testing.T) {
 	for _, breaks := range []bool{false, true} {
 		t.Run(fmt.Sprint("breaks: ", breaks), func(t *testing.T) {
 			is := is.New(t)
@@ -158,10 +161,11 @@
 	}
 }
 
-// The last upstream of a service leaves: callers hear at once that their requests have not run, and when to come back.
-func TestWhereTheLastUpstreamIsLeavingCallersHearItAtOnce(t *testing.T) {
+// If the last upstream of a service is leaving, callers are told at once that their requests
+// have not run, and when to come back.
+func TestRefusalWhenLastUpstreamIsLeaving(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerNaming("200 OK", "X-Leaving: 1"))
+	u := newStub(t, "u", answerWithHeaders("200 OK", "X-Leaving: 1"))
 	b := newBench(t, u)
 	is.Equal(b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "first")).status, http.StatusOK)
 	got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "second"))
@@ -171,11 +175,12 @@
 	is.Equal(len(u.requests()), 1)
 }
 
-// An upstream came to leave, or asked for a pause, while a request waited for a connection to it: the request goes elsewhere.
-func TestARequestThatWaitedForAConnectionIsNotSentToWhatTakesNone(t *testing.T) {
-	for name, says := range map[string]func(r *Relay, l balance.Incarnation){
-		"it is leaving": func(r *Relay, l balance.Incarnation) { r.fleet.SaysLeaving(l) },
-		"it pauses":     func(r *Relay, l balance.Incarnation) { r.fleet.Pause(r.now(), l, time.Minute) },
+// An upstream starts to leave, or requests a pause, while a request waits for a connection to
+// it: the request is sent to another one.
+func TestNoticeWhileConnectingMovesRequest(t *testing.T) {
+	for name, says := range map[string]func(r *Relay, inc balance.Incarnation){
+		"leaving": func(r *Relay, inc balance.Incarnation) { r.fleet.SaysLeaving(inc) },
+		"paused":  func(r *Relay, inc balance.Incarnation) { r.fleet.Pause(r.now(), inc, time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -184,12 +189,12 @@
 			r := b.relay
 			var once sync.Once
 			var first string
-			r.conns.cameUp = func(id string, _ time.Duration) {
+			r.conns.onConnect = func(id string, _ time.Duration) {
 				once.Do(func() {
 					first = id
-					life := r.lifeOf(id)
+					inc := r.listedIncarnation(id)
 					r.mu.Lock()
-					says(r, life)
+					says(r, inc)
 					r.mu.Unlock()
 				})
 			}
@@ -201,50 +206,52 @@
 	}
 }
 
-// An upstream turned requests away and asked for a pause each time, and got them as before.
-func TestAnUpstreamThatAsksForAPauseIsLeftAlone(t *testing.T) {
+// An upstream that refuses requests and asks for a pause each time gets none during its pause.
+func TestPauseIsRespected(t *testing.T) {
 	is := is.New(t)
-	a := newAnnouncer(t, "503 No", "X-Not-Run: 1\nRetry-After: 30")
+	a := newNoticeUpstreams(t, "503 No", "X-Not-Run: 1\nRetry-After: 30")
 	b := newBench(t, a.list...)
-	a.untilSaid(b)
+	a.untilNoticed(b)
 	for range 20 {
 		a.send(b, "more", 5)
-		time.Sleep(fullRestPassed)
+		time.Sleep(overloadPauseElapsed)
 	}
 	t.Logf("%d requests", a.arrivals())
 	is.True(a.arrivals() <= 1+2)
 }
 
-// fullRestPassed is longer than an upstream that had no room is passed over for.
-const fullRestPassed = 120 * time.Millisecond
+// overloadPauseElapsed is longer than an upstream is skipped for after a refusal because it was
+// full.
+const overloadPauseElapsed = 120 * time.Millisecond
 
-// The report by which an upstream tells what runs says that it is leaving as well, also where it tells of no run.
-func TestAReportSaysThatItsUpstreamIsLeaving(t *testing.T) {
+// A report may also state that its upstream is leaving, even if it contains no run.
+func TestLeavingNoticeInReport(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return tell(c, r, Report{Leaving: true}) })
-	p := tellingProtocol()
+	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return answerReport(c, r, Report{Leaving: true}) })
+	p := reportingProtocol()
 	b := newBenchOf(t, p, u)
-	_, err := b.relay.ask(t.Context(), suspect{exchange: &exchange{request: &request{id: "r"}}, upstream: *b.relay.fleet.Get("u"), service: "s"})
+	_, err := b.relay.fetchReport(t.Context(), silentCandidate{exchange: &exchange{request: &request{id: "r"}}, upstream: *b.relay.fleet.Get("u"), service: "s"})
 	is.NoErr(err)
 	is.True(b.isLeaving("u"))
 }
 
-// An upstream started again under its id and address while the box heard nothing of it, and said that it is leaving. Once its entry came
-// it is asked, and gets nothing where it says so again; one that does not is used.
-func TestAnUpstreamThatStartedAgainIsAskedWhetherItIsLeaving(t *testing.T) {
+// An upstream restarts under the same ID and address while the box gets no updates, and states
+// that it is leaving. Once its new entry arrives, the box asks it; it gets no requests if it
+// repeats the statement, and gets them otherwise.
+func TestRestartedUpstreamIsAskedWhetherItIsLeaving(t *testing.T) {
 	for _, says := range []bool{true, false} {
-		t.Run(fmt.Sprint("says so again: ", says), func(t *testing.T) {
+		t.Run(fmt.Sprint("repeats the notice: ", says), func(t *testing.T) {
 			is := is.New(t)
 			var mu sync.Mutex
 			headers := "X-Leaving: 1"
 			u := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
 				mu.Lock()
 				defer mu.Unlock()
-				return answerNaming("200 OK", headers)(c, r)
+				return answerWithHeaders("200 OK", headers)(c, r)
 			})
-			b := newBenchOf(t, tellingProtocol(), u)
-			b.listBorn(u, 100, false)
-			b.await("u", 100)
+			b := newBenchOf(t, reportingProtocol(), u)
+			b.listIncarnation(u, 100, false)
+			b.awaitIncarnation("u", 100)
 			b.do(b.request(http.MethodPost, "/safe/x", "x"))
 			is.True(b.isLeaving("u"))
 			if !says {
@@ -252,8 +259,8 @@
 				headers = "X-Leaving: 0"
 				mu.Unlock()
 			}
-			b.listBorn(u, 200, false)
-			b.await("u", 200)
+			b.listIncarnation(u, 200, false)
+			b.awaitIncarnation("u", 200)
 			b.until(func() bool { return b.log.contains("upstream: asked whether it is leaving") })
 			b.until(func() bool {
 				b.relay.mu.Lock()
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -23,7 +23,7 @@
 	if x.isStream(a) {
 		return x.acceptStream(a)
 	}
-	body, err := io.ReadAll(io.LimitReader(&keptReader{exchange: x, answer: a}, wholeAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(&chargedReader{exchange: x, answer: a}, wholeAnswer+1))
 	x.release()
 	whole := err == nil && len(body) <= wholeAnswer
 	x.relay.finish(a, whole)
@@ -104,12 +104,12 @@
 		x.relay.noteEnd(x.upstream.Incarnation())
 	}
 	if outcome == balance.Ended {
-		x.relay.takeName(x.upstream.Incarnation(), x.instead)
+		x.relay.noteMisdirected(x.upstream.Incarnation(), x.instead)
 	}
 	x.leaveUnreached(outcome)
 	if outcome == balance.Broken {
-		x.cutOff++
-		x.noteCutOff()
+		x.disconnects++
+		x.noteDisconnect()
 	}
 	x.logFailed(state, outcome, err)
 }
@@ -118,15 +118,15 @@
 // is another one. Those to a life that has followed are sound: with a run on the one before they
 // would all be opened again.
 func (x *exchange) leaveUnreached(outcome balance.Outcome) {
-	if x.relay.isOver(x.upstream) {
+	if x.relay.isReplaced(x.upstream) {
 		return
 	}
 	if isUnreached(outcome) || outcome == balance.Ended {
-		x.relay.conns.forget(x.upstream.ID)
+		x.relay.conns.closeIdle(x.upstream.ID)
 	}
 	if isUnreached(outcome) {
-		x.relay.logUnreached(x.upstream.ID)
-		x.relay.tryLater()
+		x.relay.logUnreachable(x.upstream.ID)
+		x.relay.wakeProbeLoop()
 	}
 }
 
@@ -134,11 +134,11 @@
 func (x *exchange) outcomeOfFailure(state runState, err error) balance.Outcome {
 	var status statusError
 	switch {
-	case x.ctx.Err() != nil, errors.Is(err, errShort), errors.Is(err, errTakesNone), errors.Is(err, errLimit), errors.Is(err, errBudget), x.silent.Load() && state == runUnknown, x.held.Load():
+	case x.ctx.Err() != nil, errors.Is(err, errMemoryShort), errors.Is(err, errTakesNone), errors.Is(err, errLimit), errors.Is(err, errBudget), x.silent.Load() && state == runUnknown, x.withheld.Load():
 		return balance.Neutral
 	case errors.As(err, &status):
 		return x.outcomeOf(int(status))
-	case state == runUnsent && errors.Is(err, errConnections):
+	case state == runUnsent && errors.Is(err, errConnLimit):
 		return balance.Failed
 	case state == runUnsent && errors.Is(err, syscall.ECONNREFUSED):
 		return balance.Closed
@@ -170,7 +170,7 @@
 		fields["error"] = err.Error()
 	}
 	if outcome == balance.Broken {
-		fields["content"] = contentName(x.contentOf())
+		fields["content"] = formatContentHash(x.contentHash())
 	}
 	r.cfg.Log.Event("run", "failed", fields)
 	r.stats.count("runs_" + runNames[state])
@@ -193,14 +193,14 @@
 	}
 	r := x.relay
 	if o == balance.Answered {
-		x.noteAnswer()
+		x.noteAnswered()
 	}
 	r.mu.Lock()
 	x.ticket.Close(r.now(), o)
 	r.wakeWaiting(x.service)
 	over := r.fleet.PausesOver()
 	r.mu.Unlock()
-	r.logPausesOver(over)
-	wake(r.members.loaded)
+	r.logPausesEnded(over)
+	wake(r.members.loadsChanged)
 	x.ticket = nil
 }
--- a/relay/outcome_test.go
+++ b/relay/outcome_test.go
@@ -43,13 +43,13 @@
 	is := is.New(t)
 	u, v := newStub(t, "u", answerOK("ok")), newStub(t, "v", answerOK("ok"))
 	b := newBench(t, u, v)
-	b.listBorn(u, 200, false)
-	b.await("u", 200)
+	b.listIncarnation(u, 200, false)
+	b.awaitIncarnation("u", 200)
 	r := b.relay
-	present, _ := r.listed("u")
+	present, _ := r.listedUpstream("u")
 	c, err := r.conns.get(context.Background(), present, "s")
 	is.NoErr(err)
-	r.conns.keep(c, time.Minute)
+	r.conns.putIdle(c, time.Minute)
 	resting := func() int {
 		r.conns.mu.Lock()
 		defer r.conns.mu.Unlock()
--- a/relay/pause_test.go
+++ b/relay/pause_test.go
@@ -15,9 +15,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-func TestWhichPauseAnAnswerAsksFor(t *testing.T) {
+func TestReadPause(t *testing.T) {
 	const dated = "Thu, 03 Dec 2026 10:00:00 GMT"
-	now := time.Date(2026, 12, 3, 9, 0, 0, 0, time.UTC) // this machine's clock is behind
+	now := time.Date(2026, 12, 3, 9, 0, 0, 0, time.UTC) // behind the upstream's clock
 	for _, c := range []struct {
 		name    string
 		word    string
@@ -28,16 +28,16 @@
 	}{
 		{"no header", "Retry-After", 503, nil, 0, false},
 		{"seconds", "Retry-After", 503, []string{"3"}, 3 * time.Second, false},
-		{"a date, by the answer's own", "Retry-After", 503, []string{"Thu, 03 Dec 2026 10:00:02 GMT"}, 2 * time.Second, false},
-		{"a word", "Retry-After", 503, []string{"soon"}, 0, true},
+		{"date, relative to the Date header", "Retry-After", 503, []string{"Thu, 03 Dec 2026 10:00:02 GMT"}, 2 * time.Second, false},
+		{"word", "Retry-After", 503, []string{"soon"}, 0, true},
 		{"0", "Retry-After", 503, []string{"0"}, 0, true},
-		{"the longer of two", "Retry-After", 503, []string{"1", "2"}, 2 * time.Second, false},
-		{"the one that can be read", "Retry-After", 503, []string{"soon", "2"}, 2 * time.Second, false},
-		{"the one that can be read, before", "Retry-After", 503, []string{"2", "soon"}, 2 * time.Second, false},
-		{"an answer that serves", "Retry-After", 200, []string{"3"}, 0, false},
-		{"a failure", "Retry-After", 500, []string{"3"}, 0, false},
-		{"too many", "Retry-After", 429, []string{"3"}, 0, false},
-		{"a deployment without the word", "", 503, []string{"3"}, 0, false},
+		{"longer of two", "Retry-After", 503, []string{"1", "2"}, 2 * time.Second, false},
+		{"invalid, then valid", "Retry-After", 503, []string{"soon", "2"}, 2 * time.Second, false},
+		{"valid, then invalid", "Retry-After", 503, []string{"2", "soon"}, 2 * time.Second, false},
+		{"successful answer", "Retry-After", 200, []string{"3"}, 0, false},
+		{"failure", "Retry-After", 500, []string{"3"}, 0, false},
+		{"too many requests", "Retry-After", 429, []string{"3"}, 0, false},
+		{"deployment without a pause header", "", 503, []string{"3"}, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -48,15 +48,15 @@
 			var h fasthttp.ResponseHeader
 			h.DisableNormalizing()
 			is.NoErr(h.Read(bufio.NewReader(strings.NewReader(text + "\r\n"))))
-			got := pauseIn(&h, c.word, now)
-			is.Equal(got.length, c.want)
+			got := readPause(&h, c.word, now)
+			is.Equal(got.duration, c.want)
 			is.Equal(got.err != nil, c.wrong)
 		})
 	}
 }
 
-// What is said costs an answer nothing to look at.
-func TestWhatAnswersSayIsReadWithoutAllocating(t *testing.T) {
+// Reading the notices of an answer does not allocate.
+func TestReadingNoticesDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	r := &Relay{cfg: Config{Protocol: testProtocol}}
 	var h fasthttp.ResponseHeader
@@ -66,23 +66,24 @@
 	}
 	h.SetStatusCode(503)
 	is.Equal(testing.AllocsPerRun(100, func() {
-		if r.saysLeaving(&h) || pauseIn(&h, "Retry-After", time.Time{}).sent != "" {
+		if r.saysLeaving(&h) || readPause(&h, "Retry-After", time.Time{}).value != "" {
 			t.Fatal("it says nothing")
 		}
 	}), 0.0)
 }
 
-// pauser is an upstream that asks for a pause once, and holds what comes later until it is let go.
-type pauser struct {
+// pausingUpstream is an upstream that requests a pause once, and blocks all later requests
+// until hold is closed.
+type pausingUpstream struct {
 	*stub
 	mu    sync.Mutex
-	asked time.Time   // when it did
-	came  []time.Time // requests since
+	asked time.Time   // when it requested the pause
+	came  []time.Time // arrival times of later requests
 	hold  chan struct{}
 }
 
-func newPauser(t testing.TB, length string) *pauser {
-	p := &pauser{hold: make(chan struct{})}
+func newPausingUpstream(t testing.TB, length string) *pausingUpstream {
+	p := &pausingUpstream{hold: make(chan struct{})}
 	p.stub = newStub(t, "u", func(c net.Conn, r stubRequest) bool {
 		p.mu.Lock()
 		asks := p.asked.IsZero()
@@ -93,7 +94,7 @@
 		}
 		p.mu.Unlock()
 		if asks {
-			return answerNaming("503 No", "X-Not-Run: 1", "Retry-After: "+length)(c, r)
+			return answerWithHeaders("503 No", "X-Not-Run: 1", "Retry-After: "+length)(c, r)
 		}
 		<-p.hold
 		return answerOK("well")(c, r)
@@ -101,8 +102,9 @@
 	return p
 }
 
-// arrivals is how many requests have come since it asked, and how long after that the first.
-func (p *pauser) arrivals() (n int, first time.Duration) {
+// arrivals returns how many requests have arrived since the pause was requested, and how long
+// after that the first did.
+func (p *pausingUpstream) arrivals() (n int, first time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.came) == 0 {
@@ -111,8 +113,8 @@
 	return len(p.came), p.came[0].Sub(p.asked)
 }
 
-// waits is how many requests of the service wait for the end of a pause.
-func (b *bench) waits() int {
+// waitingRequests is how many requests of the service wait for the end of a pause.
+func (b *bench) waitingRequests() int {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	if q := b.relay.waiting["s"]; q != nil {
@@ -121,8 +123,8 @@
 	return 0
 }
 
-// sends sends requests at the same time, and returns where their answers come.
-func (b *bench) sends(count int, header ...string) <-chan answered {
+// sendConcurrently sends requests concurrently, and returns a channel of their answers.
+func (b *bench) sendConcurrently(count int, header ...string) <-chan answered {
 	done := make(chan answered, count)
 	for i := range count {
 		go func() {
@@ -132,34 +134,36 @@
 	return done
 }
 
-// All upstreams asked for a pause: requests that can still be served after it wait, and arrive one before the others.
-func TestRequestsWaitForTheEndOfAPause(t *testing.T) {
+// If all upstreams have requested a pause, requests that can still be served afterwards wait.
+// One of them is sent before the others.
+func TestRequestsWaitForEndOfPause(t *testing.T) {
 	is := is.New(t)
 	const length = 1500 * time.Millisecond
-	u := newPauser(t, "1.5")
+	u := newPausingUpstream(t, "1.5")
 	b := newBench(t, u.stub)
 	first := b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	is.Equal(first.status, http.StatusServiceUnavailable)
 	const count = 12
-	done := b.sends(count, "X-Left", "30000")
-	b.until(func() bool { return b.waits() == count || len(u.requests()) > 1 })
+	done := b.sendConcurrently(count, "X-Left", "30000")
+	b.until(func() bool { return b.waitingRequests() == count || len(u.requests()) > 1 })
 	b.until(func() bool { n, _ := u.arrivals(); return n > 0 })
 	n, after := u.arrivals()
-	is.True(after >= length) // none came within the pause
+	is.True(after >= length) // none arrived during the pause
 	is.Equal(n, 1)           // the others wait until that one is answered
-	is.Equal(b.waits(), count-1)
+	is.Equal(b.waitingRequests(), count-1)
 	close(u.hold)
 	for range count {
 		is.Equal((<-done).status, http.StatusOK)
 	}
-	is.Equal(b.waits(), 0)
+	is.Equal(b.waitingRequests(), 0)
 	is.True(b.log.contains("upstream: used as before its pause"))
 }
 
-// Who cannot be served after the pause in its time hears it at once, with when it ends.
-func TestAPauseThatIsTooLongForACallerIsSaidAtOnce(t *testing.T) {
+// A request whose time ends before the pause is refused at once, with the end of the pause as
+// the time to come back.
+func TestPauseTooLongForCaller(t *testing.T) {
 	is := is.New(t)
-	u := newPauser(t, "30")
+	u := newPausingUpstream(t, "30")
 	b := newBench(t, u.stub)
 	for i := range 3 { // the first was sent, the others were not
 		got := b.do(b.request(http.MethodPost, "/once/x", "x", "X-Id", fmt.Sprint(i)))
@@ -171,17 +175,17 @@
 		is.True(strings.Contains(got.body, `"ran":"no"`))
 	}
 	is.Equal(len(u.requests()), 1)
-	is.True(b.relay.state().Upstreams[0].PauseLeft > 0) // as operators see it
+	is.True(b.relay.state().Upstreams[0].PauseLeft > 0) // the pause shows in the state
 }
 
-// Who leaves while it waits is not sent, and who waits for an upstream that is replaced goes to the next one.
-func TestWhoWaitsForAPauseHearsOfOthers(t *testing.T) {
+// Requests that wait for the end of a pause are sent to another upstream once one is listed.
+func TestNewUpstreamEndsWaitForPause(t *testing.T) {
 	is := is.New(t)
-	u, v := newPauser(t, "3"), newStub(t, "v", answerOK("v"))
+	u, v := newPausingUpstream(t, "3"), newStub(t, "v", answerOK("v"))
 	b := newBench(t, u.stub)
 	b.do(b.request(http.MethodPost, "/safe/x", "x"))
-	done := b.sends(3)
-	b.until(func() bool { return b.waits() == 3 })
+	done := b.sendConcurrently(3)
+	b.until(func() bool { return b.waitingRequests() == 3 })
 	b.list(v, false)
 	for range 3 {
 		is.Equal((<-done).body, "v")
@@ -190,10 +194,10 @@
 	is.Equal(n, 0)
 }
 
-// A call of the box's own is held back as well, and an answer to one asks for a pause.
-func TestCallsKeepToPauses(t *testing.T) {
+// The box's own calls respect pauses as well, and an answer to one can request a pause.
+func TestCallsRespectPauses(t *testing.T) {
 	is := is.New(t)
-	u := newPauser(t, "30")
+	u := newPausingUpstream(t, "30")
 	b := newBench(t, u.stub)
 	call := func() error {
 		_, _, err := b.relay.call(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
@@ -204,27 +208,28 @@
 	is.Equal(len(u.requests()), 1)
 }
 
-// A pause that cannot be read changes nothing, and operators see it.
-func TestAPauseThatCannotBeReadIsNamed(t *testing.T) {
+// An invalid pause is logged and has no other effect.
+func TestInvalidPauseIsLogged(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerNaming("503 No", "X-Not-Run: 1", "Retry-After: soon"))
+	u := newStub(t, "u", answerWithHeaders("503 No", "X-Not-Run: 1", "Retry-After: soon"))
 	b := newBench(t, u)
 	for range 2 {
 		b.do(b.request(http.MethodPost, "/once/x", "x"))
-		time.Sleep(fullRestPassed)
+		time.Sleep(overloadPauseElapsed)
 	}
 	is.Equal(len(u.requests()), 2)
 	is.True(b.log.contains("upstream: pause not taken"))
 }
 
-// A box that stops answers requests that wait at once: the pause may last for longer than its grace.
-func TestABoxThatStopsLetsNoneWaitForAPause(t *testing.T) {
+// A box that is stopping refuses waiting requests at once, since the pause may outlast its
+// grace period.
+func TestStopRefusesWaitingRequests(t *testing.T) {
 	is := is.New(t)
-	u := newPauser(t, "3")
+	u := newPausingUpstream(t, "3")
 	b := newBench(t, u.stub)
 	b.do(b.request(http.MethodPost, "/safe/x", "x"))
-	done := b.sends(3)
-	b.until(func() bool { return b.waits() == 3 })
+	done := b.sendConcurrently(3)
+	b.until(func() bool { return b.waitingRequests() == 3 })
 	stopped := make(chan struct{})
 	go func() {
 		b.relay.Stop()
--- a/relay/peers.go
+++ b/relay/peers.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines how datagrams come from other boxes and go to them. The invariant:
-// the socket's goroutine never waits: what the duty cannot keep up with is dropped,
-// and counted.
+// This file defines how datagrams are received from other boxes and sent to them. The
+// invariant: the socket's goroutine never blocks; messages that the members' loop cannot keep
+// up with are dropped and counted.
 
 import (
 	"context"
@@ -16,8 +16,7 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// listen opens the socket that datagrams come in on; a box without an address has
-// none.
+// listen opens the socket for incoming datagrams; a box without an address has none.
 func (m *members) listen() error {
 	address := m.relay.cfg.Self.Address
 	if address == "" {
@@ -26,12 +25,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), balance.DialWait)
 	defer cancel()
 	var err error
-	m.socket, err = datagram.Listen(ctx, datagram.Config{Address: address, Handler: m.received})
+	m.socket, err = datagram.Listen(ctx, datagram.Config{Address: address, Handler: m.handleDatagram})
 	return err
 }
 
-// received takes a datagram, on the socket's goroutine.
-func (m *members) received(b []byte) {
+// handleDatagram queues a datagram's message, on the socket's goroutine.
+func (m *members) handleDatagram(b []byte) {
 	msg := new(wire.GroupMessage)
 	if err := proto.Unmarshal(b, msg); err != nil {
 		m.relay.stats.count("datagrams_garbled")
@@ -42,26 +41,26 @@
 	}
 }
 
-// packedMessage is a message as it goes on the wire.
-type packedMessage struct {
+// encodedMessage is a message with its encoding.
+type encodedMessage struct {
 	message *wire.GroupMessage
 	bytes   []byte
 }
 
-// send sends a message, as a hint: what is lost is told again by later ones.
+// send sends a message without acknowledgment: later messages repeat what is lost.
 func (m *members) send(o group.Outgoing) {
 	to, err := netip.ParseAddrPort(o.To)
 	if err != nil || m.socket == nil {
-		return // a seed that is no address, or a box without peers
+		return // a seed that is not an address, or a box without peers
 	}
-	if o.Message != m.packed.message { // one message may go to many
+	if o.Message != m.lastEncoded.message { // one message may go to many boxes
 		b, err := proto.Marshal(o.Message)
 		if err != nil {
-			m.relay.cfg.Log.Event("group", "not sent", Fields{"to": o.To, "error": err.Error()})
+			m.relay.cfg.Log.Event("group", "encoding a message failed", Fields{"to": o.To, "error": err.Error()})
 			return
 		}
-		m.packed = packedMessage{o.Message, b}
+		m.lastEncoded = encodedMessage{o.Message, b}
 	}
-	m.traffic.add(group.KindOf(o.Message), o.Reach, len(m.packed.bytes))
-	m.socket.Send(to, m.packed.bytes)
+	m.traffic.add(group.KindOf(o.Message), o.Reach, len(m.lastEncoded.bytes))
+	m.socket.Send(to, m.lastEncoded.bytes)
 }
--- /dev/null
+++ b/relay/probe.go
@@ -0,0 +1,103 @@
+package relay
+
+// This file defines the loop that probes unreachable upstreams with connection attempts, so
+// that no request has to find out whether they can be reached again. The invariant: an upstream
+// is probed for as long as it is unreachable.
+
+import (
+	"context"
+	"errors"
+	"syscall"
+	"time"
+
+	"github.com/doormast/doormast/balance"
+)
+
+const (
+	// probeInterval is the pause between two rounds of probes.
+	probeInterval = 500 * time.Millisecond
+	// maxProbes is how many upstreams one round probes.
+	maxProbes = 4
+)
+
+// probeLoop probes unreachable upstreams until ctx ends. It blocks while all can be reached.
+func (r *Relay) probeLoop(ctx context.Context) {
+	next := 0
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-r.probeWake:
+		}
+		for list := r.unreachable(); len(list) > 0 && ctx.Err() == nil; list = r.unreachable() {
+			for range min(maxProbes, len(list)) {
+				u := list[next%len(list)]
+				next++
+				go r.probeUnreachable(ctx, u.ID, u.Address)
+			}
+			sleep(ctx, probeInterval)
+		}
+	}
+}
+
+// logUnreachable logs the upstreams that have newly been marked unreachable; cause is the
+// upstream whose failed connection attempt led to that.
+func (r *Relay) logUnreachable(cause string) {
+	r.mu.Lock()
+	list := r.fleet.NewlyLost()
+	r.mu.Unlock()
+	for _, u := range list {
+		r.cfg.Log.Event("upstream", "out of reach", Fields{"upstream": u.ID, "domain": u.Domain, "service": u.Service,
+			"cause": cause, "by_domain": u.ByDomain})
+	}
+}
+
+// unreachable lists the upstreams that are marked unreachable.
+func (r *Relay) unreachable() []balance.Upstream {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.fleet.Unreached()
+}
+
+// probeUnreachable opens a connection to an upstream and closes it, and marks the upstream
+// reachable if that succeeds.
+func (r *Relay) probeUnreachable(ctx context.Context, id, address string) {
+	inc := r.listedIncarnation(id)
+	c, err := dial(ctx, address)
+	if err != nil {
+		if errors.Is(err, syscall.ECONNREFUSED) {
+			r.noteEnd(inc)
+		}
+		r.closeRetriableRuns(inc)
+		return // the next round probes it again
+	}
+	_ = c.Close()
+	r.mu.Lock()
+	isListed := r.fleet.ReachedLife(r.now(), inc)
+	r.mu.Unlock()
+	if isListed {
+		r.cfg.Log.Event("upstream", "reachable again", Fields{"upstream": id, "born": inc.StartedAt})
+	}
+}
+
+// closeRetriableRuns closes the connections of the runs on an incarnation that is unreachable
+// or has ended, where the request may run again: it is retried on another upstream at once
+// instead of after the TCP timeout. It is called only after a probe has failed as well, since
+// overloaded engines let connections wait too.
+func (r *Relay) closeRetriableRuns(inc balance.Incarnation) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for x, c := range r.runs {
+		if c.incarnation == inc && x.route.Again() {
+			_ = c.Close()
+		}
+	}
+}
+
+// wakeProbeLoop wakes probeLoop.
+func (r *Relay) wakeProbeLoop() {
+	select {
+	case r.probeWake <- struct{}{}:
+	default:
+	}
+}
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -1,46 +1,49 @@
 package relay
 
-// This file defines the words a deployment uses on the wire. The invariant: the relay
-// itself only knows what each is for.
+// This file defines the header names and upstream calls of a deployment. The invariant: the
+// relay itself only knows their purposes.
 
 import "github.com/doormast/doormast/balance"
 
-// Protocol names the headers that the relay reads and sets, and reads those that
-// describe a prompt. A header that a deployment lacks is an empty text.
+// Protocol defines the headers that the relay reads and sets, the calls to upstreams, and how
+// the description of a prompt is read. A header that a deployment does not have is an empty
+// string.
 type Protocol struct {
-	RequestID       string // identifies one attempt of a caller; comes back in its answer
-	TimeLeft        string // milliseconds the caller will wait; milliseconds left for the upstream
-	Key             string // the caller's secret; not passed on
-	Customer        string // set for the upstream: who holds the key
-	Instance        string // set for the upstream: the start of it that is meant
-	CurrentInstance string // in an upstream's refusal: the start of it that is there
-	Limit           string // in an upstream's answer: requests a second that it takes from all boxes together
-	Leaving         string // in an upstream's answer: 1 where it is leaving
+	RequestID       string // identifies one attempt of a caller; returned in its answer
+	TimeLeft        string // milliseconds that the caller will wait; milliseconds left for the upstream
+	Key             string // the caller's secret; not forwarded
+	Customer        string // set for the upstream: the customer who holds the key
+	Instance        string // set for the upstream: the instance that the request is meant for
+	CurrentInstance string // in an upstream's refusal: the instance that now has its address
+	Limit           string // in an upstream's answer: requests per second that it accepts from all boxes together
+	Leaving         string // in an upstream's answer: 1 if it is leaving
 	RetryAfter      string // in an upstream's refusal: for how long it wants no requests from this box
 	NotExecuted     string // in an upstream's refusal: it has not run the request
-	Signature       string // in an upstream's answer: who gave it; the relay only passes it on
-	Priority        string // set for the upstream, 0 first
-	LastEvent       string // the last event of a stream that was seen
-	KVHandle        string // set for the upstream: the copy that a run goes on from
-	FetchFrom       string // set for the upstream: IP:port of another that keeps the prompt
-	Priorities      int    // how many values Priority has, from 0
+	Signature       string // in an upstream's answer: who gave it; the relay only forwards it
+	Priority        string // set for the upstream, 0 for the most urgent
+	LastEvent       string // the last event of a stream that the caller has received
+	KVHandle        string // set for the upstream: the KV cache copy that a run continues from
+	FetchFrom       string // set for the upstream: IP:port of another upstream that has the prompt cached
+	Priorities      int    // how many values Priority has, starting at 0
 
-	// Reserved are further headers that only a box may set. An upstream acts on them, so
-	// one that a caller made up takes memory or a place there that serves nobody, or has
-	// its request rejected.
+	// Reserved are further headers that only a box may set. Upstreams act on them, so one that
+	// a caller made up would take memory or a slot there for nothing, or get its request
+	// rejected.
 	Reserved []ReservedHeader
-	// PromptHeaders are the headers that say what is to be run. They go on even where a caller
-	// names them among those of its connection: without them another request would run.
+	// PromptHeaders are the headers that describe what to run. They are forwarded even where a
+	// caller lists them in its Connection header: without them another request would run.
 	PromptHeaders []string
 
-	// MoveCall has an upstream copy the memory of a request's run to another one's address, IP:port,
-	// and stop the run; Moved reads its answer, which came from IP:port. DropCall frees a copy. Nil where runs cannot move.
+	// MoveCall makes an upstream copy the KV cache of a request's run to the upstream at to
+	// (IP:port) and stop the run; ParseMove parses its answer, which came from IP:port.
+	// DropCall frees a copy. All are nil if runs cannot move.
 	MoveCall  func(request, to string) UpstreamCall
 	ParseMove func(from string, status int, body []byte) Copy
 	DropCall  func(name string) UpstreamCall
 
-	// ReportCall asks an upstream what runs there; Reported reads of the answer what it tells of a
-	// request, false where it tells nothing. Nil where upstreams tell nothing of their runs.
+	// ReportCall asks an upstream for its runs; ParseReport returns what the answer says of a
+	// request, false if the answer is no report. Both are nil if upstreams do not report their
+	// runs.
 	ReportCall  func() UpstreamCall
 	ParseReport func(status int, body []byte, request string) (Report, bool)
 
@@ -48,7 +51,7 @@
 	Prompt func(get func(name string) string) Prompt
 }
 
-// UpstreamCall is a call to an upstream that is no request of a caller.
+// UpstreamCall is a call to an upstream on the box's own behalf, not for a caller.
 type UpstreamCall struct {
 	Method, Path string
 	Body         []byte // JSON
@@ -60,8 +63,8 @@
 	Purpose string // what an upstream does with it
 }
 
-// own lists the headers that never go on as the caller sent them.
-func (p *Protocol) own() []string {
+// neverForwarded lists the headers that are not forwarded as the caller sent them.
+func (p *Protocol) neverForwarded() []string {
 	list := []string{p.TimeLeft, p.Key, p.Customer, p.Instance, p.Priority, p.LastEvent, p.FetchFrom, p.KVHandle}
 	for _, h := range p.Reserved {
 		list = append(list, h.Name)
@@ -69,12 +72,15 @@
 	return list
 }
 
-// vital lists the headers that go on whatever the caller says of its connection.
-func (p *Protocol) vital() []string { return append([]string{p.RequestID}, p.PromptHeaders...) }
+// alwaysForwarded lists the headers that are forwarded even if the caller's Connection header
+// lists them.
+func (p *Protocol) alwaysForwarded() []string {
+	return append([]string{p.RequestID}, p.PromptHeaders...)
+}
 
 // Prompt describes what a request asks of a model.
 type Prompt struct {
 	Parts    []balance.Part
 	Tokens   int // of the prompt
-	Expected int // of the answer, as the caller guesses; 0: not said
+	Expected int // of the answer, as estimated by the caller; 0: not stated
 }
--- a/relay/pull.go
+++ b/relay/pull.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines how a box fetches all that another has, and answers the same. The
-// invariant: the answer is made by the duty that owns the mirror, and a box has one
-// pull under way at most.
+// This file defines how a box pulls the complete state of another, and answers such pulls. The
+// invariant: the answer is made by the loop that owns the mirror, and a box has at most one
+// pull in progress.
 
 import (
 	"context"
@@ -17,42 +17,42 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// pullWait is the longest a pull may take: a compressed document of 20 KB over the
-// slowest links, of 10 Mbit/s and shared.
-const pullWait = 1500 * time.Millisecond
+// pullTimeout bounds a pull: a compressed document of 20 KB over the slowest links, which are
+// shared and carry 10 Mbit/s.
+const pullTimeout = 1500 * time.Millisecond
 
-// microsOfMilli is the unit of times in messages, in that of logs.
-const microsOfMilli = 1000
+// microsPerMilli converts times in messages to the milliseconds of logs.
+const microsPerMilli = 1000
 
-// newPullClient returns the client of pulls. Each has a connection of its own: one that rests
-// may have fallen silent, and a pull would be lost on it.
+// newPullClient returns the HTTP client for pulls. Each pull opens a connection: an idle one
+// may no longer deliver data, and the pull would be lost on it.
 func newPullClient() *http.Client {
-	return &http.Client{Timeout: pullWait, Transport: &http.Transport{DisableKeepAlives: true}}
+	return &http.Client{Timeout: pullTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// pull fetches what another box has and hands it to the duty.
+// pull fetches the state of another box and passes it to the members' loop.
 func (m *members) pull(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, pullWait)
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	self := m.relay.cfg.Self
 	client := wire.NewMirrorsClient(m.relay.pullClient, "http://"+address)
-	asked := m.relay.now()
+	requestedAt := m.relay.now()
 	resp, err := client.Mirror(ctx, connect.NewRequest(&wire.MirrorRequest{Packed: true, Domain: self.Domain, Region: self.Region, Pulls: self.Pulls, After: m.revision.Load()}))
-	result := &pullResult{from: address, asked: asked, err: err}
+	result := &pullResult{from: address, requestedAt: requestedAt, err: err}
 	if err == nil {
 		result.response = resp.Msg
 	}
 	for !m.events.TryPush(memberEvent{pulled: result}) {
 		select {
 		case <-ctx.Done():
-			return // the box ends, or the duty is stuck: the next pull will tell
-		case <-time.After(memberTick):
+			return // the box is stopping, or the loop is blocked; the next pull will show which
+		case <-time.After(tickInterval):
 		}
 	}
 }
 
-// takePulled takes in, on the members' duty, what came of a pull.
-func (m *members) takePulled(now time.Duration, p *pullResult) {
+// applyPull applies a pull's result, on the members' loop.
+func (m *members) applyPull(now time.Duration, p *pullResult) {
 	m.pulling = false
 	if p.err != nil {
 		m.node.PullFailed()
@@ -60,55 +60,56 @@
 		return
 	}
 	if left := p.response.BusyLeft; left > 0 {
-		m.relay.cfg.Log.Event("group", "pull turned away", Fields{"from": p.from, "busy_ms": left / microsOfMilli, "elsewhere": p.response.Elsewhere})
+		m.relay.cfg.Log.Event("group", "pull refused", Fields{"from": p.from, "busy_ms": left / microsPerMilli, "elsewhere": p.response.Elsewhere})
 	}
-	m.node.Pulled(now, p.asked, p.response)
+	m.node.Pulled(now, p.requestedAt, p.response)
 }
 
-// mirrors answers other boxes' pulls.
-type mirrors struct{ members *members }
+// mirrorService answers other boxes' pulls.
+type mirrorService struct{ members *members }
 
-var _ wire.MirrorsHandler = mirrors{}
+var _ wire.MirrorsHandler = mirrorService{}
 
-// errBusy says that the duty has fallen behind.
-var errBusy = errors.New("too much is waiting on this box")
+// errBusy reports that the members' event queue is full.
+var errBusy = errors.New("event queue is full")
 
 // Mirror implements wire.MirrorsHandler.
-func (s mirrors) Mirror(
+func (s mirrorService) Mirror(
 	ctx context.Context, req *connect.Request[wire.MirrorRequest],
 ) (*connect.Response[wire.MirrorResponse], error) {
-	answer := make(chan *wire.MirrorResponse, 1)
-	if !s.members.events.TryPush(memberEvent{ask: answer, request: req.Msg}) {
+	reply := make(chan *wire.MirrorResponse, 1)
+	if !s.members.events.TryPush(memberEvent{mirrorReply: reply, mirrorRequest: req.Msg}) {
 		return nil, connect.NewError(connect.CodeUnavailable, errBusy)
 	}
 	select {
-	case r := <-answer:
+	case resp := <-reply:
 		caller := &wire.GroupBox{Domain: req.Msg.Domain, Region: req.Msg.Region}
-		s.members.traffic.add(group.KindPulled, group.ReachOf(s.members.relay.cfg.Self, caller), proto.Size(r))
-		return connect.NewResponse(r), nil
+		s.members.traffic.add(group.KindPulled, group.ReachOf(s.members.relay.cfg.Self, caller), proto.Size(resp))
+		return connect.NewResponse(resp), nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// neverCompress is more than an answer has: what is long in one is compressed already.
-const neverCompress = 1 << 30
+// minCompressBytes is larger than any answer, which turns compression off: the large parts of
+// an answer are already compressed.
+const minCompressBytes = 1 << 30
 
 // serveControl answers other boxes until the listener is closed.
 func (r *Relay) serveControl() {
 	mux := http.NewServeMux()
-	path, handler := wire.NewMirrorsHandler(mirrors{r.members}, connect.WithCompressMinBytes(neverCompress))
+	path, handler := wire.NewMirrorsHandler(mirrorService{r.members}, connect.WithCompressMinBytes(minCompressBytes))
 	mux.Handle(path, handler)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: pullWait, IdleTimeout: pullWait}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: pullTimeout, IdleTimeout: pullTimeout}
 	if err := server.Serve(r.cfg.Control); err != nil && !r.stopping.Load() {
-		r.cfg.Log.Event("control", "not served", Fields{"error": err.Error()})
+		r.cfg.Log.Event("control", "server failed", Fields{"error": err.Error()})
 	}
 }
 
-// pullResult is what another box has.
+// pullResult is the result of a pull.
 type pullResult struct {
-	from     string
-	asked    time.Duration
-	response *wire.MirrorResponse
-	err      error
+	from        string
+	requestedAt time.Duration
+	response    *wire.MirrorResponse
+	err         error
 }
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines the duty that reads the publisher while this box is to. The
-// invariant: a reading is taken in before the next one begins, so that each goes on
-// where the mirror is.
+// This file defines the loop that reads the publisher while this box is chosen to. The
+// invariant: the result of a read is applied before the next read starts, so that each read
+// continues from the mirror's revision.
 
 import (
 	"context"
@@ -12,129 +12,130 @@
 	"github.com/doormast/doormast/mirror"
 )
 
-// readResult is what came of a reading of the publisher.
+// readResult is the result of reading the publisher.
 type readResult struct {
-	known    time.Duration // a moment at which what was read was the newest
+	asOf     time.Duration // a moment at which the data read was current
 	items    []mirror.Item
 	revision uint64
-	whole    bool
+	full     bool
 	err      error
-	taken    chan<- struct{} // closed when it was taken in
-	pause    time.Duration   // to wait before the next reading; set before taken is closed
+	applied  chan<- struct{} // closed when the result was applied
+	delay    time.Duration   // delay before the next read; set before applied is closed
 }
 
-// readDuty reads while the group wants this box to.
-func (m *members) readDuty(ctx context.Context) {
+// readLoop reads while the group wants this box to.
+func (m *members) readLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !m.reads.Load() {
+		if !m.shouldRead.Load() {
 			select {
 			case <-ctx.Done():
-			case <-m.kick:
+			case <-m.readWake:
 			}
 			continue
 		}
-		if pause := m.readOnce(ctx); pause > 0 {
-			sleep(ctx, pause)
+		if delay := m.readOnce(ctx); delay > 0 {
+			sleep(ctx, delay)
 		}
 	}
 }
 
-// readOnce reads once, hands in what came of it, and waits until that is taken in. It
-// returns how long to wait before the next reading.
+// readOnce reads once, hands the result to the members' loop, and waits until it is applied. It
+// returns the delay before the next read.
 func (m *members) readOnce(ctx context.Context) time.Duration {
-	r := m.callPublisher(ctx)
+	r := m.readPublisher(ctx)
 	m.relay.stats.count("publisher_calls")
-	taken := make(chan struct{})
-	r.taken = taken
+	applied := make(chan struct{})
+	r.applied = applied
 	for !m.events.TryPush(memberEvent{read: r}) {
-		sleep(ctx, memberTick)
+		sleep(ctx, tickInterval)
 		if ctx.Err() != nil {
 			return 0
 		}
 	}
 	select {
-	case <-taken:
-		return r.pause
+	case <-applied:
+		return r.delay
 	case <-ctx.Done():
 		return 0
 	}
 }
 
-// callPublisher asks for the changes behind the mirror's revision, or for everything
-// where the mirror is empty or they are no longer known.
-func (m *members) callPublisher(ctx context.Context) *readResult {
-	r := &readResult{known: m.relay.now(), whole: m.revision.Load() == 0}
+// readPublisher reads the changes since the mirror's revision, or all items if the mirror is
+// empty or the publisher no longer has those changes.
+func (m *members) readPublisher(ctx context.Context) *readResult {
+	r := &readResult{asOf: m.relay.now(), full: m.revision.Load() == 0}
 	publisher := m.relay.cfg.Publisher
-	if !r.whole {
-		watch := time.Duration(m.watch.Load())
-		r.items, r.revision, r.err = publisher.Changes(ctx, m.revision.Load(), watch)
-		if waited := r.known + watch; len(r.items) == 0 && m.relay.now() >= waited {
-			r.known = waited // the publisher has waited that long before it answered
+	if !r.full {
+		wait := time.Duration(m.watchFor.Load())
+		r.items, r.revision, r.err = publisher.Changes(ctx, m.revision.Load(), wait)
+		if asOf := r.asOf + wait; len(r.items) == 0 && m.relay.now() >= asOf {
+			r.asOf = asOf // the publisher waited for changes that long before it answered
 		}
 	}
-	if r.whole || errors.Is(r.err, mirror.ErrForgotten) {
-		m.readEverything(ctx, r)
+	if r.full || errors.Is(r.err, mirror.ErrForgotten) {
+		m.readFull(ctx, r)
 	}
 	return r
 }
 
-// readEverything reads all that is published. A reading that goes on where one failed
-// tells how it was when the first of them began.
-func (m *members) readEverything(ctx context.Context, r *readResult) {
-	if !m.goesOn {
-		m.wholeFrom = m.relay.now()
+// readFull reads all published items. A read that continues a failed one returns data that was
+// current when the first of them started.
+func (m *members) readFull(ctx context.Context, r *readResult) {
+	if !m.resumesRead {
+		m.fullReadStart = m.relay.now()
 	}
-	r.known, r.whole = m.wholeFrom, true
+	r.asOf, r.full = m.fullReadStart, true
 	if m.revision.Load() == 0 {
-		var end context.CancelCauseFunc
-		ctx, end = m.untilKnown(ctx)
-		defer end(nil)
+		var cancel context.CancelCauseFunc
+		ctx, cancel = m.untilFilled(ctx)
+		defer cancel(nil)
 	}
 	r.items, r.revision, r.err = m.relay.cfg.Publisher.Everything(ctx)
-	m.goesOn = r.err != nil
+	m.resumesRead = r.err != nil
 	if r.err != nil && errors.Is(context.Cause(ctx), mirror.ErrNotNeeded) {
-		r.err = mirror.ErrNotNeeded // however the page under way ended: a box that knows is none that cannot read
+		r.err = mirror.ErrNotNeeded // however the current page ended: a box that has the data has not failed to read
 	}
 }
 
-// untilKnown ends with ctx, or when another box has told this one what is published: after all
-// boxes were killed at once, pages that nobody needs any more would keep others from theirs.
-func (m *members) untilKnown(ctx context.Context) (context.Context, context.CancelCauseFunc) {
-	ctx, end := context.WithCancelCause(ctx)
+// untilFilled returns a context that ends with ctx, or when another box has sent this one the
+// published data: after all boxes were killed at once, reading pages that are no longer needed
+// would delay other boxes' reads.
+func (m *members) untilFilled(ctx context.Context) (context.Context, context.CancelCauseFunc) {
+	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		select {
-		case <-m.known:
-			end(mirror.ErrNotNeeded)
+		case <-m.filled:
+			cancel(mirror.ErrNotNeeded)
 		case <-ctx.Done():
 		}
 	}()
-	return ctx, end
+	return ctx, cancel
 }
 
-// takeRead takes in, on the members' duty, what came of a reading.
-func (m *members) takeRead(now time.Duration, r *readResult) {
-	defer close(r.taken)
+// applyRead applies a read's result, on the members' loop.
+func (m *members) applyRead(now time.Duration, r *readResult) {
+	defer close(r.applied)
 	if errors.Is(r.err, mirror.ErrNotNeeded) {
 		return // another box was faster
 	}
 	if r.err != nil {
 		m.failures++
-		r.pause = m.node.ReadBackoff(m.failures)
+		r.delay = m.node.ReadBackoff(m.failures)
 		m.node.ReadFailed()
-		m.relay.belief.lose(m.relay, r.err)
+		m.relay.published.noteLost(m.relay, r.err)
 		return
 	}
 	m.failures = 0
 	if len(r.items) > 0 {
-		// A hundred entries that change one after the other, as when upstreams start, are
-		// some ten readings with this, and a hundred without.
-		r.pause = m.relay.cfg.Timing.Gather
+		// With this delay, a hundred entries that change one after the other, as when upstreams
+		// start, take some ten reads; without it they take a hundred.
+		r.delay = m.relay.cfg.Timing.Gather
 	}
-	m.node.Read(now, r.known, r.items, r.revision, r.whole)
-	m.relay.belief.regain(m.relay)
+	m.node.Read(now, r.asOf, r.items, r.revision, r.full)
+	m.relay.published.noteRegained(m.relay)
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for a duration, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/relay/reader_test.go
+++ b/relay/reader_test.go
@@ -11,13 +11,13 @@
 	"github.com/doormast/doormast/mirror"
 )
 
-// flaky is a publisher whose readings of everything fail as often as the test says.
-type flaky struct{ fails int }
+// flakyPublisher is a publisher whose first full reads fail.
+type flakyPublisher struct{ fails int }
 
-var _ mirror.Publisher = (*flaky)(nil)
+var _ mirror.Publisher = (*flakyPublisher)(nil)
 
 // Everything implements mirror.Publisher.
-func (f *flaky) Everything(context.Context) ([]mirror.Item, uint64, error) {
+func (f *flakyPublisher) Everything(context.Context) ([]mirror.Item, uint64, error) {
 	if f.fails--; f.fails >= 0 {
 		return nil, 0, errors.New("a page failed")
 	}
@@ -25,45 +25,46 @@
 }
 
 // Changes implements mirror.Publisher.
-func (f *flaky) Changes(context.Context, uint64, time.Duration) ([]mirror.Item, uint64, error) {
+func (f *flakyPublisher) Changes(context.Context, uint64, time.Duration) ([]mirror.Item, uint64, error) {
 	return nil, 0, mirror.ErrForgotten
 }
 
-// A reading that may have gone on where one failed is as old as the first of them.
-func TestAReadingIsAsOldAsTheOneItWentOnFrom(t *testing.T) {
-	for _, revision := range []uint64{0, 5} { // nothing known yet, and the history forgotten
+// A full read that may continue a failed one is as old as the first of them.
+func TestContinuedReadKeepsItsAge(t *testing.T) {
+	for _, revision := range []uint64{0, 5} { // an empty mirror, and one whose changes are no longer available
 		is := is.New(t)
-		m := &members{relay: &Relay{start: time.Now().Add(-time.Minute), cfg: Config{Publisher: &flaky{fails: 2}}}}
+		m := &members{relay: &Relay{start: time.Now().Add(-time.Minute), cfg: Config{Publisher: &flakyPublisher{fails: 2}}}}
 		m.revision.Store(revision)
-		first := m.callPublisher(context.Background())
-		m.callPublisher(context.Background())
-		third := m.callPublisher(context.Background())
+		first := m.readPublisher(context.Background())
+		m.readPublisher(context.Background())
+		third := m.readPublisher(context.Background())
 		is.True(first.err != nil)
 		is.NoErr(third.err)
-		is.True(third.whole)
-		is.Equal(third.known, first.known)
-		fourth := m.callPublisher(context.Background())
-		is.True(fourth.known > third.known) // it began by itself
+		is.True(third.full)
+		is.Equal(third.asOf, first.asOf)
+		fourth := m.readPublisher(context.Background())
+		is.True(fourth.asOf > third.asOf) // it did not continue another read
 	}
 }
 
-// hanging is a publisher whose page fails some time after what it would tell is known.
-type hanging struct{ flaky }
+// hangingPublisher is a publisher whose full read fails some time after its data is no longer
+// needed.
+type hangingPublisher struct{ flakyPublisher }
 
 // Everything implements mirror.Publisher.
-func (h *hanging) Everything(ctx context.Context) ([]mirror.Item, uint64, error) {
+func (h *hangingPublisher) Everything(ctx context.Context) ([]mirror.Item, uint64, error) {
 	<-ctx.Done()
 	return nil, 0, errors.New("time-out")
 }
 
-// A reading that hangs, and fails after another box has told all, is none that failed.
-func TestAReadingThatHangsIsNotNeeded(t *testing.T) {
+// A read that hangs, and fails after another box has sent the data, does not count as failed.
+func TestHangingReadIsNotNeeded(t *testing.T) {
 	is := is.New(t)
-	m := &members{relay: &Relay{start: time.Now(), cfg: Config{Publisher: &hanging{}}}, known: make(chan struct{})}
-	close(m.known)
-	is.Equal(m.callPublisher(context.Background()).err, mirror.ErrNotNeeded)
+	m := &members{relay: &Relay{start: time.Now(), cfg: Config{Publisher: &hangingPublisher{}}}, filled: make(chan struct{})}
+	close(m.filled)
+	is.Equal(m.readPublisher(context.Background()).err, mirror.ErrNotNeeded)
 	ctx, end := context.WithCancel(context.Background())
 	end()
-	m.known = make(chan struct{})
-	is.True(!errors.Is(m.callPublisher(ctx).err, mirror.ErrNotNeeded)) // the box ends
+	m.filled = make(chan struct{})
+	is.True(!errors.Is(m.readPublisher(ctx).err, mirror.ErrNotNeeded)) // the box stops
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -77,9 +77,9 @@
 	startBoot time.Duration // the same by the clock that counts suspensions
 	slept     atomic.Int64  // time.Duration for which the machine was suspended since
 	startWall atomic.Int64  // the time of day at the start, Unix ns, as it seemed when a request last came
-	belief    belief
+	published published
 	account   *account.Account // of what is kept for callers and upstreams
-	conns     *conns
+	conns     *connPool
 	stats     stats
 	front     *front
 
@@ -93,14 +93,14 @@
 	runs       map[*exchange]*conn // the connections on which requests run
 	waiting    map[string]*waiting // requests that wait for the end of a pause, by service
 	// Lives of which it is being found out whether they have ended; closed when that is known.
-	finding map[balance.Incarnation]chan struct{}
-
-	trials   chan struct{} // readable when an upstream could not be reached
-	stopping atomic.Bool
-	ended    atomic.Bool // the grace of a planned stop is over
-	cancel   context.CancelFunc
-	ends     chan string // the name of each duty that has ended
-	duties   int
+	endChecks map[balance.Incarnation]chan struct{}
+
+	probeWake chan struct{} // readable when an upstream could not be reached
+	stopping  atomic.Bool
+	ended     atomic.Bool // the grace of a planned stop is over
+	cancel    context.CancelFunc
+	ends      chan string // the name of each duty that has ended
+	duties    int
 }
 
 // Start starts a relay; Stop ends it. The error is an Error of KindEdge where datagrams
@@ -114,22 +114,22 @@
 		cfg:        cfg,
 		start:      time.Now(),
 		startBoot:  cfg.Clock.Boot(),
-		belief:     newBelief(),
+		published:  newPublished(),
 		account:    account.New(cfg.Memory),
 		cancel:     cancel,
 		ends:       make(chan string, maxDuties),
 		pullClient: newPullClient(),
-		trials:     make(chan struct{}, 1),
+		probeWake:  make(chan struct{}, 1),
 		runs:       make(map[*exchange]*conn),
 		waiting:    make(map[string]*waiting),
-		finding:    make(map[balance.Incarnation]chan struct{}),
+		endChecks:  make(map[balance.Incarnation]chan struct{}),
 		stats:      newStats(),
 	}
 	r.startWall.Store(r.start.UnixNano())
 	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, Named: cfg.Limits, Off: cfg.Off, FirstStart: cfg.FirstStart})
 	r.budgets = balance.NewBudgets(cfg.Budget, r.now(), cfg.FirstStart)
-	r.conns = newConns(r.connectionCap)
-	r.conns.cameUp = r.noteWay
+	r.conns = newConnPool(r.connectionCap)
+	r.conns.onConnect = r.recordConnectTime
 	r.front = newFront(r)
 	var err error
 	if r.members, err = newMembers(r); err != nil {
@@ -143,11 +143,11 @@
 
 // startDuties starts what goes on until the box ends.
 func (r *Relay) startDuties(ctx context.Context) {
-	r.run("members", func() { r.members.duty(ctx) })
-	r.run("reader", func() { r.members.readDuty(ctx) })
-	r.run("trials", func() { r.trialDuty(ctx) })
+	r.run("members", func() { r.members.run(ctx) })
+	r.run("reader", func() { r.members.readLoop(ctx) })
+	r.run("trials", func() { r.probeLoop(ctx) })
 	if r.cfg.Protocol.ReportCall != nil {
-		r.run("silence", func() { r.silenceDuty(ctx) })
+		r.run("silence", func() { r.silenceLoop(ctx) })
 	}
 	if r.cfg.Control != nil {
 		r.run("control", r.serveControl)
@@ -176,7 +176,7 @@
 
 // connectionCap is how many connections this box may hold to an upstream.
 func (r *Relay) connectionCap(service string) int {
-	doc := r.belief.document()
+	doc := r.published.document()
 	if doc == nil {
 		return 1
 	}
@@ -192,4 +192,4 @@
 }
 
 // Ready reports whether callers may be sent here.
-func (r *Relay) Ready() bool { return !r.stopping.Load() && r.belief.document() != nil }
+func (r *Relay) Ready() bool { return !r.stopping.Load() && r.published.document() != nil }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -118,7 +118,7 @@
 			a := b.do(b.request("POST", path, "").WithContext(ctx))
 			is.True(a.err != nil)
 			<-u.ended // the upstream sees the end
-			b.until(func() bool { return b.relay.stats.open.Load() == 0 })
+			b.until(func() bool { return b.relay.stats.openRequests.Load() == 0 })
 		})
 	}
 }
--- a/relay/request.go
+++ b/relay/request.go
@@ -83,8 +83,8 @@
 
 // passOn collects the headers that go to the upstream.
 func (r *Relay) passOn(h *fasthttp.RequestHeader) []byte {
-	vital := r.cfg.Protocol.vital()
-	drop := slices.Concat(r.cfg.Protocol.own(), hopHeaders)
+	vital := r.cfg.Protocol.alwaysForwarded()
+	drop := slices.Concat(r.cfg.Protocol.neverForwarded(), hopHeaders)
 	hop := connectionHeaders(h)
 	var out bytes.Buffer
 	for name, value := range h.All() {
--- a/relay/retry_test.go
+++ b/relay/retry_test.go
@@ -22,7 +22,7 @@
 	is.NoErr(b.relay.cfg.Log.Close())
 	is.True(b.log.contains(`"msg":"run: not retried"`))
 	is.True(b.log.contains(`"service":"s"`))
-	is.Equal(b.relay.stats.counted(retriesDenied), uint64(1))
+	is.Equal(b.relay.stats.counterValue(retriesDenied), uint64(1))
 	rows := b.relay.state().Retries
 	is.Equal(len(rows), 1)
 	is.Equal(rows[0].Service, "s")
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -67,13 +67,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	began := time.Now()
-	choice, ok := r.fleet.Place(r.now(), q, x.triedPresent())
+	choice, ok := r.fleet.Place(r.now(), q, x.triedCurrent())
 	r.stats.observe("decision_us", time.Since(began).Microseconds())
 	if choice.Passed > 0 {
-		r.stats.count(heldBack)
+		r.stats.count(requestsHeldBack)
 	}
 	if !ok {
-		x.paused = x.pauseLeft(x.triedPresent())
+		x.paused = x.pauseLeft(x.triedCurrent())
 		x.limited = choice.Passed > 0 && x.paused == 0
 		x.tooLarge = r.fleet.TooLarge(q)
 		left := max(r.fleet.ColdLeft(r.now(), x.service), r.fleet.MemoryLeft(r.now(), q), r.fleet.LimitLeft(r.now(), x.service), spread(r.fleet.LackedFor(r.now(), x.service)))
@@ -87,7 +87,7 @@
 		}
 	}
 	x.ticket = r.fleet.Open(r.now(), choice.Upstream.ID, q)
-	wake(r.members.loaded)
+	wake(r.members.loadsChanged)
 	x.upstream = *choice.Upstream
 	x.fetched, x.kept, x.ahead = choice.Fetch != "", choice.Kept, choice.Backlog
 	return choice, true
--- a/relay/runs_test.go
+++ b/relay/runs_test.go
@@ -156,7 +156,7 @@
 
 func TestNoMoreConnectionsThanTheShare(t *testing.T) {
 	is := is.New(t)
-	p := newConns(func(string) int { return 2 })
+	p := newConnPool(func(string) int { return 2 })
 	is.True(p.reserve("u", 2))
 	is.True(p.reserve("u", 2))
 	is.True(!p.reserve("u", 2))
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -22,13 +22,13 @@
 		{"nobody is", 1, 0, 36},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r := &Relay{cfg: Config{Boxes: assumed}, members: new(members), belief: newBelief()}
+			r := &Relay{cfg: Config{Boxes: assumed}, members: new(members), published: newPublished()}
 			r.members.boxes.Store(tt.boxes)
 			r.members.divisor.Store(tt.divisor)
 			doc, err := route.New(route.Document{Version: 1, Services: []route.Service{{Name: "s", MaxConnections: 360}}})
 			is := is.New(t)
 			is.NoErr(err)
-			r.belief.take(doc)
+			r.published.apply(doc)
 			is.Equal(r.connectionCap("s"), tt.want)
 		})
 	}
