--- a/cmd/doormastd/relay.go
+++ b/cmd/doormastd/relay.go
@@ -111,9 +111,9 @@
 		address string
 		purpose string
 	}{
-		{&cfg.Callers, s.Listen.Callers, "listen for callers"},
-		{&cfg.Ready, s.Listen.Ready, "listen for readiness checks"},
-		{&cfg.Control, s.Listen.Control, "listen for other boxes"},
+		{&cfg.CallerListener, s.Listen.Callers, "listen for callers"},
+		{&cfg.ReadinessListener, s.Listen.Ready, "listen for readiness checks"},
+		{&cfg.ControlListener, s.Listen.Control, "listen for other boxes"},
 	} {
 		var err error
 		if *l.to, err = net.Listen("tcp", l.address); err != nil {
@@ -141,7 +141,7 @@
 		Cold:       relay.ColdBounds{Overshoot: s.Bounds.ColdOvershoot, Slack: s.Bounds.ColdSlack},
 		Limits:     s.Bounds.Limits(),
 		Tuning:     s.Links.Tuning(),
-		Off:        off,
+		Disabled:   off,
 		FirstStart: s.FirstStart,
 		Boxes:      boxesAssumed,
 		Grace:      s.Bounds.Grace(),
--- a/experiment/placing/way.go
+++ b/experiment/placing/way.go
@@ -141,7 +141,7 @@
 	const connections = 3
 	for other := range s.Domains {
 		for range connections {
-			d.fleet.NoteWay(0, domainName(other), s.way(d.domain, other))
+			d.fleet.NoteRTT(0, domainName(other), s.way(d.domain, other))
 		}
 	}
 }
@@ -158,7 +158,7 @@
 			others = maps.Clone(all)
 			takeLoads(others, d.loads)
 		}
-		d.fleet.SetOthers(others)
+		d.fleet.SetRemoteLoads(others)
 	}
 	w.divide(now, list)
 	for _, d := range list {
--- a/relay/arrival.go
+++ b/relay/arrival.go
@@ -1,8 +1,7 @@
 package relay
 
-// This file defines a request's arrival: whether it may run at all, and until when.
-// The invariant: a request that is not admitted has run nowhere, and costs nothing
-// of the budget for sending requests again.
+// This file defines the admission of a request: whether it may run and until when. The invariant: a
+// request that is refused has run nowhere and takes nothing from the retry budget.
 
 import (
 	"net"
@@ -14,8 +13,8 @@
 	"github.com/doormast/doormast/route"
 )
 
-// defaultHold is how long a request is held whose route states no time.
-const defaultHold = 60 * time.Second
+// defaultTimeout applies to requests whose route sets no timeout.
+const defaultTimeout = 60 * time.Second
 
 // handle serves one request.
 func (f *front) handle(ctx *fasthttp.RequestCtx) {
@@ -24,82 +23,81 @@
 	if r.stopping.Load() {
 		ctx.SetConnectionClose()
 	}
-	x, no := r.admit(q, ctx.Conn())
+	x, refused := r.admit(q, ctx.Conn())
 	c := callerOf(ctx)
-	if no == nil {
-		no = x.refuseWithheld()
+	if refused == nil {
+		refused = x.refuseWithheld()
 	}
-	if no == nil && c != nil {
-		no = x.charge(c)
+	if refused == nil && c != nil {
+		refused = x.chargeMemory(c)
 	}
-	if no != nil {
-		if no.reason == callerLeft {
+	if refused != nil {
+		if refused.reason == callerLeft {
 			ctx.SetConnectionClose()
 		}
-		r.logRefused(q, *no, x)
-		r.answerSelf(ctx, q, *no)
+		r.logRefused(q, *refused, x)
+		r.sendRefusal(ctx, q, *refused)
 		return
 	}
 	x.serve(ctx)
 }
 
-// charge takes what a request under way needs besides what was read of it.
-func (x *exchange) charge(c *caller) *refusal {
+// chargeMemory charges the memory that an active request needs beyond what was read of it.
+func (x *exchange) chargeMemory(c *callerConn) *refusal {
 	r := x.relay
-	if c.served {
-		c.next() // this one came together with the request before
+	if c.requestCharged {
+		c.releaseRequest() // this request was read together with the previous one
 	}
-	c.served = true
-	c.share, c.request = shareForUrgency(x.urgency, x.doc.Urgencies(r.cfg.Protocol.Priorities)), x.request.id
-	if !c.lease.Grow(requestBytes, c.share) {
-		r.turnedAway(x.request.id, "request")
-		return &refusal{fasthttp.StatusServiceUnavailable, memoryShortReason, comeBackUsual}
+	c.requestCharged = true
+	c.memoryShare, c.requestID = shareForUrgency(x.urgency, x.doc.Urgencies(r.cfg.Protocol.Priorities)), x.request.id
+	if !c.lease.Grow(requestBytes, c.memoryShare) {
+		r.logTurnedAway(x.request.id, "request")
+		return &refusal{fasthttp.StatusServiceUnavailable, memoryShortReason, defaultRetryAfter}
 	}
-	c.until = x.end.Add(lateWait)
+	c.answerDeadline = x.deadline.Add(lateAnswerTimeout)
 	x.caller = c
 	return nil
 }
 
-// logRefused writes the line about a request that was not admitted, and counts it. x is nil where it
-// may not run at all.
-func (r *Relay) logRefused(q *request, no refusal, x *exchange) {
-	fields := Fields{"id": q.id, "status": no.status, "reason": no.reason, "host": q.host,
+// logRefused logs and counts a request that was not admitted. x is nil if admit refused it.
+func (r *Relay) logRefused(q *request, refused refusal, x *exchange) {
+	fields := Fields{"id": q.id, "status": refused.status, "reason": refused.reason, "host": q.host,
 		"path": q.path(), "version": r.documentVersion(), "age_ms": r.publishedAge().Milliseconds()}
-	if x != nil && no.reason == withheldReason {
-		fields["content"], fields["route"], fields["customer"] = formatContentHash(x.contentHash()), x.route.Name, x.customerName()
-		fields["come_back_ms"] = no.after.Milliseconds()
+	if x != nil && refused.reason == withheldReason {
+		fields["content"], fields["route"], fields["customer"] = formatContentHash(x.requestHash()), x.route.Name, x.customerName()
+		fields["come_back_ms"] = refused.retryAfter.Milliseconds()
 	}
 	r.cfg.Log.Event("request", "refused", fields)
-	r.stats.count("refused_" + no.reason)
+	r.stats.count("refused_" + refused.reason)
 }
 
-// admit decides whether a request may run at all; the refusal is nil where it may. Its time
-// runs from its arrival, also where it is held until there is a document.
+// admit decides whether a request may run; the refusal is nil if it may. The request's timeout starts
+// at its arrival, including any wait for the document.
 func (r *Relay) admit(q *request, conn net.Conn) (*exchange, *refusal) {
 	arrived := time.Now()
-	r.noticeBefore(arrived)
-	slept := r.slept.Load()
-	if r.ended.Load() {
-		return nil, &refusal{fasthttp.StatusServiceUnavailable, "stopping", comeBackUsual}
+	r.detectSuspensionBefore(arrived)
+	slept := r.suspendedFor.Load()
+	if r.graceOver.Load() {
+		return nil, &refusal{fasthttp.StatusServiceUnavailable, "stopping", defaultRetryAfter}
 	}
 	doc, left := r.awaitDocument(q, conn)
 	if left {
 		return nil, &refusal{status: fasthttp.StatusBadGateway, reason: callerLeft}
 	}
 	if doc == nil {
-		return nil, &refusal{fasthttp.StatusServiceUnavailable, "starting", comeBackStarting}
+		return nil, &refusal{fasthttp.StatusServiceUnavailable, "starting", startingRetryAfter}
 	}
 	rt := doc.Match(q.host, q.path())
 	if rt == nil {
 		return nil, &refusal{status: fasthttp.StatusNotFound, reason: "no route"}
 	}
-	if doc.Limits.HeaderBytes > 0 && q.head > doc.Limits.HeaderBytes {
+	if doc.Limits.HeaderBytes > 0 && q.headBytes > doc.Limits.HeaderBytes {
 		return nil, &refusal{status: fasthttp.StatusRequestHeaderFieldsTooLarge, reason: "headers too large"}
 	}
 	if doc.Limits.BodyBytes > 0 && len(q.body) > doc.Limits.BodyBytes {
 		return nil, &refusal{status: fasthttp.StatusRequestEntityTooLarge, reason: "body too large"}
 	}
-	customer := doc.Customer(q.key)
+	customer := doc.Customer(q.customerKey)
 	if customer == nil && !rt.Public && len(doc.Customers) > 0 {
 		return nil, &refusal{status: fasthttp.StatusUnauthorized, reason: "unknown key"}
 	}
@@ -113,16 +111,16 @@
 		urgency:  doc.Urgency(rt, customer, r.cfg.Protocol.Priorities),
 		arrived:  arrived,
 
-		sleptBefore: slept,
+		suspendedBefore: slept,
 	}
-	x.end = x.arrived.Add(holdTime(rt, q))
+	x.deadline = x.arrived.Add(requestTimeout(rt, q))
 	return x, nil
 }
 
-// holdTime is how long a request is held: as its route says, and no longer than its
-// caller waits.
-func holdTime(rt *route.Route, q *request) time.Duration {
-	hold := defaultHold
+// requestTimeout returns the time a request may take: the route's timeout, but at most the time that
+// the caller waits.
+func requestTimeout(rt *route.Route, q *request) time.Duration {
+	hold := defaultTimeout
 	if rt.Timeout > 0 {
 		hold = rt.Timeout
 	}
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines one run of a request on one upstream: it is sent, and the head
-// of its answer is read. The invariant: once a byte may have left, only the
-// upstream's own word makes the run count as one that did not happen.
+// This file defines one run of a request on one upstream: sending it and reading the header of the
+// response. The invariant: once a byte may have been sent, the run counts as not executed only if the
+// upstream says so.
 
 import (
 	"context"
@@ -13,37 +13,37 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// runState is how far a run came.
+// runState is the state in which a run ended.
 type runState uint8
 
 const (
-	runUnsent   runState = iota // no byte left
-	runRefused                  // the upstream says that it did not run it
-	runUnknown                  // it may have run, and there is no answer
-	runAnswered                 // there is an answer
+	runUnsent   runState = iota // no byte was sent
+	runRefused                  // the upstream states that it did not run the request
+	runUnknown                  // it may have run, and there is no response
+	runAnswered                 // there is a response
 )
 
-// hold notes the connection on which the request runs; release undoes it.
-func (x *exchange) hold(c *conn) {
+// attachConn registers the connection on which the request runs; detachConn undoes it.
+func (x *exchange) attachConn(c *conn) {
 	r := x.relay
 	x.silent.Store(false)
 	r.mu.Lock()
-	r.runs[x] = c
-	x.endInTime()
+	r.runConns[x] = c
+	x.cancelAtDeadline()
 	r.mu.Unlock()
 	stop := context.AfterFunc(x.ctx, func() { _ = c.Close() })
-	x.release = func() bool {
+	x.detachConn = func() bool {
 		r.mu.Lock()
-		delete(r.runs, x)
+		delete(r.runConns, x)
 		r.mu.Unlock()
 		return stop()
 	}
 }
 
-// attempt runs the request on the upstream it was placed at. An answer is only returned
-// with runAnswered. The exchange's ctx ends when the caller leaves or its time is over,
-// which closes the connection under whoever reads from it.
-func (x *exchange) attempt(o outgoing) (runState, *answer, error) {
+// attempt runs the request on the chosen upstream. It returns a response only with runAnswered. The
+// exchange's ctx ends when the caller disconnects or the deadline passes, which closes the connection
+// and so ends any read from it.
+func (x *exchange) attempt(o outgoing) (runState, *response, error) {
 	r := x.relay
 	open := r.conns.get
 	if x.needsNewConn() {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return runUnsent, nil, err
 	}
-	if err := x.mayGo(); err != nil {
+	if err := x.checkSend(); err != nil {
 		r.conns.putUnused(c)
 		return runUnsent, nil, err
 	}
@@ -61,60 +61,60 @@
 		r.conns.putUnused(c)
 		return runUnsent, nil, errBudget
 	}
-	x.hold(c)
+	x.attachConn(c)
 	sent := c.send(o)
 	x.startReadWait(sent)
-	a, err := r.readAnswer(c, o.id, sent)
+	resp, err := r.readResponse(c, o.id, sent)
 	x.endReadWait()
 	if err != nil {
-		x.release()
+		x.detachConn()
 		r.conns.discard(c)
 		return runUnknown, nil, err
 	}
-	if !r.notRun(&a.header) {
-		return runAnswered, a, nil
+	if !r.saysNotRun(&resp.header) {
+		return runAnswered, resp, nil
 	}
-	x.release()
-	_, err = io.Copy(io.Discard, a.body)
-	r.finish(a, err == nil)
-	x.refusalStatus = a.header.StatusCode()
-	x.instead, err = r.whyRefused(&a.header, x.upstream.ID)
+	x.detachConn()
+	_, err = io.Copy(io.Discard, resp.body)
+	r.releaseConn(resp, err == nil)
+	x.refusalStatus = resp.header.StatusCode()
+	x.replacement, err = r.replacedBy(&resp.header, x.upstream.ID)
 	return runRefused, nil, err
 }
 
-// mayGo says why the run may no longer be sent, now that it has a connection; nil where it may.
-func (x *exchange) mayGo() error {
+// checkSend returns why the run may no longer be sent now that it has a connection; nil if it may.
+func (x *exchange) checkSend() error {
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case !r.fleet.Accepts(r.now(), x.upstream.Incarnation()):
-		return errTakesNone
+		return errNotAccepting
 	case x.ticket != nil && !x.ticket.MayGo(r.now()):
 		return errLimit
 	}
 	return nil
 }
 
-// takesNone reports whether an upstream takes no request from this box now.
-func (r *Relay) takesNone(u balance.Upstream) bool {
+// rejectsRequests reports whether an upstream currently accepts no requests from this box.
+func (r *Relay) rejectsRequests(u balance.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.fleet.Accepts(r.now(), u.Incarnation()) || r.fleet.TakesNoMore(r.now(), u.ID)
+	return !r.fleet.Accepts(r.now(), u.Incarnation()) || r.fleet.LimitExhausted(r.now(), u.ID)
 }
 
-// What an upstream came to say while the request waited for a connection.
+// Errors for what an upstream announced while the request waited for a connection.
 var (
-	errTakesNone = &Error{Op: "run", Kind: KindFull}   // it is leaving, or asks for a pause
-	errLimit     = &Error{Op: "limit", Kind: KindFull} // it names a limit
+	errNotAccepting = &Error{Op: "send request", Kind: KindExhausted}              // it is leaving or asks for a pause
+	errLimit        = &Error{Op: "send request within limit", Kind: KindExhausted} // it announces a rate limit
 )
 
-// errReplaced says that another start of an upstream has its address now.
-var errReplaced = &Error{Op: "run", Kind: KindReplaced}
+// errReplaced reports that another instance of the upstream has taken over its address.
+var errReplaced = &Error{Op: "send request", Kind: KindReplaced}
 
-// whyRefused says what an upstream's refusal tells besides: the id of the upstream that has the
-// address now; no error where that is the one that was meant, or not told.
-func (r *Relay) whyRefused(h *fasthttp.ResponseHeader, meant string) (id string, err error) {
+// replacedBy returns the ID of the upstream that now has the address, with errReplaced, if a refusal
+// names another upstream than the intended one; otherwise it returns no error.
+func (r *Relay) replacedBy(h *fasthttp.ResponseHeader, meant string) (id string, err error) {
 	started := headerValue(h, r.cfg.Protocol.CurrentInstance)
 	if h.StatusCode() == fasthttp.StatusMisdirectedRequest && started != "" && started != meant {
 		return started, errReplaced
--- a/relay/connecttime_test.go
+++ b/relay/connecttime_test.go
@@ -18,9 +18,9 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 		return false // each request takes a new connection
 	})
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	b.listInDomain(u, "far")
-	b.until(func() bool {
+	b.waitFor(func() bool {
 		b.relay.mu.Lock()
 		defer b.relay.mu.Unlock()
 		return b.relay.fleet.Get("u1").Domain == "far"
@@ -31,10 +31,10 @@
 	rows := b.relay.state().Upstreams
 	is.Equal(len(rows), 1)
 	b.relay.mu.Lock()
-	way := b.relay.fleet.Way("far")
+	way := b.relay.fleet.RTT("far")
 	b.relay.mu.Unlock()
 	is.Equal(rows[0].Way, uint64(way.Microseconds()))
 	is.True(way > 0)
-	guess := balance.NewFleet(balance.Config{Domain: "d"}).Way("far")
+	guess := balance.NewFleet(balance.Config{Domain: "d"}).RTT("far")
 	is.True(way != guess) // measured, no longer estimated from the layout
 }
--- a/relay/conns.go
+++ b/relay/conns.go
@@ -54,7 +54,7 @@
 }
 
 // errConnLimit reports that this box has as many connections to the upstream as it may open.
-var errConnLimit = &Error{Op: "connect", Kind: KindFull}
+var errConnLimit = &Error{Op: "connect", Kind: KindExhausted}
 
 // get returns a connection that is known to be open, so that a later failure is due to the
 // request or the upstream. It reuses an idle connection if one is usable.
@@ -115,7 +115,7 @@
 		return false
 	}
 	readable := true
-	err = raw.Control(func(fd uintptr) { _, readable = peekEnd(int(fd)) })
+	err = raw.Control(func(fd uintptr) { _, readable = peekClosed(int(fd)) })
 	return err == nil && !readable
 }
 
--- a/relay/content.go
+++ b/relay/content.go
@@ -11,16 +11,16 @@
 	"github.com/doormast/doormast/internal/content"
 )
 
-// contentHash is a hash of the request's method, host, path with query, customer and body. It
+// requestHash is a hash of the request's method, host, path with query, customer and body. It
 // is called by the exchange's own goroutine, or by others while they hold the relay's mu and
 // the request has a run.
-func (x *exchange) contentHash() uint64 {
-	if hash := x.content.Load(); hash != 0 {
+func (x *exchange) requestHash() uint64 {
+	if hash := x.contentHash.Load(); hash != 0 {
 		return hash
 	}
 	req := x.request
 	hash := content.Of(x.customerName(), req.body, req.method, strings.ToLower(req.host), req.uri)
-	x.content.Store(hash)
+	x.contentHash.Store(hash)
 	return hash
 }
 
--- a/relay/content_test.go
+++ b/relay/content_test.go
@@ -15,7 +15,7 @@
 		q := first
 		change(&q)
 		a, b := &exchange{request: &first, customer: customer}, &exchange{request: &q, customer: by}
-		return a.contentHash() == b.contentHash()
+		return a.requestHash() == b.requestHash()
 	}
 	for _, test := range []struct {
 		name   string
@@ -24,8 +24,8 @@
 		same   bool
 	}{
 		{"another id", func(q *request) { q.id = "2" }, customer, true},
-		{"another key of the customer", func(q *request) { q.key = "k2" }, customer, true},
-		{"resumed after an event", func(q *request) { q.lastSeen = "7" }, customer, true},
+		{"another key of the customer", func(q *request) { q.customerKey = "k2" }, customer, true},
+		{"resumed after an event", func(q *request) { q.lastEventID = "7" }, customer, true},
 		{"host in upper case", func(q *request) { q.host = "H.example" }, customer, true},
 		{"another method", func(q *request) { q.method = "GET" }, customer, false},
 		{"another host", func(q *request) { q.host = "g.example" }, customer, false},
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -28,7 +28,7 @@
 func (m *members) syncCutOff(ctx context.Context) {
 	r := m.relay
 	now := r.now()
-	silent := m.node.Unheard(now)
+	silent := m.node.SilentDomains(now)
 	cutOff, reported := r.updateCutOff(now, m.node.IsLeader(), m.node.CutOff(now))
 	m.node.SetCutOff(cutOff)
 	for _, domain := range cutOff {
@@ -99,7 +99,7 @@
 func (r *Relay) closeRetriableRunsIn(domain string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for x, c := range r.runs {
+	for x, c := range r.runConns {
 		u := r.fleet.Get(c.incarnation.ID)
 		if u != nil && u.Domain == domain && x.route.Again() {
 			_ = c.Close()
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -22,8 +22,8 @@
 	for i := range 12 {
 		fleet.Put(0, balance.Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Address: fmt.Sprintf("127.0.0.1:%d", i+1), Domain: fmt.Sprintf("d%d", i%2), Slots: 1})
 	}
-	r := &Relay{start: time.Now(), fleet: fleet, budgets: new(balance.Budgets), conns: newConnPool(nil), stats: newStats(), probeWake: make(chan struct{}, 1),
-		cfg: Config{Log: NewLog(self, io.Discard), Decode: decode, Self: &wire.GroupBox{Name: self, Domain: "d0", Boot: 1}, Timing: group.DefaultTiming, Boxes: 1}}
+	r := &Relay{startedAt: time.Now(), fleet: fleet, budgets: new(balance.Budgets), conns: newConnPool(nil), stats: newStats(), probeWake: make(chan struct{}, 1),
+		cfg: Config{Log: NewLog(self, io.Discard), Decode: decodeItem, Self: &wire.GroupBox{Name: self, Domain: "d0", Boot: 1}, Timing: group.DefaultTiming, Boxes: 1}}
 	m, err := newMembers(r)
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 	is := is.New(t)
 	m := newCutOffMember(t, "lead")
 	for i := 1; i < 6; i += 2 {
-		u, _ := m.relay.fleet.Present(fmt.Sprintf("u%d", i))
+		u, _ := m.relay.fleet.Entry(fmt.Sprintf("u%d", i))
 		m.relay.probeUpstream(context.Background(), u) // nothing listens there
 	}
 	is.Equal(m.relay.fleet.CutOff(), nil)
--- /dev/null
+++ b/relay/documentwait.go
@@ -0,0 +1,46 @@
+package relay
+
+// This file defines how requests are handled that arrive before the box has a routing document. The
+// invariant: such a request waits for a bounded time and is sent to no upstream meanwhile, so that a
+// refusal may state that it did not run.
+
+import (
+	"net"
+	"time"
+
+	"github.com/doormast/doormast/route"
+)
+
+const (
+	// maxDocumentWait is the maximum time that such a request waits; a box that starts beside running
+	// ones gets the document well within it.
+	maxDocumentWait = 500 * time.Millisecond
+	// documentWaitDivisor limits the wait to a fraction of the time that the caller waits.
+	documentWaitDivisor = 4
+)
+
+// awaitDocument returns the current document; nil if none arrives in time or if the caller disconnects
+// first. Most callers of a box that has just started lost their connection when its previous process
+// ended, and their next attempt is often the last: a refusal sent 0.2 s before the box could serve
+// would fail the request.
+func (r *Relay) awaitDocument(q *request, conn net.Conn) (doc *route.Document, left bool) {
+	if d := r.published.document(); d != nil {
+		return d, false
+	}
+	hold := maxDocumentWait
+	if q.timeLeft > 0 {
+		hold = min(hold, q.timeLeft/documentWaitDivisor)
+	}
+	r.stats.count("held_starting")
+	timer := time.NewTimer(hold)
+	defer timer.Stop()
+	gone := make(chan struct{})
+	watch := watchDisconnect(conn, func() { close(gone) })
+	select {
+	case <-r.published.ready:
+	case <-timer.C:
+	case <-gone:
+	}
+	watch.stop()
+	return r.published.document(), watch.disconnected.Load()
+}
--- a/relay/events.go
+++ b/relay/events.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file defines how a stream of events is taken apart. The invariant: only
-// whole events come out, each once, in the order of their ids.
+// This file defines how a stream of server-sent events is split. The invariant: next returns only
+// whole events, each once, in the order of their IDs.
 
 import (
 	"bytes"
@@ -10,30 +10,31 @@
 	"strconv"
 )
 
-// maxEvent is the most bytes an event may have.
+// maxEvent is the maximum size of an event in bytes.
 const maxEvent = 1 << 20
 
-// events takes events from a body.
-type events struct {
-	src   io.Reader
-	buf   []byte
-	last  int64 // the highest id that came out
-	seen  bool  // an event has come out
-	total int   // events that came out
-	came  int   // events of the present body that came out
-
-	keep func(n int64) error // charges what is kept beyond what is free; nil: nobody asks
-	kept int64               // the largest buffer that was charged
+// eventReader reads events from the body of a response. A stream may continue in the body of another
+// response.
+type eventReader struct {
+	src        io.Reader
+	buf        []byte
+	lastID     int64 // the highest event ID returned
+	hasEvents  bool  // at least one event was returned
+	total      int   // events returned
+	bodyEvents int   // events returned from the current body
+
+	reserve  func(n int64) error // charges buffer memory beyond freeAnswer; nil: not charged
+	reserved int64               // size of the largest buffer charged
 }
 
-var errLongEvent = &Error{Op: "read event", Kind: KindGarble, Err: errors.New("longer than a megabyte")}
+var errLongEvent = &Error{Op: "read event", Kind: KindMalformed, Err: errors.New("event larger than 1 MiB")}
 
-// next returns the whole events that have arrived, waiting for one at least. The
-// bytes are valid until the next call.
-func (e *events) next() ([]byte, error) {
+// next returns all whole events that have arrived, and waits for at least one. The bytes are valid
+// until the next call.
+func (e *eventReader) next() ([]byte, error) {
 	for {
-		if end := lastEnd(e.buf); end > 0 {
-			out := e.fresh(e.buf[:end])
+		if end := lastEventEnd(e.buf); end > 0 {
+			out := e.newEvents(e.buf[:end])
 			e.buf = bytes.Clone(e.buf[end:])
 			if len(out) > 0 {
 				return out, nil
@@ -48,7 +49,7 @@
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(bytes.TrimSpace(e.buf)) > 0 {
-			err = io.ErrUnexpectedEOF // it broke off within an event
+			err = io.ErrUnexpectedEOF // the stream ended within an event
 		}
 		if err != nil {
 			return nil, err
@@ -56,14 +57,14 @@
 	}
 }
 
-// fillStep is how much is read at once, in bytes; an event has some 60.
-const fillStep = 2 << 10
+// readSize is the minimum free buffer space for a read, in bytes; an event has about 60.
+const readSize = 2 << 10
 
-// fill reads more of the body, and returns how many bytes came.
-func (e *events) fill() (int, error) {
+// fill reads more of the body and returns the number of bytes read.
+func (e *eventReader) fill() (int, error) {
 	at := len(e.buf)
-	if cap(e.buf)-at < fillStep {
-		size := at + max(at, 2*fillStep)
+	if cap(e.buf)-at < readSize {
+		size := at + max(at, 2*readSize)
 		if err := e.charge(int64(size)); err != nil {
 			return 0, err
 		}
@@ -74,24 +75,24 @@
 	return n, err
 }
 
-// charge charges a buffer of a size, where it is larger than any before.
-func (e *events) charge(size int64) error {
-	if e.keep == nil || size <= max(e.kept, freeAnswerBytes) {
+// charge charges a buffer of the given size if it is larger than all before.
+func (e *eventReader) charge(size int64) error {
+	if e.reserve == nil || size <= max(e.reserved, freeAnswerBytes) {
 		return nil
 	}
-	n := size - e.kept
-	e.kept = size
-	return e.keep(n)
+	n := size - e.reserved
+	e.reserved = size
+	return e.reserve(n)
 }
 
-// An empty line ends an event, with either end of a line.
+// An empty line ends an event, with either line ending.
 var (
 	endLF   = []byte("\n\n")
 	endCRLF = []byte("\r\n\r\n")
 )
 
-// lastEnd is where the last whole event in b ends, 0 if there is none.
-func lastEnd(b []byte) int {
+// lastEventEnd returns the offset at which the last whole event in b ends, or 0 if there is none.
+func lastEventEnd(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, endLF); i >= 0 {
 		end = i + len(endLF)
@@ -102,30 +103,30 @@
 	return end
 }
 
-// fresh returns the events of b that did not come out before.
-func (e *events) fresh(b []byte) []byte {
+// newEvents returns the events of b that were not returned before.
+func (e *eventReader) newEvents(b []byte) []byte {
 	out := b[:0:0]
 	for len(b) > 0 {
-		n := firstEnd(b)
+		n := firstEventEnd(b)
 		event := b[:n]
 		b = b[n:]
 		id, ok := eventID(event)
-		if ok && e.seen && id <= e.last {
+		if ok && e.hasEvents && id <= e.lastID {
 			continue
 		}
 		if ok {
-			e.last = id
+			e.lastID = id
 		}
-		e.seen = true
-		e.came++
+		e.hasEvents = true
+		e.bodyEvents++
 		e.total++
 		out = append(out, event...)
 	}
 	return out
 }
 
-// firstEnd is where the first event in b ends.
-func firstEnd(b []byte) int {
+// firstEventEnd returns the offset at which the first event in b ends.
+func firstEventEnd(b []byte) int {
 	lf, crlf := bytes.Index(b, endLF), bytes.Index(b, endCRLF)
 	switch {
 	case crlf >= 0 && (lf < 0 || crlf < lf):
@@ -136,7 +137,7 @@
 	return len(b)
 }
 
-// eventID reads the id of an event.
+// eventID parses the ID of an event.
 func eventID(event []byte) (int64, bool) {
 	for len(event) > 0 {
 		line, rest, _ := bytes.Cut(event, []byte("\n"))
@@ -149,9 +150,10 @@
 	return 0, false
 }
 
-// from goes on with another body: what was left of the old one is dropped.
-func (e *events) from(src io.Reader) {
+// continueWith continues the stream with another body and discards the unread rest of the previous
+// one.
+func (e *eventReader) continueWith(src io.Reader) {
 	e.src = src
 	e.buf = nil
-	e.came = 0
+	e.bodyEvents = 0
 }
--- a/relay/incarnation.go
+++ b/relay/incarnation.go
@@ -58,7 +58,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	runs := make(map[string][]*conn)
-	for x, c := range r.runs {
+	for x, c := range r.runConns {
 		if x.route.Again() && u.Incarnation().After(c.incarnation) && c.openedBefore(now, u.StartedAt) {
 			address := c.RemoteAddr().String()
 			runs[address] = append(runs[address], c)
@@ -113,8 +113,8 @@
 }
 
 // copyHolder returns the upstream whose memory holds a copy.
-func (m *move) copyHolder(c Copy) balance.Upstream {
-	if c.Done {
+func (m *move) copyHolder(c RunCopy) balance.Upstream {
+	if c.Transferred {
 		return m.to
 	}
 	return m.from
@@ -123,8 +123,8 @@
 // triedCurrent lists the upstreams that the request was sent to in their current incarnations.
 // The caller holds the relay's mu.
 func (x *exchange) triedCurrent() []string {
-	ids := make([]string, 0, len(x.tried))
-	for _, inc := range x.tried {
+	ids := make([]string, 0, len(x.triedInstances))
+	for _, inc := range x.triedInstances {
 		if u := x.relay.fleet.Get(inc.ID); u == nil || u.Incarnation() == inc {
 			ids = append(ids, inc.ID)
 		}
@@ -136,7 +136,7 @@
 // itself as another one.
 func (r *Relay) noteMisdirected(intended balance.Incarnation, actual string) {
 	r.mu.Lock()
-	r.fleet.Named(r.now(), intended, actual)
+	r.fleet.NoteIdentity(r.now(), intended, actual)
 	r.mu.Unlock()
 	r.cfg.Log.Event("upstream", "identified itself as another", Fields{"upstream": intended.ID, "born": intended.StartedAt, "said": actual})
 }
--- a/relay/incarnation_test.go
+++ b/relay/incarnation_test.go
@@ -18,13 +18,13 @@
 )
 
 // listIncarnation publishes an incarnation of an upstream.
-func (b *bench) listIncarnation(s *stub, start int64, leaving bool) {
-	b.board.set(s.id, balance.Upstream{ID: s.id, StartedAt: start, Service: "s", Address: s.listener.Addr().String(), Domain: "d", Slots: 8, Leaving: leaving}, false)
+func (b *testBox) listIncarnation(s *stub, start int64, leaving bool) {
+	b.publisher.set(s.id, balance.Upstream{ID: s.id, StartedAt: start, Service: "s", Address: s.listener.Addr().String(), Domain: "d", Slots: 8, Leaving: leaving}, false)
 }
 
 // listedStart is the start time of the listed incarnation of an upstream; -1 if it is not
 // listed.
-func (b *bench) listedStart(id string) int64 {
+func (b *testBox) listedStart(id string) int64 {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	if u := b.relay.fleet.Get(id); u != nil {
@@ -34,9 +34,9 @@
 }
 
 // awaitIncarnation waits until an upstream is listed in an incarnation.
-func (b *bench) awaitIncarnation(id string, start int64) {
+func (b *testBox) awaitIncarnation(id string, start int64) {
 	b.t.Helper()
-	b.until(func() bool { return b.listedStart(id) == start })
+	b.waitFor(func() bool { return b.listedStart(id) == start })
 }
 
 // restart starts a new incarnation of a stub at the same address. Connections to the previous
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := &stub{id: s.id, listener: l, script: script, ended: make(chan struct{}, 100)}
+	next := &stub{id: s.id, listener: l, script: script, closed: make(chan struct{}, 100)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -75,33 +75,33 @@
 	first := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
 		if strings.HasPrefix(r.URL.Path, "/once/") {
 			<-answer
-			return answerOK("late")(c, r)
+			return respondOK("late")(c, r)
 		}
 		startStream(c, r)
-		chunk(c, event(1))
+		writeChunk(c, event(1))
 		<-answer
 		return false
 	})
-	b := newBench(t, first)
+	b := newTestBox(t, first)
 	b.listIncarnation(first, 100, false)
 	b.awaitIncarnation("u", 100)
 	const streams = 5
-	flows, once, fixed := make(chan answered, streams), make(chan answered, 1), make(chan answered, 1)
+	flows, once, fixed := make(chan callerResponse, streams), make(chan callerResponse, 1), make(chan callerResponse, 1)
 	for i := range streams {
 		go func() { flows <- b.do(b.request("POST", fmt.Sprintf("/flow/%d", i), "")) }()
 	}
 	go func() { once <- b.do(b.request("POST", "/once/x", "")) }()
 	go func() { fixed <- b.do(b.request("POST", "/fixed/x", "")) }()
-	b.until(func() bool { return len(first.requests()) == streams+2 })
+	b.waitFor(func() bool { return len(first.requests()) == streams+2 })
 
 	next := first.restart(t, func(c net.Conn, r stubRequest) bool {
 		startStream(c, r)
 		for id := 1; id <= 2; id++ {
 			if fmt.Sprint(id) != r.Header.Get("X-Last") {
-				chunk(c, event(id))
+				writeChunk(c, event(id))
 			}
 		}
-		chunk(c, "")
+		writeChunk(c, "")
 		return true
 	})
 	b.listIncarnation(next, time.Now().UnixMilli()+1, false)
@@ -122,21 +122,21 @@
 // An upstream that was leaving gets requests again only after an entry of a newer incarnation.
 func TestDrainedUpstreamComesBack(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerOK("u"))
-	b := newBench(t, u)
+	u := newStub(t, "u", respondOK("u"))
+	b := newTestBox(t, u)
 	gets := func() bool { return b.do(b.request("GET", "/safe/x", "")).status == 200 }
 	b.listIncarnation(u, 100, true)
 	b.awaitIncarnation("u", 100)
 	is.True(!gets())
 	b.listIncarnation(u, 100, false) // a late entry: an incarnation that is leaving stays so
-	b.board.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 1}, false)
+	b.publisher.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 1}, false)
 	b.awaitIncarnation("mark", 1)
 	is.True(!gets())
 	b.listIncarnation(u, 200, false)
 	b.awaitIncarnation("u", 200)
 	is.True(gets())
 	b.listIncarnation(u, 100, true) // of the earlier incarnation, whatever its revision
-	b.board.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 2}, false)
+	b.publisher.set("mark", balance.Upstream{ID: "mark", Service: "x", StartedAt: 2}, false)
 	b.awaitIncarnation("mark", 2)
 	is.Equal(b.listedStart("u"), int64(200))
 	is.True(gets())
@@ -145,22 +145,22 @@
 // An idle connection is not used for another incarnation, though it is still open.
 func TestIdleConnectionOfEarlierIncarnationIsNotUsed(t *testing.T) {
 	is := is.New(t)
-	first := newStub(t, "u", answerOK("first"))
-	b := newBench(t, first)
+	first := newStub(t, "u", respondOK("first"))
+	b := newTestBox(t, first)
 	b.listIncarnation(first, 100, false)
 	b.awaitIncarnation("u", 100)
 	is.Equal(b.do(b.request("GET", "/safe/a", "")).body, "first")
-	next := first.restart(t, answerOK("next"))
+	next := first.restart(t, respondOK("next"))
 	b.listIncarnation(next, 200, false)
 	b.awaitIncarnation("u", 200)
 	is.Equal(b.do(b.request("POST", "/once/b", "")).body, "next")
-	<-first.ended // the box has closed it
+	<-first.closed // the box has closed it
 }
 
 // A connection that is returned after its incarnation has ended is closed.
 func TestConnectionOfEndedIncarnationIsNotKept(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerOK("ok"))
+	u := newStub(t, "u", respondOK("ok"))
 	p := newConnPool(func(string) int { return 9 })
 	upstream := balance.Upstream{ID: "u", StartedAt: 100, Address: u.listener.Addr().String()}
 	c, err := p.get(context.Background(), upstream, "s")
@@ -186,26 +186,26 @@
 // the key once.
 func TestInvalidEntryRemovesItsUpstream(t *testing.T) {
 	is := is.New(t)
-	u1, u2 := newStub(t, "u1", answerOK("1")), newStub(t, "u2", answerOK("2"))
-	b := newBench(t, u1, u2)
+	u1, u2 := newStub(t, "u1", respondOK("1")), newStub(t, "u2", respondOK("2"))
+	b := newTestBox(t, u1, u2)
 	for range 3 {
-		b.board.set("u1", "what is this", false)
+		b.publisher.set("u1", "what is this", false)
 	}
-	b.until(func() bool { return b.known() == 1 })
+	b.waitFor(func() bool { return b.upstreamCount() == 1 })
 	for i := range 10 {
 		is.Equal(b.do(b.request("GET", fmt.Sprintf("/safe/%d", i), "")).body, "2")
 	}
-	b.list(u1, false) // the upstream publishes its entry again
-	b.until(func() bool { return b.known() == 2 })
-	b.list(u2, true)
-	b.until(func() bool { return b.do(b.request("GET", "/safe/x", "")).body == "1" })
+	b.listUpstream(u1, false) // the upstream publishes its entry again
+	b.waitFor(func() bool { return b.upstreamCount() == 2 })
+	b.listUpstream(u2, true)
+	b.waitFor(func() bool { return b.do(b.request("GET", "/safe/x", "")).body == "1" })
 	is.True(b.log.contains("entry unusable"))
-	b.until(func() bool { return b.log.contains("published: item rejected") })
+	b.waitFor(func() bool { return b.log.contains("published: item rejected") })
 	is.Equal(b.log.count("published: item rejected"), 1)
 }
 
 // count is the number of occurrences of a text.
-func (l *lockedText) count(s string) int {
+func (l *lockedBuffer) count(s string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), s)
@@ -218,7 +218,7 @@
 
 func TestRejectedItemIsLoggedOncePerContent(t *testing.T) {
 	is := is.New(t)
-	var text lockedText
+	var text lockedBuffer
 	log := NewLog("box", &text)
 	m := &members{relay: &Relay{cfg: Config{Log: log}, stats: newStats()}, rejected: make(map[string]uint64)}
 	err := badFieldError{errors.New("no")}
@@ -239,7 +239,7 @@
 // the upstream stays listed.
 func TestNewIncarnationIsNotDroppedWithMissingOne(t *testing.T) {
 	is := is.New(t)
-	r := &Relay{start: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConnPool(nil), stats: newStats()}
+	r := &Relay{startedAt: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConnPool(nil), stats: newStats()}
 	missing := make(map[string]time.Duration)
 	u := upstreamOf("u")
 	u.StartedAt = 100
@@ -261,19 +261,19 @@
 // source.
 func TestCopyOfEarlierIncarnationIsNotUsed(t *testing.T) {
 	is := is.New(t)
-	var m *movingBench
-	m = newMovingBench(t, func(c net.Conn, stop func()) {
+	var m *movingTestBox
+	m = newMovingTestBox(t, func(c net.Conn, stop func()) {
 		m.listIncarnation(m.fast, 200, false)
 		m.awaitIncarnation("fast", 200)
 		stop()
-		reply(c, 200, "h7")
+		respondCall(c, 200, "h7")
 	})
-	is.Equal((<-m.stream("/flow/x")).body, wholeStream()) // resumed there, without the copy
+	is.Equal((<-m.stream("/flow/x")).body, allEvents()) // resumed there, without the copy
 	at := m.fast.requests()
 	is.Equal(len(at), 1)
 	is.Equal(at[0].Header.Get("X-Memory"), "")
 	is.True(at[0].Header.Get("X-Last") != "")
-	m.until(func() bool {
+	m.waitFor(func() bool {
 		calls := m.slow.requests()
 		return calls[len(calls)-1].URL.Path == "/copy/h7"
 	})
@@ -285,15 +285,15 @@
 	is := is.New(t)
 	u := newStub(t, "true", func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Instance") != "true" {
-			say(c, fmt.Sprintf("HTTP/1.1 421 No\nX-Id: %s\nX-Started: true\nX-Not-Run: 1\nContent-Length: 0\n\n", r.Header.Get("X-Id")))
+			writeWire(c, fmt.Sprintf("HTTP/1.1 421 No\nX-Id: %s\nX-Started: true\nX-Not-Run: 1\nContent-Length: 0\n\n", r.Header.Get("X-Id")))
 			return true
 		}
-		return answerOK("ok")(c, r)
+		return respondOK("ok")(c, r)
 	})
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	b.listIncarnation(u, 100, false)
 	b.awaitIncarnation("true", 100)
-	b.board.set("false", balance.Upstream{ID: "false", StartedAt: 900, Service: "s", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.publisher.set("false", balance.Upstream{ID: "false", StartedAt: 900, Service: "s", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.awaitIncarnation("false", 900)
 	is.Equal(b.listedStart("true"), int64(-1))
 	is.Equal(b.do(b.request("GET", "/safe/x", "")).body, "ok") // one refusal, then the second run is answered
@@ -305,15 +305,15 @@
 // document names it.
 func TestEntryOfUnnamedService(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerOK("ok"))
-	b := newBench(t, u)
+	u := newStub(t, "u", respondOK("ok"))
+	b := newTestBox(t, u)
 	b.listIncarnation(u, 100, false)
 	b.awaitIncarnation("u", 100)
-	b.board.set("x", balance.Upstream{ID: "x", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.publisher.set("x", balance.Upstream{ID: "x", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.awaitIncarnation("x", 900)
 	is.Equal(b.listedStart("u"), int64(100))
 	is.Equal(b.do(b.request("POST", "/once/x", "")).body, "ok")
-	b.board.set("u", balance.Upstream{ID: "u", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.publisher.set("u", balance.Upstream{ID: "u", StartedAt: 900, Service: "x", Address: u.listener.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.awaitIncarnation("u", 900) // under the key of a sound upstream, its only effect is that this one is not used
 	is.Equal(b.do(b.request("POST", "/once/x", "")).status, 503)
 	b.listIncarnation(u, 100, false)
@@ -326,7 +326,7 @@
 
 	document := testDocument(2)
 	document.Services = append(document.Services, route.Service{Name: "x"})
-	b.board.set("document", document, false)
+	b.publisher.set("document", document, false)
 	b.awaitIncarnation("u", -1) // the later incarnation has the address now
 	is.Equal(b.listedStart("x"), int64(900))
 }
@@ -335,10 +335,10 @@
 func twoEvents(goOn <-chan struct{}) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
 		startStream(c, r)
-		chunk(c, event(1))
+		writeChunk(c, event(1))
 		<-goOn
-		chunk(c, event(2))
-		chunk(c, "")
+		writeChunk(c, event(2))
+		writeChunk(c, "")
 		return true
 	}
 }
@@ -349,15 +349,15 @@
 	is := is.New(t)
 	goOn := make(chan struct{})
 	u := newStub(t, "u", twoEvents(goOn))
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	b.listIncarnation(u, 100, false)
 	b.awaitIncarnation("u", 100)
-	done := make(chan answered, 1)
+	done := make(chan callerResponse, 1)
 	go func() { done <- b.do(b.request("POST", "/flow/x", "")) }()
-	b.until(func() bool { return len(u.requests()) == 1 })
+	b.waitFor(func() bool { return len(u.requests()) == 1 })
 	b.listIncarnation(u, 200, false) // it started long before the connection was opened
 	b.awaitIncarnation("u", 200)
-	b.until(func() bool { return b.log.contains(`"born":200`) })
+	b.waitFor(func() bool { return b.log.contains(`"born":200`) })
 	close(goOn)
 	a := <-done
 	is.NoErr(a.err)
@@ -375,16 +375,16 @@
 			first := newStub(t, "u", twoEvents(goOn))
 			next := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
 				startStream(c, r)
-				chunk(c, event(2))
-				chunk(c, "")
+				writeChunk(c, event(2))
+				writeChunk(c, "")
 				return true
 			})
-			b := newBench(t, first)
+			b := newTestBox(t, first)
 			b.listIncarnation(first, 100, false)
 			b.awaitIncarnation("u", 100)
-			done := make(chan answered, 1)
+			done := make(chan callerResponse, 1)
 			go func() { done <- b.do(b.request("POST", "/flow/x", "")) }()
-			b.until(func() bool { return len(first.requests()) == 1 })
+			b.waitFor(func() bool { return len(first.requests()) == 1 })
 			if !listens {
 				is.NoErr(first.listener.Close())
 			}
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -64,7 +64,7 @@
 // noteLimit records the limit that an answer states for its upstream. request is the ID of the
 // answered request, or empty for a call by the box itself; an answer to such a call need not
 // repeat the limit, so a missing header there clears nothing.
-func (r *Relay) noteLimit(a *answer, request string) {
+func (r *Relay) noteLimit(a *response, request string) {
 	if r.cfg.Protocol.Limit == "" {
 		return
 	}
@@ -73,12 +73,12 @@
 		return
 	}
 	inc := a.conn.incarnation
-	if _, err := r.whyRefused(&a.header, inc.ID); err != nil {
+	if _, err := r.replacedBy(&a.header, inc.ID); err != nil {
 		return // another incarnation answers at that address
 	}
 	r.mu.Lock()
 	now := r.now()
-	c, changed := r.fleet.Says(now, inc, balance.LimitStatement{Named: limit.present, PerSecond: limit.perSecond, Sent: now - time.Since(a.sent.began), Read: now})
+	c, changed := r.fleet.NoteLimitStatement(now, inc, balance.LimitStatement{Named: limit.present, PerSecond: limit.perSecond, Sent: now - time.Since(a.sent.began), Read: now})
 	r.mu.Unlock()
 	if changed {
 		r.logLimit(c, request)
@@ -102,7 +102,7 @@
 		event, counter = "names no limit any more", limitsEnded
 	}
 	fields := Fields{"upstream": u.ID, "born": u.StartedAt, "per_second": c.PerSecond, "before": c.Before, "source": "seen here", "id": request,
-		"sent_lately": sent, "span_ms": sentWindow.Milliseconds(), "ration": limit.Ration, "ration_span_ms": limit.Span.Milliseconds()}
+		"sent_lately": sent, "span_ms": sentWindow.Milliseconds(), "ration": limit.Quota, "ration_span_ms": limit.Span.Milliseconds()}
 	if c.Told {
 		fields["source"], fields["age_ms"] = "told", c.Age.Milliseconds()
 		delete(fields, "id")
@@ -118,10 +118,10 @@
 	received := m.node.DrainLimits()
 	now := r.now()
 	r.mu.Lock()
-	changes := r.fleet.TakeNamed(now, received)
-	if own := r.fleet.NamedNews(now); len(own) > 0 {
-		m.node.TellLimits(own)
-		m.node.SetLimits(r.fleet.NamedAll(now))
+	changes := r.fleet.MergeLimits(now, received)
+	if own := r.fleet.TakeLimitNews(now); len(own) > 0 {
+		m.node.AnnounceLimits(own)
+		m.node.SetLimits(r.fleet.KnownLimits(now))
 	}
 	r.mu.Unlock()
 	m.node.FlushLimits(now)
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -49,7 +49,7 @@
 	for i := range 3 {
 		n.list = append(n.list, newStub(t, fmt.Sprint("u", i), func(c net.Conn, r stubRequest) bool {
 			if i > 0 || r.Header.Get("X-Id") == "" {
-				return answerOK("well")(c, r)
+				return respondOK("well")(c, r)
 			}
 			n.mu.Lock()
 			n.got = append(n.got, time.Now())
@@ -58,7 +58,7 @@
 				header = "X-Limit: " + n.limit + "\n"
 			}
 			n.mu.Unlock()
-			say(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\n%sContent-Length: 4\n\nwell", r.Header.Get("X-Id"), header))
+			writeWire(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\n%sContent-Length: 4\n\nwell", r.Header.Get("X-Id"), header))
 			return true
 		}))
 	}
@@ -83,7 +83,7 @@
 }
 
 // send sends requests through a box, one after the other.
-func (n *limitedUpstreams) send(b *bench, name string, count int) {
+func (n *limitedUpstreams) send(b *testBox, name string, count int) {
 	for i := range count {
 		b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", fmt.Sprint(name, "-", i)))
 	}
@@ -91,7 +91,7 @@
 
 // untilLimitSeen sends requests through a box until one has reached the upstream that states its
 // limit.
-func (n *limitedUpstreams) untilLimitSeen(b *bench) {
+func (n *limitedUpstreams) untilLimitSeen(b *testBox) {
 	for i := 0; ; i++ {
 		if all, _ := n.arrivals(); all > 0 {
 			return
@@ -103,7 +103,7 @@
 func TestUpstreamLimitIsRespected(t *testing.T) {
 	is := is.New(t)
 	n := newLimitedUpstreams(t, "1")
-	b := newBench(t, n.list...)
+	b := newTestBox(t, n.list...)
 	n.untilLimitSeen(b)
 	n.send(b, "more", 60)
 	_, most := n.arrivals()
@@ -116,13 +116,13 @@
 	is := is.New(t)
 	n := newLimitedUpstreams(t, "1")
 	var self *wire.GroupBox
-	first := newBenchWith(t, func(c *Config) {
+	first := newTestBoxWithConfig(t, func(c *Config) {
 		joinGroup(t, c, "first")
 		self = c.Self
 	}, n.list...)
 	second := first.startPeer(self)
 	n.untilLimitSeen(first)
-	second.until(func() bool { return second.log.contains(`"msg":"upstream: names a limit"`) })
+	second.waitFor(func() bool { return second.log.contains(`"msg":"upstream: names a limit"`) })
 	before, _ := n.arrivals()
 	n.send(second, "second", 40)
 	all, most := n.arrivals()
@@ -175,7 +175,7 @@
 }
 
 // limitOf returns the limit that a box applies to an upstream.
-func (b *bench) limitOf(id string) (balance.LimitOf, bool) {
+func (b *testBox) limitOf(id string) (balance.LimitQuota, bool) {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	return b.relay.fleet.Limit(b.relay.now(), id)
@@ -184,7 +184,7 @@
 // answerWithHeaders answers with additional headers.
 func answerWithHeaders(status string, headers ...string) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
-		say(c, fmt.Sprintf("HTTP/1.1 %s\nX-Id: %s\nX-Sign: s\n%s\nContent-Length: 4\n\nwell", status, r.Header.Get("X-Id"), strings.Join(headers, "\n")))
+		writeWire(c, fmt.Sprintf("HTTP/1.1 %s\nX-Id: %s\nX-Sign: s\n%s\nContent-Length: 4\n\nwell", status, r.Header.Get("X-Id"), strings.Join(headers, "\n")))
 		return true
 	}
 }
@@ -194,7 +194,7 @@
 func TestRefusalWhenAllUpstreamsAreAtLimits(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerWithHeaders("200 OK", "X-Limit: 0"))
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "first"))
 	is.Equal(got.status, http.StatusOK)
 	is.Equal(got.header.Get("X-Limit"), "0") // the answer is forwarded unchanged
@@ -224,12 +224,12 @@
 		{"refusal", answerWithHeaders("503 Full", "X-Not-Run: 1", "X-Limit: 7"), true},
 		{"another instance", answerWithHeaders("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Limit: 7"), false},
 		{"invalid value", answerWithHeaders("200 OK", "X-Limit: -7"), false},
-		{"caller's header only", answerOK("well"), false},
+		{"caller's header only", respondOK("well"), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			u := newStub(t, "u", c.script)
-			b := newBench(t, u)
+			b := newTestBox(t, u)
 			b.do(b.request(http.MethodPost, "/once/x", "x", "X-Limit", "7"))
 			is.Equal(u.requests()[0].Header.Get("X-Limit"), "7") // a caller's header is forwarded like any other
 			l, known := b.limitOf("u")
@@ -245,13 +245,13 @@
 func TestLimitIsPerIncarnation(t *testing.T) {
 	is := is.New(t)
 	n := newLimitedUpstreams(t, "0")
-	b := newBench(t, n.list...)
+	b := newTestBox(t, n.list...)
 	n.untilLimitSeen(b)
 	_, known := b.limitOf("u0")
 	is.True(known)
 	u := balance.Upstream{ID: "u0", StartedAt: 5, Service: "s", Address: n.list[0].listener.Addr().String(), Domain: "d", Slots: 8}
-	b.board.set("u0", u, false)
-	b.until(func() bool { return b.log.contains(`"msg":"upstream: started again"`) })
+	b.publisher.set("u0", u, false)
+	b.waitFor(func() bool { return b.log.contains(`"msg":"upstream: started again"`) })
 	_, known = b.limitOf("u0")
 	is.True(!known)
 }
@@ -262,9 +262,9 @@
 	is := is.New(t)
 	limit := "X-Limit: 7"
 	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return answerWithHeaders("200 OK", limit)(c, r) })
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	call := func() {
-		_, _, err := b.relay.call(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
+		_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 		is.NoErr(err)
 	}
 	call()
@@ -275,9 +275,9 @@
 	call()
 	_, known = b.limitOf("u")
 	is.True(known)
-	b.until(func() bool { // a box that has just started has no share
+	b.waitFor(func() bool { // a box that has just started has no share
 		l, _ := b.limitOf("u")
-		return l.Ration > 0
+		return l.Quota > 0
 	})
 	b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	_, known = b.limitOf("u")
@@ -288,8 +288,8 @@
 // reused.
 func TestUnusedConnectionIsKept(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerOK("well"))
-	b := newBench(t, u)
+	u := newStub(t, "u", respondOK("well"))
+	b := newTestBox(t, u)
 	to := *b.relay.fleet.Get("u")
 	c, err := b.relay.conns.get(t.Context(), to, "s")
 	is.NoErr(err)
--- a/relay/members.go
+++ b/relay/members.go
@@ -85,14 +85,14 @@
 	}
 	m.boxes.Store(int64(r.cfg.Boxes))
 	m.node = group.NewNode(group.Config{
-		Self:       r.cfg.Self,
-		Seeds:      r.cfg.Seeds,
-		Timing:     r.cfg.Timing,
-		Mirror:     m.mirror,
-		Changed:    m.mirrorChanged,
-		FirstStart: r.cfg.FirstStart,
-		Link:       r.cfg.Link,
-		Domains:    len(r.cfg.Regions),
+		Self:        r.cfg.Self,
+		Seeds:       r.cfg.Seeds,
+		Timing:      r.cfg.Timing,
+		Mirror:      m.mirror,
+		OnChange:    m.mirrorChanged,
+		FirstStart:  r.cfg.FirstStart,
+		LinkRate:    r.cfg.Link,
+		DomainCount: len(r.cfg.Regions),
 	}, r.now())
 	return m, m.listen()
 }
@@ -108,7 +108,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			m.relay.noticeSleep()
+			m.relay.detectSuspension()
 			m.syncFleet()
 			m.node.Tick(m.relay.now())
 			m.syncCutOff(ctx)
@@ -117,7 +117,7 @@
 			m.updateLoads()
 		case <-m.backlogReady:
 		case <-m.events.Ready():
-			m.relay.noticeSleep() // messages that waited during a suspension must not be taken for new
+			m.relay.detectSuspension() // messages that waited during a suspension must not be taken for new
 		}
 		batch = m.events.Drain(batch[:0])
 		for _, e := range batch {
@@ -150,7 +150,7 @@
 	case e.pulled != nil:
 		m.applyPull(now, e.pulled)
 	case e.mirrorReply != nil:
-		e.mirrorReply <- m.node.Answer(now, e.mirrorRequest)
+		e.mirrorReply <- m.node.AnswerPull(now, e.mirrorRequest)
 	case e.leave != nil:
 		m.node.Leave(now)
 		m.flush(ctx)
@@ -166,10 +166,10 @@
 	m.sendPending(ctx)
 	m.publishRevision()
 	if len(m.backlog) == 0 { // otherwise the box still uses older data
-		m.relay.published.confirmedAt.Store(int64(m.node.Confirmed()))
+		m.relay.published.confirmedAt.Store(int64(m.node.ConfirmedAt()))
 	}
-	if m.node.Known() {
-		m.boxes.Store(int64(m.node.Boxes()))
+	if m.node.SizeKnown() {
+		m.boxes.Store(int64(m.node.BoxCount()))
 	}
 	m.divisor.Store(int64(m.node.Divisor()))
 	m.updateReading()
@@ -218,7 +218,7 @@
 func (m *members) updateLeader() {
 	if leader := m.node.LeaderName(); leader != m.leaderName() {
 		m.leader.Store(&leader)
-		m.relay.cfg.Log.Event("group", "led by", Fields{"box": leader, "boxes": m.node.Boxes(), "age_ms": m.relay.publishedAge().Milliseconds()})
+		m.relay.cfg.Log.Event("group", "led by", Fields{"box": leader, "boxes": m.node.BoxCount(), "age_ms": m.relay.publishedAge().Milliseconds()})
 	}
 }
 
--- a/relay/memory.go
+++ b/relay/memory.go
@@ -47,7 +47,7 @@
 )
 
 // errMemoryShort reports that the box has no memory for an answer.
-var errMemoryShort = &Error{Op: "store answer", Kind: KindFull, Err: errors.New("memory limit reached")}
+var errMemoryShort = &Error{Op: "store answer", Kind: KindExhausted, Err: errors.New("memory limit reached")}
 
 // memoryShortReason is the reason given to callers and in logs.
 const memoryShortReason = "memory short"
@@ -98,7 +98,7 @@
 // chargedReader charges the part of a body that exceeds freeAnswerBytes.
 type chargedReader struct {
 	exchange *exchange
-	answer   *answer
+	answer   *response
 	read     int64
 	charged  int64 // of the bytes read
 }
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -72,7 +72,7 @@
 // sent to it.
 func (r *Relay) noteLeaving(inc balance.Incarnation, request string) {
 	r.mu.Lock()
-	isNew := r.fleet.SaysLeaving(inc)
+	isNew := r.fleet.NoteLeaving(inc)
 	r.mu.Unlock()
 	if !isNew {
 		return
@@ -89,22 +89,22 @@
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
 		fields := Fields{"upstream": u.ID, "born": u.StartedAt}
-		if _, _, err := r.call(ctx, u, u.Service, r.cfg.Protocol.ReportCall()); err != nil {
+		if _, _, err := r.callUpstream(ctx, u, u.Service, r.cfg.Protocol.ReportCall()); err != nil {
 			fields["error"] = err.Error()
 		}
 		r.cfg.Log.Event("upstream", "asked whether it is leaving", fields)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fleet.Proved(u.Incarnation())
-	r.wakeWaiting(u.Service)
+	r.fleet.NoteLeavingChecked(u.Incarnation())
+	r.wakeReady(u.Service)
 }
 
 // noteNotices records the notices in an answer; request is the ID of the request whose answer
 // was read.
-func (r *Relay) noteNotices(a *answer, request string) {
+func (r *Relay) noteNotices(a *response, request string) {
 	inc := a.conn.incarnation
-	if _, err := r.whyRefused(&a.header, inc.ID); err != nil {
+	if _, err := r.replacedBy(&a.header, inc.ID); err != nil {
 		return // another incarnation answers at that address
 	}
 	if r.saysLeaving(&a.header) {
--- a/relay/notices_test.go
+++ b/relay/notices_test.go
@@ -30,7 +30,7 @@
 	for i := range 3 {
 		a.list = append(a.list, newStub(t, fmt.Sprint("u", i), func(c net.Conn, r stubRequest) bool {
 			if i > 0 {
-				return answerOK("well")(c, r)
+				return respondOK("well")(c, r)
 			}
 			a.mu.Lock()
 			status, says := a.status, a.says
@@ -45,14 +45,14 @@
 func (a *noticeUpstreams) arrivals() int { return len(a.list[0].requests()) }
 
 // send sends requests through a box, one after the other.
-func (a *noticeUpstreams) send(b *bench, name string, count int) {
+func (a *noticeUpstreams) send(b *testBox, name string, count int) {
 	for i := range count {
 		b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", fmt.Sprint(name, "-", i)))
 	}
 }
 
 // untilNoticed sends requests through a box until one has reached the first upstream.
-func (a *noticeUpstreams) untilNoticed(b *bench) {
+func (a *noticeUpstreams) untilNoticed(b *testBox) {
 	for i := 0; a.arrivals() == 0; i++ {
 		a.send(b, fmt.Sprint("first-", i), 1)
 	}
@@ -63,14 +63,14 @@
 func TestLeavingNoticeStopsRequests(t *testing.T) {
 	is := is.New(t)
 	a := newNoticeUpstreams(t, "200 OK", "X-Leaving: 1")
-	b := newBench(t, a.list...)
+	b := newTestBox(t, a.list...)
 	a.untilNoticed(b)
 	a.send(b, "more", 60)
 	is.Equal(a.arrivals(), 1)
 }
 
 // isLeaving reports whether a box treats an upstream as leaving.
-func (b *bench) isLeaving(id string) bool {
+func (b *testBox) isLeaving(id string) bool {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	return b.relay.fleet.Get(id).Leaving
@@ -90,21 +90,21 @@
 		{"too many requests", answerWithHeaders("429 Many", "X-Not-Run: 1", "X-Leaving: 1"), true},
 		{"refusal with a pause", answerWithHeaders("503 Full", "X-Not-Run: 1", "Retry-After: 1", "X-Leaving: 1"), true},
 		{"an answer to another request", func(c net.Conn, r stubRequest) bool {
-			say(c, "HTTP/1.1 200 OK\nX-Id: before\nX-Leaving: 1\nContent-Length: 0\n\n")
-			return answerOK("well")(c, r)
+			writeWire(c, "HTTP/1.1 200 OK\nX-Id: before\nX-Leaving: 1\nContent-Length: 0\n\n")
+			return respondOK("well")(c, r)
 		}, true},
 		{"another instance", answerWithHeaders("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Leaving: 1"), false},
 		{"value 0", answerWithHeaders("200 OK", "X-Leaving: 0"), false},
-		{"caller's header only", answerOK("well"), false},
+		{"caller's header only", respondOK("well"), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			u, v := newStub(t, "u", c.script), newStub(t, "v", answerOK("well"))
-			b := newBench(t, u)
+			u, v := newStub(t, "u", c.script), newStub(t, "v", respondOK("well"))
+			b := newTestBox(t, u)
 			b.do(b.request(http.MethodPost, "/once/x", "x", "X-Leaving", "1"))
 			is.Equal(len(u.requests()), 1)
-			b.list(v, false)
-			b.until(func() bool { return b.known() == 2 })
+			b.listUpstream(v, false)
+			b.waitFor(func() bool { return b.upstreamCount() == 2 })
 			is.Equal(b.relay.stats.counterValue(leavingNotices) == 1, c.want)
 			is.True(b.isLeaving("u") || !c.want)
 		})
@@ -115,8 +115,8 @@
 func TestLeavingNoticeInAnswerToCall(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerWithHeaders("200 OK", "X-Leaving: 1"))
-	b := newBench(t, u)
-	_, _, err := b.relay.call(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
+	b := newTestBox(t, u)
+	_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 	is.NoErr(err)
 	is.True(b.isLeaving("u"))
 }
@@ -129,30 +129,30 @@
 			is := is.New(t)
 			said, goOn := make(chan struct{}), make(chan struct{})
 			u := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
-				say(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nX-Leaving: 1\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n", r.Header.Get("X-Id")))
-				chunk(c, event(1))
+				writeWire(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nX-Leaving: 1\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n", r.Header.Get("X-Id")))
+				writeChunk(c, event(1))
 				close(said)
 				<-goOn
 				if breaks {
 					return false
 				}
-				chunk(c, event(2))
-				chunk(c, "")
+				writeChunk(c, event(2))
+				writeChunk(c, "")
 				return true
 			})
 			v := newStub(t, "v", func(c net.Conn, r stubRequest) bool {
 				startStream(c, r)
-				chunk(c, event(2))
-				chunk(c, "")
+				writeChunk(c, event(2))
+				writeChunk(c, "")
 				return true
 			})
-			b := newBench(t, u)
-			done := make(chan answered, 1)
+			b := newTestBox(t, u)
+			done := make(chan callerResponse, 1)
 			go func() { done <- b.do(b.request(http.MethodPost, "/flow/x", "")) }()
 			<-said
-			b.until(func() bool { return b.isLeaving("u") })
-			b.list(v, false)
-			b.until(func() bool { return b.known() == 2 })
+			b.waitFor(func() bool { return b.isLeaving("u") })
+			b.listUpstream(v, false)
+			b.waitFor(func() bool { return b.upstreamCount() == 2 })
 			close(goOn)
 			is.Equal((<-done).body, event(1)+event(2))
 			is.Equal(len(u.requests()), 1)
@@ -166,7 +166,7 @@
 func TestRefusalWhenLastUpstreamIsLeaving(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerWithHeaders("200 OK", "X-Leaving: 1"))
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	is.Equal(b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "first")).status, http.StatusOK)
 	got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "second"))
 	is.Equal(got.status, http.StatusServiceUnavailable)
@@ -179,13 +179,13 @@
 // it: the request is sent to another one.
 func TestNoticeWhileConnectingMovesRequest(t *testing.T) {
 	for name, says := range map[string]func(r *Relay, inc balance.Incarnation){
-		"leaving": func(r *Relay, inc balance.Incarnation) { r.fleet.SaysLeaving(inc) },
+		"leaving": func(r *Relay, inc balance.Incarnation) { r.fleet.NoteLeaving(inc) },
 		"paused":  func(r *Relay, inc balance.Incarnation) { r.fleet.Pause(r.now(), inc, time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			u, v := newStub(t, "u", answerOK("u")), newStub(t, "v", answerOK("v"))
-			b := newBench(t, u, v)
+			u, v := newStub(t, "u", respondOK("u")), newStub(t, "v", respondOK("v"))
+			b := newTestBox(t, u, v)
 			r := b.relay
 			var once sync.Once
 			var first string
@@ -210,7 +210,7 @@
 func TestPauseIsRespected(t *testing.T) {
 	is := is.New(t)
 	a := newNoticeUpstreams(t, "503 No", "X-Not-Run: 1\nRetry-After: 30")
-	b := newBench(t, a.list...)
+	b := newTestBox(t, a.list...)
 	a.untilNoticed(b)
 	for range 20 {
 		a.send(b, "more", 5)
@@ -229,7 +229,7 @@
 	is := is.New(t)
 	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return answerReport(c, r, Report{Leaving: true}) })
 	p := reportingProtocol()
-	b := newBenchOf(t, p, u)
+	b := newTestBoxWithProtocol(t, p, u)
 	_, err := b.relay.fetchReport(t.Context(), silentCandidate{exchange: &exchange{request: &request{id: "r"}}, upstream: *b.relay.fleet.Get("u"), service: "s"})
 	is.NoErr(err)
 	is.True(b.isLeaving("u"))
@@ -249,7 +249,7 @@
 				defer mu.Unlock()
 				return answerWithHeaders("200 OK", headers)(c, r)
 			})
-			b := newBenchOf(t, reportingProtocol(), u)
+			b := newTestBoxWithProtocol(t, reportingProtocol(), u)
 			b.listIncarnation(u, 100, false)
 			b.awaitIncarnation("u", 100)
 			b.do(b.request(http.MethodPost, "/safe/x", "x"))
@@ -261,11 +261,11 @@
 			}
 			b.listIncarnation(u, 200, false)
 			b.awaitIncarnation("u", 200)
-			b.until(func() bool { return b.log.contains("upstream: asked whether it is leaving") })
-			b.until(func() bool {
+			b.waitFor(func() bool { return b.log.contains("upstream: asked whether it is leaving") })
+			b.waitFor(func() bool {
 				b.relay.mu.Lock()
 				defer b.relay.mu.Unlock()
-				return !b.relay.fleet.Unproven(balance.Incarnation{ID: "u", StartedAt: 200})
+				return !b.relay.fleet.NeedsLeavingCheck(balance.Incarnation{ID: "u", StartedAt: 200})
 			})
 			got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "again"))
 			is.Equal(got.status == http.StatusOK, !says)
--- a/relay/outcome_test.go
+++ b/relay/outcome_test.go
@@ -12,7 +12,7 @@
 	"github.com/doormast/doormast/route"
 )
 
-func TestWhatAStatusTellsOfItsUpstream(t *testing.T) {
+func TestOutcomeOfStatus(t *testing.T) {
 	tests := []struct {
 		status int
 		time   time.Duration // that the caller waits; the route gives 12 s
@@ -28,7 +28,7 @@
 	for _, tt := range tests {
 		is := is.New(t)
 		x := &exchange{route: &route.Route{Timeout: 12 * time.Second}, arrived: time.Unix(1, 0)}
-		x.end = x.arrived.Add(tt.time)
+		x.deadline = x.arrived.Add(tt.time)
 		is.Equal(x.outcomeOf(tt.status), tt.want) // as in the table
 		x.ctx = context.Background()
 		if tt.status >= 500 { // where the request may be sent again, it comes as a failure
@@ -39,10 +39,10 @@
 
 // A run that could not be sent to an earlier life of an upstream closes no connection to the
 // present one, and no loss is put down to it; one on the present life does both.
-func TestAFailureOfAnEarlierLifeLeavesThePresentOneAlone(t *testing.T) {
+func TestFailureOfEarlierInstanceKeepsCurrentConnections(t *testing.T) {
 	is := is.New(t)
-	u, v := newStub(t, "u", answerOK("ok")), newStub(t, "v", answerOK("ok"))
-	b := newBench(t, u, v)
+	u, v := newStub(t, "u", respondOK("ok")), newStub(t, "v", respondOK("ok"))
+	b := newTestBox(t, u, v)
 	b.listIncarnation(u, 200, false)
 	b.awaitIncarnation("u", 200)
 	r := b.relay
@@ -61,7 +61,7 @@
 
 	x := &exchange{relay: r, request: &request{}, ctx: context.Background(), upstream: present}
 	x.upstream.StartedAt = 100
-	x.failed(runUnsent, syscall.ECONNREFUSED)
+	x.recordFailure(runUnsent, syscall.ECONNREFUSED)
 	is.Equal(resting(), 1)
 	r.mu.Lock()
 	lost := r.fleet.NewlyLost()
@@ -69,7 +69,7 @@
 	r.mu.Unlock()
 	is.Equal(len(lost), 1) // nobody has put it down to u
 	x.upstream.StartedAt = 200
-	x.failed(runUnsent, syscall.ECONNREFUSED)
+	x.recordFailure(runUnsent, syscall.ECONNREFUSED)
 	is.Equal(resting(), 0)
-	b.until(func() bool { return b.log.contains("out of reach") })
+	b.waitFor(func() bool { return b.log.contains("out of reach") })
 }
--- a/relay/pause_test.go
+++ b/relay/pause_test.go
@@ -97,7 +97,7 @@
 			return answerWithHeaders("503 No", "X-Not-Run: 1", "Retry-After: "+length)(c, r)
 		}
 		<-p.hold
-		return answerOK("well")(c, r)
+		return respondOK("well")(c, r)
 	})
 	return p
 }
@@ -114,18 +114,18 @@
 }
 
 // waitingRequests is how many requests of the service wait for the end of a pause.
-func (b *bench) waitingRequests() int {
+func (b *testBox) waitingRequests() int {
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
-	if q := b.relay.waiting["s"]; q != nil {
+	if q := b.relay.pauseQueues["s"]; q != nil {
 		return len(q.list)
 	}
 	return 0
 }
 
 // sendConcurrently sends requests concurrently, and returns a channel of their answers.
-func (b *bench) sendConcurrently(count int, header ...string) <-chan answered {
-	done := make(chan answered, count)
+func (b *testBox) sendConcurrently(count int, header ...string) <-chan callerResponse {
+	done := make(chan callerResponse, count)
 	for i := range count {
 		go func() {
 			done <- b.do(b.request(http.MethodPost, "/safe/x", "x", append([]string{"X-Id", fmt.Sprint("r", i)}, header...)...))
@@ -140,13 +140,13 @@
 	is := is.New(t)
 	const length = 1500 * time.Millisecond
 	u := newPausingUpstream(t, "1.5")
-	b := newBench(t, u.stub)
+	b := newTestBox(t, u.stub)
 	first := b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	is.Equal(first.status, http.StatusServiceUnavailable)
 	const count = 12
 	done := b.sendConcurrently(count, "X-Left", "30000")
-	b.until(func() bool { return b.waitingRequests() == count || len(u.requests()) > 1 })
-	b.until(func() bool { n, _ := u.arrivals(); return n > 0 })
+	b.waitFor(func() bool { return b.waitingRequests() == count || len(u.requests()) > 1 })
+	b.waitFor(func() bool { n, _ := u.arrivals(); return n > 0 })
 	n, after := u.arrivals()
 	is.True(after >= length) // none arrived during the pause
 	is.Equal(n, 1)           // the others wait until that one is answered
@@ -164,13 +164,13 @@
 func TestPauseTooLongForCaller(t *testing.T) {
 	is := is.New(t)
 	u := newPausingUpstream(t, "30")
-	b := newBench(t, u.stub)
+	b := newTestBox(t, u.stub)
 	for i := range 3 { // the first was sent, the others were not
 		got := b.do(b.request(http.MethodPost, "/once/x", "x", "X-Id", fmt.Sprint(i)))
 		is.Equal(got.status, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		is.NoErr(err)
-		is.True(after > 20 && after <= (30+3)*(1+comeBackSpread))
+		is.True(after > 20 && after <= (30+3)*(1+retryAfterJitter))
 		is.True(strings.Contains(got.body, pauseReason))
 		is.True(strings.Contains(got.body, `"ran":"no"`))
 	}
@@ -181,12 +181,12 @@
 // Requests that wait for the end of a pause are sent to another upstream once one is listed.
 func TestNewUpstreamEndsWaitForPause(t *testing.T) {
 	is := is.New(t)
-	u, v := newPausingUpstream(t, "3"), newStub(t, "v", answerOK("v"))
-	b := newBench(t, u.stub)
+	u, v := newPausingUpstream(t, "3"), newStub(t, "v", respondOK("v"))
+	b := newTestBox(t, u.stub)
 	b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	done := b.sendConcurrently(3)
-	b.until(func() bool { return b.waitingRequests() == 3 })
-	b.list(v, false)
+	b.waitFor(func() bool { return b.waitingRequests() == 3 })
+	b.listUpstream(v, false)
 	for range 3 {
 		is.Equal((<-done).body, "v")
 	}
@@ -198,13 +198,13 @@
 func TestCallsRespectPauses(t *testing.T) {
 	is := is.New(t)
 	u := newPausingUpstream(t, "30")
-	b := newBench(t, u.stub)
+	b := newTestBox(t, u.stub)
 	call := func() error {
-		_, _, err := b.relay.call(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
+		_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 		return err
 	}
 	is.NoErr(call())
-	is.Equal(call(), error(errTakesNone))
+	is.Equal(call(), error(errNotAccepting))
 	is.Equal(len(u.requests()), 1)
 }
 
@@ -212,7 +212,7 @@
 func TestInvalidPauseIsLogged(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u", answerWithHeaders("503 No", "X-Not-Run: 1", "Retry-After: soon"))
-	b := newBench(t, u)
+	b := newTestBox(t, u)
 	for range 2 {
 		b.do(b.request(http.MethodPost, "/once/x", "x"))
 		time.Sleep(overloadPauseElapsed)
@@ -226,10 +226,10 @@
 func TestStopRefusesWaitingRequests(t *testing.T) {
 	is := is.New(t)
 	u := newPausingUpstream(t, "3")
-	b := newBench(t, u.stub)
+	b := newTestBox(t, u.stub)
 	b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	done := b.sendConcurrently(3)
-	b.until(func() bool { return b.waitingRequests() == 3 })
+	b.waitFor(func() bool { return b.waitingRequests() == 3 })
 	stopped := make(chan struct{})
 	go func() {
 		b.relay.Stop()
--- a/relay/probe.go
+++ b/relay/probe.go
@@ -87,7 +87,7 @@
 func (r *Relay) closeRetriableRuns(inc balance.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for x, c := range r.runs {
+	for x, c := range r.runConns {
 		if c.incarnation == inc && x.route.Again() {
 			_ = c.Close()
 		}
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -38,7 +38,7 @@
 	// (IP:port) and stop the run; ParseMove parses its answer, which came from IP:port.
 	// DropCall frees a copy. All are nil if runs cannot move.
 	MoveCall  func(request, to string) UpstreamCall
-	ParseMove func(from string, status int, body []byte) Copy
+	ParseMove func(from string, status int, body []byte) RunCopy
 	DropCall  func(name string) UpstreamCall
 
 	// ReportCall asks an upstream for its runs; ParseReport returns what the answer says of a
--- a/relay/pull.go
+++ b/relay/pull.go
@@ -62,7 +62,7 @@
 	if left := p.response.BusyLeft; left > 0 {
 		m.relay.cfg.Log.Event("group", "pull refused", Fields{"from": p.from, "busy_ms": left / microsPerMilli, "elsewhere": p.response.Elsewhere})
 	}
-	m.node.Pulled(now, p.requestedAt, p.response)
+	m.node.HandlePullResponse(now, p.requestedAt, p.response)
 }
 
 // mirrorService answers other boxes' pulls.
@@ -84,7 +84,7 @@
 	select {
 	case resp := <-reply:
 		caller := &wire.GroupBox{Domain: req.Msg.Domain, Region: req.Msg.Region}
-		s.members.traffic.add(group.KindPulled, group.ReachOf(s.members.relay.cfg.Self, caller), proto.Size(resp))
+		s.members.traffic.add(group.KindPullResponse, group.ReachOf(s.members.relay.cfg.Self, caller), proto.Size(resp))
 		return connect.NewResponse(resp), nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -101,7 +101,7 @@
 	path, handler := wire.NewMirrorsHandler(mirrorService{r.members}, connect.WithCompressMinBytes(minCompressBytes))
 	mux.Handle(path, handler)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: pullTimeout, IdleTimeout: pullTimeout}
-	if err := server.Serve(r.cfg.Control); err != nil && !r.stopping.Load() {
+	if err := server.Serve(r.cfg.ControlListener); err != nil && !r.stopping.Load() {
 		r.cfg.Log.Event("control", "server failed", Fields{"error": err.Error()})
 	}
 }
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -129,9 +129,9 @@
 	if len(r.items) > 0 {
 		// With this delay, a hundred entries that change one after the other, as when upstreams
 		// start, take some ten reads; without it they take a hundred.
-		r.delay = m.relay.cfg.Timing.Gather
+		r.delay = m.relay.cfg.Timing.BatchDelay
 	}
-	m.node.Read(now, r.asOf, r.items, r.revision, r.full)
+	m.node.HandleRead(now, r.asOf, r.items, r.revision, r.full)
 	m.relay.published.noteRegained(m.relay)
 }
 
--- a/relay/reader_test.go
+++ b/relay/reader_test.go
@@ -33,7 +33,7 @@
 func TestContinuedReadKeepsItsAge(t *testing.T) {
 	for _, revision := range []uint64{0, 5} { // an empty mirror, and one whose changes are no longer available
 		is := is.New(t)
-		m := &members{relay: &Relay{start: time.Now().Add(-time.Minute), cfg: Config{Publisher: &flakyPublisher{fails: 2}}}}
+		m := &members{relay: &Relay{startedAt: time.Now().Add(-time.Minute), cfg: Config{Publisher: &flakyPublisher{fails: 2}}}}
 		m.revision.Store(revision)
 		first := m.readPublisher(context.Background())
 		m.readPublisher(context.Background())
@@ -60,7 +60,7 @@
 // A read that hangs, and fails after another box has sent the data, does not count as failed.
 func TestHangingReadIsNotNeeded(t *testing.T) {
 	is := is.New(t)
-	m := &members{relay: &Relay{start: time.Now(), cfg: Config{Publisher: &hangingPublisher{}}}, filled: make(chan struct{})}
+	m := &members{relay: &Relay{startedAt: time.Now(), cfg: Config{Publisher: &hangingPublisher{}}}, filled: make(chan struct{})}
 	close(m.filled)
 	is.Equal(m.readPublisher(context.Background()).err, mirror.ErrNotNeeded)
 	ctx, end := context.WithCancel(context.Background())
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file defines the relay's configuration and its start. The invariant: every duty
-// that is started reports its end.
+// This file defines the relay's configuration and start. The invariant: every background task that is
+// started reports its end, so that Stop can wait for it.
 
 import (
 	"context"
@@ -21,49 +21,48 @@
 
 // Config configures a Relay.
 type Config struct {
-	Box      string            // its name, as logs and operators see it
-	Domain   string            // its failure domain
-	Regions  map[string]string // of each failure domain, where they are divided into such
-	Callers  net.Listener      // for requests
-	Ready    net.Listener      // for readiness checks
-	Control  net.Listener      // for other boxes' calls; nil where a box has no peers
-	Self     *wire.GroupBox    // the box as the others know it; without an address it has no peers
-	Seeds    []string          // IP:port of boxes that may be there
-	Link     float64           // what the box's link carries, in bytes a second; 0: not known
-	Timing   group.Timing
-	Protocol Protocol
-	// Publisher is read for the document and the list of upstreams, which Decode
-	// makes of what lies there.
+	Box               string            // name of the box in logs and for operators
+	Domain            string            // failure domain of the box
+	Regions           map[string]string // region of each failure domain; empty if domains are not grouped into regions
+	CallerListener    net.Listener      // accepts callers' requests
+	ReadinessListener net.Listener      // accepts readiness checks
+	ControlListener   net.Listener      // accepts RPCs of other boxes; nil if the box has no peers
+	Self              *wire.GroupBox    // the entry of this box in the group; without an address the box has no peers
+	Seeds             []string          // IP:port of boxes to contact first; they need not be running
+	Link              float64           // bandwidth of the box's network link in bytes per second; 0: unknown
+	Timing            group.Timing
+	Protocol          Protocol
+	// Publisher provides the routing document and the list of upstreams as items, which Decode parses.
 	Publisher mirror.Publisher
 	Decode    func(mirror.Item) (Update, error)
-	Log       *Log // the relay never closes it
+	Log       *Log // not closed by the relay
 	Budget    balance.BudgetConfig
 	Cold      ColdBounds
-	Limits    balance.LimitBounds // of the limits that upstreams name
+	Limits    balance.LimitBounds // bounds on the rate limits that upstreams announce
 	Tuning    balance.Tuning
-	Off       balance.Off // the mechanisms that are switched off
-	// FirstStart says that no box ran before, so that nothing is left of an
-	// earlier one's budget.
+	Disabled  balance.Off // mechanisms that are switched off
+	// FirstStart states that no box ran here before, so that no retries of an earlier process have to be
+	// assumed.
 	FirstStart bool
-	// Boxes is how many boxes share limits while nothing is known of the others.
+	// Boxes is the number of boxes assumed to share limits until others are heard from.
 	Boxes int
-	// Memory is how many bytes may be kept on behalf of callers and upstreams; 0: there
-	// is no bound.
+	// Memory is the maximum number of bytes buffered for callers and upstreams; 0: unlimited.
 	Memory int64
-	// Clock also counts the time for which the machine was suspended; nil: the machine's own.
+	// Clock also counts the time during which the machine was suspended; nil: the system clock.
 	Clock timer.Clock
-	// Grace is how long a planned stop may take, graceMargin included.
+	// Grace is the maximum duration of a planned stop, including graceMargin.
 	Grace time.Duration
 }
 
-// ColdBounds bound what cold upstreams are sent.
+// ColdBounds limit the number of requests sent to upstreams that have just started (cold upstreams).
 type ColdBounds struct {
-	Overshoot float64 // times what an upstream bears in a second; 0: there is no bound
-	Slack     float64 // and so many requests besides
+	Overshoot float64 // factor on the requests per second that an upstream can serve; 0: unlimited
+	Slack     float64 // requests allowed in addition
 }
 
-// most is how many requests a cold upstream that bears so many a second may be sent in one.
-func (b ColdBounds) most(perSecond float64) int {
+// maxRequests returns how many requests per second a cold upstream with a capacity of perSecond may be
+// sent; 0: unlimited.
+func (b ColdBounds) maxRequests(perSecond float64) int {
 	if b.Overshoot == 0 || perSecond == 0 {
 		return 0
 	}
@@ -72,109 +71,111 @@
 
 // Relay is a running box.
 type Relay struct {
-	cfg       Config
-	start     time.Time
-	startBoot time.Duration // the same by the clock that counts suspensions
-	slept     atomic.Int64  // time.Duration for which the machine was suspended since
-	startWall atomic.Int64  // the time of day at the start, Unix ns, as it seemed when a request last came
-	published published
-	account   *account.Account // of what is kept for callers and upstreams
-	conns     *connPool
-	stats     stats
-	front     *front
+	cfg          Config
+	startedAt    time.Time
+	startBoot    time.Duration // reading of the clock that counts suspensions, taken at startedAt
+	suspendedFor atomic.Int64  // time.Duration for which the machine was suspended since the start
+	startWall    atomic.Int64  // wall clock time of the start in Unix ns, as derived when the last request arrived
+	published    published
+	account      *account.Account // memory used for callers and upstreams
+	conns        *connPool
+	stats        stats
+	callerServer *front
 
 	members    *members
 	pullClient *http.Client
 
-	mu         sync.Mutex // guards what follows, up to finding
-	fleet      *balance.Fleet
-	budgets    *balance.Budgets
-	endedUnder balance.Suspects    // requests that upstreams ended under
-	runs       map[*exchange]*conn // the connections on which requests run
-	waiting    map[string]*waiting // requests that wait for the end of a pause, by service
-	// Lives of which it is being found out whether they have ended; closed when that is known.
+	mu            sync.Mutex // guards the fields up to endChecks
+	fleet         *balance.Fleet
+	budgets       *balance.Budgets
+	crashSuspects balance.Suspects       // requests during which upstreams crashed
+	runConns      map[*exchange]*conn    // connection of each active run
+	pauseQueues   map[string]*pauseQueue // requests waiting for the end of a pause, by service
+	// Running checks of whether an upstream instance has ended; each channel is closed when the result
+	// is known.
 	endChecks map[balance.Incarnation]chan struct{}
 
-	probeWake chan struct{} // readable when an upstream could not be reached
-	stopping  atomic.Bool
-	ended     atomic.Bool // the grace of a planned stop is over
-	cancel    context.CancelFunc
-	ends      chan string // the name of each duty that has ended
-	duties    int
+	probeWake    chan struct{} // readable when a connection to an upstream has failed
+	stopping     atomic.Bool
+	graceOver    atomic.Bool // the grace period of a planned stop has passed
+	cancel       context.CancelFunc
+	endedTasks   chan string // receives the name of each background task that has ended
+	runningTasks int
 }
 
-// Start starts a relay; Stop ends it. The error is an Error of KindEdge where datagrams
-// cannot be listened for.
+// Start starts a relay; Stop ends it. The error is an *Error of KindListen if the datagram socket
+// cannot be opened.
 func Start(cfg Config) (*Relay, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = timer.SystemClock{}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Relay{
-		cfg:        cfg,
-		start:      time.Now(),
-		startBoot:  cfg.Clock.Boot(),
-		published:  newPublished(),
-		account:    account.New(cfg.Memory),
-		cancel:     cancel,
-		ends:       make(chan string, maxDuties),
-		pullClient: newPullClient(),
-		probeWake:  make(chan struct{}, 1),
-		runs:       make(map[*exchange]*conn),
-		waiting:    make(map[string]*waiting),
-		endChecks:  make(map[balance.Incarnation]chan struct{}),
-		stats:      newStats(),
+		cfg:         cfg,
+		startedAt:   time.Now(),
+		startBoot:   cfg.Clock.Boot(),
+		published:   newPublished(),
+		account:     account.New(cfg.Memory),
+		cancel:      cancel,
+		endedTasks:  make(chan string, maxTasks),
+		pullClient:  newPullClient(),
+		probeWake:   make(chan struct{}, 1),
+		runConns:    make(map[*exchange]*conn),
+		pauseQueues: make(map[string]*pauseQueue),
+		endChecks:   make(map[balance.Incarnation]chan struct{}),
+		stats:       newStats(),
 	}
-	r.startWall.Store(r.start.UnixNano())
-	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, Named: cfg.Limits, Off: cfg.Off, FirstStart: cfg.FirstStart})
+	r.startWall.Store(r.startedAt.UnixNano())
+	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, Named: cfg.Limits, Off: cfg.Disabled, FirstStart: cfg.FirstStart})
 	r.budgets = balance.NewBudgets(cfg.Budget, r.now(), cfg.FirstStart)
 	r.conns = newConnPool(r.connectionCap)
 	r.conns.onConnect = r.recordConnectTime
-	r.front = newFront(r)
+	r.callerServer = newFront(r)
 	var err error
 	if r.members, err = newMembers(r); err != nil {
 		cancel()
-		return nil, &Error{Op: "listen to other boxes", Kind: KindEdge, Err: err}
+		return nil, &Error{Op: "listen for datagrams", Kind: KindListen, Err: err}
 	}
-	r.startDuties(ctx)
-	r.cfg.Log.Event("box", "start", Fields{"box": cfg.Box, "domain": cfg.Domain, "off": cfg.Off.Names()})
+	r.startTasks(ctx)
+	r.cfg.Log.Event("box", "start", Fields{"box": cfg.Box, "domain": cfg.Domain, "off": cfg.Disabled.Names()})
 	return r, nil
 }
 
-// startDuties starts what goes on until the box ends.
-func (r *Relay) startDuties(ctx context.Context) {
-	r.run("members", func() { r.members.run(ctx) })
-	r.run("reader", func() { r.members.readLoop(ctx) })
-	r.run("trials", func() { r.probeLoop(ctx) })
+// startTasks starts the background tasks, which run until the box stops.
+func (r *Relay) startTasks(ctx context.Context) {
+	r.startTask("members", func() { r.members.run(ctx) })
+	r.startTask("reader", func() { r.members.readLoop(ctx) })
+	r.startTask("trials", func() { r.probeLoop(ctx) })
 	if r.cfg.Protocol.ReportCall != nil {
-		r.run("silence", func() { r.silenceLoop(ctx) })
+		r.startTask("silence", func() { r.silenceLoop(ctx) })
 	}
-	if r.cfg.Control != nil {
-		r.run("control", r.serveControl)
+	if r.cfg.ControlListener != nil {
+		r.startTask("control", r.serveControl)
 	}
-	r.run("callers", func() { r.front.serve(r.cfg.Callers) })
-	r.run("ready", func() { r.front.serveReady(r.cfg.Ready) })
+	r.startTask("callers", func() { r.callerServer.serve(r.cfg.CallerListener) })
+	r.startTask("ready", func() { r.callerServer.serveReady(r.cfg.ReadinessListener) })
 }
 
-// maxDuties is how many duties a box has at most.
-const maxDuties = 8
+// maxTasks is the maximum number of background tasks of a box.
+const maxTasks = 8
 
-// run starts a duty; its name comes from ends when it has ended.
-func (r *Relay) run(duty string, f func()) {
-	r.duties++
+// startTask runs f in a goroutine and sends the task's name to endedTasks when f returns.
+func (r *Relay) startTask(duty string, f func()) {
+	r.runningTasks++
 	go func() {
 		f()
-		r.ends <- duty
+		r.endedTasks <- duty
 	}()
 }
 
-// boxes is how many boxes share the limits.
+// boxes returns the number of boxes that share limits, at least 1.
 func (r *Relay) boxes() int { return max(int(r.members.boxes.Load()), 1) }
 
-// divisor is by how many this box divides what all boxes share; 0: it has heard of nobody, and has no part.
+// divisor returns the number by which this box divides shared limits; 0 if it has heard from no other
+// box and so has no share.
 func (r *Relay) divisor() int { return int(r.members.divisor.Load()) }
 
-// connectionCap is how many connections this box may hold to an upstream.
+// connectionCap returns how many connections this box may open to one upstream of the service.
 func (r *Relay) connectionCap(service string) int {
 	doc := r.published.document()
 	if doc == nil {
@@ -191,5 +192,5 @@
 	return max(1, s.MaxConnections/boxes)
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether the box accepts requests: it has a routing document and is not stopping.
 func (r *Relay) Ready() bool { return !r.stopping.Load() && r.published.document() != nil }
--- a/relay/request.go
+++ b/relay/request.go
@@ -1,8 +1,7 @@
 package relay
 
-// This file defines how a caller's request is read. The invariant: what goes on to an
-// upstream is everything but what concerns one connection, the caller's secret, and
-// the headers that the box sets itself.
+// This file defines how a caller's request is read. The invariant: an upstream gets all headers except
+// hop-by-hop headers, the caller's API key, and those that the box sets itself.
 
 import (
 	"bytes"
@@ -15,38 +14,38 @@
 	"github.com/valyala/fasthttp"
 )
 
-// request is what the box reads of a caller's request.
+// request is a caller's request as read by the box.
 type request struct {
-	id       string // of this attempt of the caller
-	method   string
-	uri      string // as it was sent
-	host     string
-	timeLeft time.Duration // the caller waits; 0: not said
-	key      string        // the caller's secret
-	prompt   Prompt
-	body     []byte
-	head     int    // bytes of its request line and headers
-	passed   []byte // the headers that go on, as lines
-	lastSeen string // the caller's last event, as it was sent
+	id               string // ID of this attempt of the caller
+	method           string
+	uri              string // as sent
+	host             string
+	timeLeft         time.Duration // how long the caller waits; 0: not stated
+	customerKey      string        // the caller's API key
+	prompt           Prompt
+	body             []byte
+	headBytes        int    // length of the request line and headers
+	forwardedHeaders []byte // header lines to forward
+	lastEventID      string // the last event that the caller has received, as sent
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{"connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization",
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{"connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization",
 	"te", "trailer", "transfer-encoding", "upgrade", "expect", "content-length", "host"}
 
-// readRequest reads what the handler was given.
+// readRequest parses the request passed to the handler.
 func (r *Relay) readRequest(ctx *fasthttp.RequestCtx) *request {
 	h := &ctx.Request.Header
 	p := &r.cfg.Protocol
 	get := func(name string) string { return headerValue(h, name) }
 	q := &request{
-		id:       get(p.RequestID),
-		method:   string(h.Method()),
-		uri:      string(h.RequestURI()),
-		host:     string(h.Host()),
-		key:      get(p.Key),
-		body:     ctx.Request.Body(),
-		lastSeen: get(p.LastEvent),
+		id:          get(p.RequestID),
+		method:      string(h.Method()),
+		uri:         string(h.RequestURI()),
+		host:        string(h.Host()),
+		customerKey: get(p.Key),
+		body:        ctx.Request.Body(),
+		lastEventID: get(p.LastEvent),
 	}
 	if ms, err := strconv.ParseInt(get(p.TimeLeft), 10, 64); err == nil && ms > 0 {
 		q.timeLeft = time.Duration(ms) * time.Millisecond
@@ -54,19 +53,19 @@
 	if p.Prompt != nil {
 		q.prompt = p.Prompt(get)
 	}
-	q.passed = r.passOn(h)
-	q.head = len(h.RawHeaders()) + len(q.method) + len(q.uri) + len("  HTTP/1.1\r\n")
+	q.forwardedHeaders = r.forwardHeaders(h)
+	q.headBytes = len(h.RawHeaders()) + len(q.method) + len(q.uri) + len("  HTTP/1.1\r\n")
 	return q
 }
 
-// header is a request's or an answer's.
-type header interface {
+// headerReader is a request or response header.
+type headerReader interface {
 	Peek(name string) []byte
 	All() iter.Seq2[[]byte, []byte]
 }
 
-// headerValue finds a header whatever the case of its name.
-func headerValue(h header, name string) string {
+// headerValue returns the value of a header, whose name is case-insensitive; empty if there is none.
+func headerValue(h headerReader, name string) string {
 	if name == "" {
 		return ""
 	}
@@ -81,34 +80,34 @@
 	return ""
 }
 
-// passOn collects the headers that go to the upstream.
-func (r *Relay) passOn(h *fasthttp.RequestHeader) []byte {
+// forwardHeaders returns the header lines to forward to the upstream.
+func (r *Relay) forwardHeaders(h *fasthttp.RequestHeader) []byte {
 	vital := r.cfg.Protocol.alwaysForwarded()
-	drop := slices.Concat(r.cfg.Protocol.neverForwarded(), hopHeaders)
+	drop := slices.Concat(r.cfg.Protocol.neverForwarded(), hopByHopHeaders)
 	hop := connectionHeaders(h)
 	var out bytes.Buffer
 	for name, value := range h.All() {
-		ofConnection := namedIn(hop, name) && !namedIn(vital, name)
-		if !ofConnection && !namedIn(drop, name) {
+		ofConnection := containsHeader(hop, name) && !containsHeader(vital, name)
+		if !ofConnection && !containsHeader(drop, name) {
 			writeHeader(&out, string(name), string(value))
 		}
 	}
 	return out.Bytes()
 }
 
-// connectionHeaders lists the headers that the caller says concern its connection only.
+// connectionHeaders returns the names listed in the caller's Connection headers.
 func connectionHeaders(h *fasthttp.RequestHeader) []string {
 	var list []string
-	for name, value := range h.All() { // it may come more than once
+	for name, value := range h.All() { // Connection may occur more than once
 		if strings.EqualFold(string(name), "Connection") {
-			list = append(list, listOf(string(value))...)
+			list = append(list, splitList(string(value))...)
 		}
 	}
 	return list
 }
 
-// listOf reads a list whose entries are joined by commas.
-func listOf(value string) []string {
+// splitList splits a comma-separated list and trims its entries.
+func splitList(value string) []string {
 	list := strings.Split(value, ",")
 	for i := range list {
 		list[i] = strings.TrimSpace(list[i])
@@ -116,12 +115,12 @@
 	return list
 }
 
-// namedIn reports whether the list names a header, whatever the case.
-func namedIn(list []string, header []byte) bool {
+// containsHeader reports whether the list contains a header name, ignoring case.
+func containsHeader(list []string, header []byte) bool {
 	return slices.ContainsFunc(list, func(name string) bool { return strings.EqualFold(name, string(header)) })
 }
 
-// path is the part of a URI that routes are found by.
+// path returns the part of the URI that routes match: all before the query.
 func (q *request) path() string {
 	path, _, _ := strings.Cut(q.uri, "?")
 	return path
--- /dev/null
+++ b/relay/response.go
@@ -0,0 +1,132 @@
+package relay
+
+// This file defines an upstream's response: how its header is read, and what happens to its
+// connection. The invariants: a response with the ID of another request is never forwarded, and a
+// connection is reused only if its response was read to the end.
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/valyala/fasthttp"
+)
+
+// response is an upstream's response whose header has been read.
+type response struct {
+	conn   *conn
+	header fasthttp.ResponseHeader
+	body   io.Reader // decoded; io.EOF only after the whole body
+	reuse  bool      // the connection can carry another request after this body
+	sent   *requestWrite
+}
+
+// maxForeignResponses is the number of responses to other requests that are skipped on a connection
+// before it is given up.
+const maxForeignResponses = 2
+
+// roundTrip makes a call of the box itself on a connection and reads the header of the response.
+func (r *Relay) roundTrip(c *conn, o outgoing) (*response, error) {
+	if r.isPaused(c.incarnation) {
+		return nil, errNotAccepting
+	}
+	return r.readResponse(c, o.id, c.send(o))
+}
+
+// readResponse reads the header of the response to a request that is being sent.
+func (r *Relay) readResponse(c *conn, request string, sent *requestWrite) (*response, error) {
+	for skipped := 0; ; skipped++ {
+		resp, err := r.readHead(c)
+		if err != nil {
+			return nil, err
+		}
+		resp.sent = sent
+		r.noteNotices(resp, request)
+		id := headerValue(&resp.header, r.cfg.Protocol.RequestID)
+		if id == "" || id == request {
+			resp.reuse = resp.reuse && skipped == 0
+			r.noteLimit(resp, request)
+			return resp, nil
+		}
+		// A late response to an earlier request: it is discarded.
+		if skipped == maxForeignResponses || !resp.hasFraming() {
+			return nil, &Error{Op: "read response", Kind: KindMalformed, Err: errors.New("response to another request")}
+		}
+		if _, err := io.Copy(io.Discard, resp.body); err != nil {
+			return nil, err
+		}
+	}
+}
+
+// readHead reads a header and sets up the reader of the body.
+func (r *Relay) readHead(c *conn) (*response, error) {
+	if err := checkStatusLine(c); err != nil {
+		return nil, err
+	}
+	resp := &response{conn: c}
+	resp.header.DisableNormalizing()
+	resp.header.SetNoDefaultContentType(true)
+	if err := resp.header.Read(c.reader); err != nil {
+		return nil, &Error{Op: "read response", Kind: KindMalformed, Err: err}
+	}
+	resp.body = bodyReader(c, &resp.header)
+	resp.reuse = resp.hasFraming() && !resp.header.ConnectionClose()
+	return resp, nil
+}
+
+// statusPrefix starts every response.
+var statusPrefix = []byte("HTTP/1.")
+
+// checkStatusLine rejects bytes that do not start a response; the header parser is more lenient.
+func checkStatusLine(c *conn) error {
+	b, err := c.reader.Peek(len("HTTP/1.1 200"))
+	if err != nil {
+		return &Error{Op: "read response", Kind: KindTruncated, Err: err}
+	}
+	space, class := b[len("HTTP/1.1")], b[len("HTTP/1.1 ")]
+	if !bytes.HasPrefix(b, statusPrefix) || space != ' ' || class < '1' || class > '5' {
+		return &Error{Op: "read response", Kind: KindMalformed, Err: errors.New("no status line")}
+	}
+	return nil
+}
+
+// The lengths that fasthttp returns for a body whose header states none.
+const (
+	lengthChunked = -1 // chunked encoding
+	lengthUnknown = -2 // the body ends when the connection is closed
+)
+
+// hasFraming reports whether the end of the body can be found without the connection being closed.
+func (r *response) hasFraming() bool { return r.header.ContentLength() != lengthUnknown }
+
+// releaseConn ends the use of a response's connection. The connection is kept for reuse if the whole
+// response was read, the request was written completely, and the response allows reuse.
+func (r *Relay) releaseConn(resp *response, whole bool) {
+	if whole && resp.reuse && resp.sent.succeeded() {
+		r.conns.putIdle(resp.conn, keepAliveTimeout(&resp.header))
+		return
+	}
+	r.conns.discard(resp.conn)
+}
+
+// keepAliveTimeout returns how long the upstream keeps the connection open; 0 if not stated.
+func keepAliveTimeout(h *fasthttp.ResponseHeader) time.Duration {
+	_, rest, ok := strings.Cut(headerValue(h, "Keep-Alive"), "timeout=")
+	if !ok {
+		return 0
+	}
+	digits, _, _ := strings.Cut(rest, ",")
+	seconds, err := strconv.Atoi(strings.TrimSpace(digits))
+	if err != nil {
+		return 0
+	}
+	return time.Duration(seconds) * time.Second
+}
+
+// saysNotRun reports whether the response states that the upstream did not run the request.
+func (r *Relay) saysNotRun(h *fasthttp.ResponseHeader) bool {
+	return h.StatusCode() == fasthttp.StatusMisdirectedRequest || headerValue(h, r.cfg.Protocol.NotExecuted) != ""
+}
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -55,7 +55,7 @@
 // upstreamWait is a run's wait for the next bytes from its upstream.
 type upstreamWait struct {
 	since    time.Time
-	sent     *sending      // the request, if no part of its answer has arrived; else nil
+	sent     *requestWrite // the request, if no part of its answer has arrived; else nil
 	received int           // events of the answer that have arrived
 	askAfter time.Duration // silence after which the upstream is asked
 
@@ -65,13 +65,13 @@
 
 // startReadWait records that the exchange waits for its upstream's next bytes, until
 // endReadWait. sent is the request if no part of its answer has arrived, else nil.
-func (x *exchange) startReadWait(sent *sending) {
+func (x *exchange) startReadWait(sent *requestWrite) {
 	if x.relay.cfg.Protocol.ReportCall == nil || x.events == nil && len(x.request.prompt.Parts) == 0 {
 		return
 	}
 	w := &upstreamWait{since: time.Now(), sent: sent, askAfter: max(minSilence, silenceTargetFactor*x.route.Target)}
-	if x.events != nil && x.events.came > 0 {
-		w.received = max(x.events.total, int(x.events.last))
+	if x.events != nil && x.events.bodyEvents > 0 {
+		w.received = max(x.events.total, int(x.events.lastID))
 		w.askAfter = max(minSilence, silenceGapFactor*x.route.EventGap)
 	}
 	x.wait.Store(w)
@@ -156,7 +156,7 @@
 	defer r.mu.Unlock()
 	var list []silentCandidate
 	asked := make(map[string]bool)
-	for x, c := range r.runs {
+	for x, c := range r.runConns {
 		w := x.wait.Load()
 		if w == nil || asked[c.incarnation.ID] || !w.shouldAsk(now) {
 			continue
@@ -194,14 +194,14 @@
 	}
 	r.stats.count("upstreams_asked")
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	a, err := r.roundTrip(c, r.outgoingCall(s.upstream, r.cfg.Protocol.ReportCall()))
+	a, err := r.roundTrip(c, r.buildCall(s.upstream, r.cfg.Protocol.ReportCall()))
 	if err != nil {
 		stop()
 		r.conns.discard(c)
 		return Report{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(a.body, wholeAnswer))
-	r.finish(a, stop() && err == nil)
+	body, err := io.ReadAll(io.LimitReader(a.body, maxBufferedResponse))
+	r.releaseConn(a, stop() && err == nil)
 	if err != nil {
 		return Report{}, err
 	}
@@ -225,7 +225,7 @@
 // silent one.
 func (r *Relay) endSilentRun(s silentCandidate, report Report) {
 	r.mu.Lock()
-	ended := r.runs[s.exchange] == s.conn && s.exchange.wait.CompareAndSwap(s.wait, nil)
+	ended := r.runConns[s.exchange] == s.conn && s.exchange.wait.CompareAndSwap(s.wait, nil)
 	if ended {
 		s.exchange.silent.Store(true)
 		_ = s.conn.Close()
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return false
 	}
-	return answerOK(string(body))(c, r)
+	return respondOK(string(body))(c, r)
 }
 
 func TestShouldAskUpstream(t *testing.T) {
@@ -108,7 +108,7 @@
 						return answerReport(conn, r, Report{Known: true, Events: 9})
 					}
 					if r.URL.Path == "/once/first" {
-						return answerOK("ok")(conn, r)
+						return respondOK("ok")(conn, r)
 					}
 					first := false
 					once.Do(func() { first = true; silentID.Store(id) })
@@ -121,14 +121,14 @@
 							<-silence
 							return false
 						}
-						chunk(conn, event(i))
+						writeChunk(conn, event(i))
 					}
-					chunk(conn, "")
+					writeChunk(conn, "")
 					return true
 				}
 			}
 			u1, u2 := newStub(t, "u1", script("u1")), newStub(t, "u2", script("u2"))
-			b := newBenchWith(t, func(c *Config) { c.Protocol = reportingProtocol() }, u1, u2)
+			b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = reportingProtocol() }, u1, u2)
 			a := b.do(b.request("POST", c.path, "body", "X-Parts", "1:1000"))
 			is.Equal(a.status, c.state)
 			is.Equal(a.err != nil, c.fail)
@@ -137,11 +137,11 @@
 			} else {
 				is.True(strings.Contains(a.body, `"ran":"unknown"`))
 			}
-			b.until(func() bool { return b.log.contains(`"msg":"run: silent"`) })
+			b.waitFor(func() bool { return b.log.contains(`"msg":"run: silent"`) })
 			is.True(!b.log.contains(`"msg":"upstream: out of reach"`))
 			asked := b.relay.stats.counterValue("upstreams_asked")
 			is.True(asked >= confirmations && asked <= confirmations+2) // before the answer, the first report may come too early to show loss
-			b.until(func() bool { return b.relay.stats.openRequests.Load() == 0 })
+			b.waitFor(func() bool { return b.relay.stats.openRequests.Load() == 0 })
 			b.relay.conns.mu.Lock()
 			is.Equal(len(b.relay.conns.idle[silentID.Load().(string)]), 0)
 			b.relay.conns.mu.Unlock()
@@ -167,14 +167,14 @@
 					return answerReport(conn, r, c.report)
 				}
 				startStream(conn, r)
-				chunk(conn, event(1))
+				writeChunk(conn, event(1))
 				<-asked
 				<-asked // after more than a second
-				chunk(conn, event(2))
-				chunk(conn, "")
+				writeChunk(conn, event(2))
+				writeChunk(conn, "")
 				return true
 			})
-			b := newBenchWith(t, func(c *Config) { c.Protocol = reportingProtocol() }, u)
+			b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = reportingProtocol() }, u)
 			a := b.do(b.request("POST", "/flow/x", "", "X-Parts", "1:1000"))
 			is.NoErr(a.err)
 			is.Equal(a.body, event(1)+event(2))
@@ -193,16 +193,16 @@
 		startStream(conn, r)
 		text := strings.Repeat("x", 1000)
 		for i := 1; i <= 1500; i++ {
-			chunk(conn, "id: "+strconv.Itoa(i)+"\ndata: "+text+"\n\n")
+			writeChunk(conn, "id: "+strconv.Itoa(i)+"\ndata: "+text+"\n\n")
 		}
-		chunk(conn, "")
+		writeChunk(conn, "")
 		return true
 	})
-	b := newBenchWith(t, func(c *Config) { c.Protocol = reportingProtocol() }, u)
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = reportingProtocol() }, u)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
-	_, err = io.WriteString(conn, lines("/flow/x", "", "X-Parts: 1:1000"))
+	_, err = io.WriteString(conn, rawRequest("/flow/x", "", "X-Parts: 1:1000"))
 	is.NoErr(err)
 	time.Sleep(1500 * time.Millisecond) // less than how long a caller may leave an answer unread
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -221,7 +221,7 @@
 		cause error
 		want  balance.Outcome
 	}{
-		{"connection broke off", false, io.ErrUnexpectedEOF, balance.Broken},
+		{"connection broke off", false, io.ErrUnexpectedEOF, balance.ConnectionLost},
 		{"invalid events", false, errLongEvent, balance.Failed},
 		{"caller left", true, net.ErrClosed, balance.Neutral},
 		{"silent connection", false, errSilent, balance.Neutral},
@@ -229,9 +229,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			x := &exchange{watch: &leaveWatch{}}
-			x.watch.gone.Store(c.gone)
-			is.Equal(x.outcomeOfBreak(c.cause), c.want)
+			x := &exchange{watch: &disconnectWatch{}}
+			x.watch.disconnected.Store(c.gone)
+			is.Equal(x.outcomeOfDisconnect(c.cause), c.want)
 		})
 	}
 }
@@ -260,7 +260,7 @@
 func TestWritingRequestIsNotSilence(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	w := upstreamWait{since: start, sent: &sending{done: make(chan error, 1)}, askAfter: time.Second}
+	w := upstreamWait{since: start, sent: &requestWrite{done: make(chan error, 1)}, askAfter: time.Second}
 	is.True(!w.shouldAsk(start.Add(time.Minute)))
 	is.True(!w.showsLoss(start.Add(time.Minute), Report{}))
 	written := start.Add(time.Minute)
@@ -308,13 +308,13 @@
 					}
 				}
 				startStream(c, q)
-				chunk(c, event(1))
-				chunk(c, "")
+				writeChunk(c, event(1))
+				writeChunk(c, "")
 			}()
 		}
 	}()
 	u := &stub{id: "u1", listener: l}
-	b := newBenchWith(t, func(c *Config) { c.Protocol = reportingProtocol() }, u)
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = reportingProtocol() }, u)
 	a := b.do(b.request("POST", "/fixed/x", body, "X-Parts", "1:1000"))
 	is.NoErr(a.err)
 	is.Equal(a.status, 200)
@@ -332,16 +332,16 @@
 			return answerReport(conn, r, Report{Known: true, Events: 9})
 		}
 		startStream(conn, r)
-		chunk(conn, event(1))
+		writeChunk(conn, event(1))
 		<-full
-		chunk(conn, large+event(3))
-		chunk(conn, "")
+		writeChunk(conn, large+event(3))
+		writeChunk(conn, "")
 		return true
 	})
-	b := newBenchWith(t, func(c *Config) { c.Protocol = reportingProtocol(); c.Memory = 8 << 20 }, u)
-	done := make(chan answered, 1)
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = reportingProtocol(); c.Memory = 8 << 20 }, u)
+	done := make(chan callerResponse, 1)
 	go func() { done <- b.do(b.request("POST", "/fixed/x", "", "X-Parts", "1:1000")) }()
-	b.until(func() bool { return b.relay.stats.openRequests.Load() == 1 && len(u.requests()) == 1 })
+	b.waitFor(func() bool { return b.relay.stats.openRequests.Load() == 1 && len(u.requests()) == 1 })
 	others := b.relay.account.Lease()
 	is.True(others.Grow(b.relay.account.Bound()-b.relay.account.Used(), 1))
 	close(full)
@@ -356,13 +356,13 @@
 // A run on a silent connection is ended once, even if it takes long to end.
 func TestSilentRunIsEndedOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBenchWith(t, func(c *Config) { c.Protocol = reportingProtocol() })
+	b := newTestBoxWithConfig(t, func(c *Config) { c.Protocol = reportingProtocol() })
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
 	x := &exchange{relay: b.relay, request: &request{prompt: Prompt{Parts: []balance.Part{{}}}}, route: &route.Route{}}
 	c := &conn{Conn: near}
 	b.relay.mu.Lock()
-	b.relay.runs[x] = c
+	b.relay.runConns[x] = c
 	b.relay.mu.Unlock()
 	x.startReadWait(nil)
 	s := silentCandidate{exchange: x, conn: c, wait: x.wait.Load()}
@@ -371,6 +371,6 @@
 	is.Equal(b.relay.stats.counterValue("connections_silent"), uint64(1))
 	is.Equal(len(b.relay.silentCandidates(time.Now().Add(time.Minute))), 0)
 	b.relay.mu.Lock()
-	delete(b.relay.runs, x)
+	delete(b.relay.runConns, x)
 	b.relay.mu.Unlock()
 }
--- a/relay/state.go
+++ b/relay/state.go
@@ -35,15 +35,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out.Retries, out.BudgetLeft = r.retryRows()
-	for _, s := range r.endedUnder.Withheld(r.now()) {
+	for _, s := range r.crashSuspects.Withheld(r.now()) {
 		out.Withheld = append(out.Withheld, &wire.WithheldRow{Content: formatContentHash(s.Content), Ended: uint32(len(s.Ended)),
-			Left: uint64(r.endedUnder.Left(r.now(), s.Content).Microseconds())})
+			Left: uint64(r.crashSuspects.Left(r.now(), s.Content).Microseconds())})
 	}
 	for _, u := range r.fleet.View(r.now()) {
 		out.Upstreams = append(out.Upstreams, &wire.UpstreamRow{Limit: r.limitRow(u.ID),
 			Id: u.ID, Born: u.StartedAt, Service: u.Service, Address: u.Address, Domain: u.Domain,
 			Leaving: u.Leaving, Out: u.Out, Tight: u.Tight, Evacuated: u.Evacuated, ColdLeft: uint64(u.ColdLeft.Microseconds()),
-			Way: uint64(u.Way.Microseconds()), Open: uint32(u.Load.Open), Unread: uint32(u.Load.Unread),
+			Way: uint64(u.RTT.Microseconds()), Open: uint32(u.Load.Open), Unread: uint32(u.Load.Unread),
 			Held: uint64(u.Load.Held), Memory: uint64(u.Memory), PauseLeft: uint64(r.fleet.PausedFor(r.now(), u.Incarnation()).Microseconds())})
 	}
 	return out
@@ -56,7 +56,7 @@
 	if !isNamed {
 		return nil
 	}
-	return &wire.LimitRow{PerSecond: l.PerSecond, Age: uint64(l.Age.Microseconds()), Ration: uint32(l.Ration), Span: uint64(l.Span.Microseconds())}
+	return &wire.LimitRow{PerSecond: l.PerSecond, Age: uint64(l.Age.Microseconds()), Ration: uint32(l.Quota), Span: uint64(l.Span.Microseconds())}
 }
 
 // repeatModeNames are the names shown to operators.
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -13,24 +13,24 @@
 func (m *members) syncFleet() {
 	m.relay.mu.Lock()
 	defer m.relay.mu.Unlock()
-	m.relay.fleet.SetSharers(m.node.Sharers(m.relay.now()))
-	m.relay.fleet.Told(m.relay.now(), time.Duration(m.relay.published.confirmedAt.Load()))
-	m.relay.fleet.SetBoxes(m.node.Boxes(), m.node.Informed(m.relay.now()))
+	m.relay.fleet.SetSharers(m.node.QuotaPeers(m.relay.now()))
+	m.relay.fleet.NotePublished(m.relay.now(), time.Duration(m.relay.published.confirmedAt.Load()))
+	m.relay.fleet.SetBoxes(m.node.BoxCount(), m.node.KnowsOtherLoads(m.relay.now()))
 	m.node.SetLoads(m.relay.fleet.Loads())
-	if m.relay.fleet.WantsOthers() { // otherwise changes have kept the fleet up to date
-		m.relay.fleet.SetOthers(m.node.Others())
+	if m.relay.fleet.NeedsRemoteLoads() { // otherwise changes have kept the fleet up to date
+		m.relay.fleet.SetRemoteLoads(m.node.OtherLoads())
 	}
 	m.node.SetClasses(m.relay.fleet.Classes())
 	m.relay.fleet.NoteClasses(m.node.Classes(m.relay.now()))
 	m.sizeLanes()
-	m.node.TellKept(m.relay.fleet.KeptNews())
-	m.relay.fleet.NoteKept(m.relay.now(), m.node.DrainKept())
-	m.relay.endedUnder.Forget(m.relay.now())
+	m.node.AnnounceSentParts(m.relay.fleet.KeptNews())
+	m.relay.fleet.NoteKept(m.relay.now(), m.node.DrainSentParts())
+	m.relay.crashSuspects.Forget(m.relay.now())
 	m.relay.budgets.Forget(m.relay.now())
-	m.node.SetWithheld(m.relay.endedUnder.Withheld(m.relay.now()))
-	m.relay.fleet.ForgetNamed(m.relay.now())
+	m.node.SetWithheld(m.relay.crashSuspects.Withheld(m.relay.now()))
+	m.relay.fleet.ExpireLimits(m.relay.now())
 	m.relay.fleet.ForgetPauses(m.relay.now())
-	m.node.SetLimits(m.relay.fleet.NamedAll(m.relay.now()))
+	m.node.SetLimits(m.relay.fleet.KnownLimits(m.relay.now()))
 }
 
 // updateLoads passes this box's loads to the node as soon as they have changed.
@@ -43,13 +43,13 @@
 // flushLoads lets the node send load changes, and applies those that it received to the fleet.
 func (m *members) flushLoads() {
 	m.node.FlushLoads(m.relay.now())
-	changes := m.node.DrainLoadNews()
+	changes := m.node.DrainLoadChanges()
 	if len(changes) == 0 {
 		return
 	}
 	m.relay.mu.Lock()
 	defer m.relay.mu.Unlock()
-	m.relay.fleet.NoteOthers(changes)
+	m.relay.fleet.UpdateRemoteLoads(changes)
 }
 
 // sizeLanes divides the upstreams of services into lanes by the requests in progress, or adopts
--- a/relay/sync_test.go
+++ b/relay/sync_test.go
@@ -29,7 +29,7 @@
 		return -1
 	}
 	m.syncFleet()
-	is.True(!m.relay.fleet.WantsOthers())
+	is.True(!m.relay.fleet.NeedsRemoteLoads())
 	tell(3)
 	is.Equal(open("u0"), 1)
 	m.relay.applyUpstream(balance.Upstream{ID: "late", Service: "s", Address: "127.0.0.1:99", Domain: "d0", Slots: 1})
--- a/relay/traffic_test.go
+++ b/relay/traffic_test.go
@@ -15,7 +15,7 @@
 	s := newStats()
 	tr := newTraffic(s)
 	tr.add(group.KindLoads, group.ReachRegion, 100)
-	tr.add(group.KindBeat, group.ReachDomain, 40)
+	tr.add(group.KindHeartbeat, group.ReachDomain, 40)
 	tr.add(group.KindLoads, group.ReachRegion, 300)
 	rows := tr.rows()
 	is.Equal(len(rows), 2)
@@ -33,14 +33,14 @@
 		want group.Kind
 		m    *wire.GroupMessage
 	}{
-		{group.KindBeat, &wire.GroupMessage{}},
-		{group.KindBoxes, &wire.GroupMessage{Boxes: []*wire.GroupBox{{}}}},
-		{group.KindHail, &wire.GroupMessage{Hello: true}},
-		{group.KindAsk, &wire.GroupMessage{Ask: true}},
+		{group.KindHeartbeat, &wire.GroupMessage{}},
+		{group.KindBoxList, &wire.GroupMessage{Boxes: []*wire.GroupBox{{}}}},
+		{group.KindHello, &wire.GroupMessage{Hello: true}},
+		{group.KindChangesRequest, &wire.GroupMessage{Ask: true}},
 		{group.KindPublished, &wire.GroupMessage{Pull: true}},
 		{group.KindPublished, &wire.GroupMessage{Items: []*wire.GroupItem{{}}}},
 		{group.KindLoads, &wire.GroupMessage{HasLoads: true}},
-		{group.KindChanges, &wire.GroupMessage{HasLoads: true, Partial: true}},
+		{group.KindLoadChanges, &wire.GroupMessage{HasLoads: true, Partial: true}},
 		{group.KindParts, &wire.GroupMessage{Kept: []uint32{1, 2}}},
 	}
 	for _, tt := range tests {
--- a/relay/update.go
+++ b/relay/update.go
@@ -74,14 +74,14 @@
 	var c entryChange
 	c.before, _ = r.listedUpstream(u.ID)
 	c.displaced = r.fleet.Put(r.now(), u)
-	if other, known := r.fleet.Present(c.displaced); known && !other.Leaving {
+	if other, known := r.fleet.Entry(c.displaced); known && !other.Leaving {
 		inc := other.Incarnation()
 		c.displacedEnded = &inc
 	}
 	c.current, c.isListed = r.listedUpstream(u.ID)
-	r.wakeWaiting(u.Service)
+	r.wakeReady(u.Service)
 	c.serviceKnown = r.fleet.Serves(u.ID)
-	c.mustAsk = c.isListed && r.fleet.Unproven(c.current.Incarnation())
+	c.mustAsk = c.isListed && r.fleet.NeedsLeavingCheck(c.current.Incarnation())
 	return c
 }
 
@@ -132,7 +132,7 @@
 // that were unreachable before.
 func (r *Relay) restoreDomain(domain string) {
 	r.mu.Lock()
-	isNew := r.fleet.TakeBack(r.now(), domain)
+	isNew := r.fleet.EndEvacuation(r.now(), domain)
 	r.mu.Unlock()
 	if isNew {
 		r.cfg.Log.Event("domain", "restored", Fields{"domain": domain, "age_ms": r.publishedAge().Milliseconds()})
@@ -151,7 +151,7 @@
 	defer r.mu.Unlock()
 	r.fleet.SetServices(r.now(), names)
 	for _, s := range d.Services {
-		r.fleet.SetCold(s.Name, balance.Cold{Lasts: s.ColdFor, Most: r.cfg.Cold.most(s.ColdPerSecond)})
+		r.fleet.SetCold(s.Name, balance.ColdLimit{Lasts: s.ColdFor, Most: r.cfg.Cold.maxRequests(s.ColdPerSecond)})
 		r.fleet.SetMemory(s.Name, s.Memory)
 	}
 }
@@ -197,7 +197,7 @@
 			m.logRejected(item, err)
 			update = Update{Invalid: update.Invalid}
 		}
-		m.relay.applyUpdate(update, m.node.Doubt(), m.missing)
+		m.relay.applyUpdate(update, m.node.DeletionsUncertainUntil(), m.missing)
 	}
 }
 
@@ -205,7 +205,7 @@
 func (m *members) dropMissing() {
 	now := m.relay.now()
 	for id, due := range m.missing {
-		if now >= due && now >= m.node.Doubt() {
+		if now >= due && now >= m.node.DeletionsUncertainUntil() {
 			delete(m.missing, id)
 			m.relay.dropUpstream(id, "gone from the list")
 		}
--- a/relay/update_test.go
+++ b/relay/update_test.go
@@ -16,10 +16,10 @@
 
 func TestListedAsLeavingGetsNoRequests(t *testing.T) {
 	is := is.New(t)
-	u1, u2 := newStub(t, "u1", answerOK("1")), newStub(t, "u2", answerOK("2"))
-	b := newBench(t, u1, u2)
-	b.list(u1, true)
-	b.until(func() bool {
+	u1, u2 := newStub(t, "u1", respondOK("1")), newStub(t, "u2", respondOK("2"))
+	b := newTestBox(t, u1, u2)
+	b.listUpstream(u1, true)
+	b.waitFor(func() bool {
 		b.relay.mu.Lock()
 		defer b.relay.mu.Unlock()
 		return b.relay.fleet.Get("u1").Leaving
@@ -32,22 +32,22 @@
 
 func TestDocumentVersionNeverDecreases(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u1", answerOK("ok"))
-	b := newBench(t, u)
+	u := newStub(t, "u1", respondOK("ok"))
+	b := newTestBox(t, u)
 	newer := testDocument(7)
 	newer.Routes = newer.Routes[1:]
-	b.board.set("document", newer, false)
-	b.until(func() bool { return b.relay.documentVersion() == 7 })
+	b.publisher.set("document", newer, false)
+	b.waitFor(func() bool { return b.relay.documentVersion() == 7 })
 	is.Equal(b.do(b.request("GET", "/safe/x", "")).status, 404)
-	b.board.set("document", testDocument(6), false)
-	b.board.set("other", map[string]string{"ID": "other", "Service": "x"}, false)
-	b.until(func() bool { return b.known() == 2 }) // the item published after it has been applied
+	b.publisher.set("document", testDocument(6), false)
+	b.publisher.set("other", map[string]string{"ID": "other", "Service": "x"}, false)
+	b.waitFor(func() bool { return b.upstreamCount() == 2 }) // the item published after it has been applied
 	is.Equal(b.relay.documentVersion(), uint64(7))
 }
 
 func TestRemovedEntriesAreKeptWhileInDoubt(t *testing.T) {
 	is := is.New(t)
-	r := &Relay{start: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConnPool(nil)}
+	r := &Relay{startedAt: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConnPool(nil)}
 	missing := make(map[string]time.Duration)
 	r.applyUpdate(Update{Upstream: upstreamOf("u1")}, 0, missing)
 	r.applyUpdate(Update{Removed: "u1"}, r.now()+time.Hour, missing)
@@ -65,8 +65,8 @@
 // pulls, though boxes then get the list from each other.
 func TestPullsAreAnsweredWhileListIsApplied(t *testing.T) {
 	is := is.New(t)
-	r := &Relay{start: time.Now(), fleet: newEmptyFleet(), conns: newConnPool(nil), stats: newStats(),
-		cfg: Config{Log: NewLog("box", io.Discard), Decode: decode, Self: &wire.GroupBox{Name: "box", Domain: "d", Boot: 1}, Timing: group.DefaultTiming, Boxes: 1}}
+	r := &Relay{startedAt: time.Now(), fleet: newEmptyFleet(), conns: newConnPool(nil), stats: newStats(),
+		cfg: Config{Log: NewLog("box", io.Discard), Decode: decodeItem, Self: &wire.GroupBox{Name: "box", Domain: "d", Boot: 1}, Timing: group.DefaultTiming, Boxes: 1}}
 	m, err := newMembers(r)
 	is.NoErr(err)
 	m.flush(context.Background())
@@ -74,16 +74,16 @@
 	for i := range 2 * maxItemsPerBatch {
 		items = append(items, mirror.Item{Key: fmt.Sprintf("u%d", i), Revision: 1, Value: fmt.Appendf(nil, `{"ID":"u%d","Service":"s","Address":"10.0.0.1:%d"}`, i, i+1)})
 	}
-	m.node.Read(r.now(), r.now(), items, 1, true)
+	m.node.HandleRead(r.now(), r.now(), items, 1, true)
 	m.applyBacklog()
 	m.flush(context.Background())
 	is.Equal(len(r.fleet.IDs()), maxItemsPerBatch)
 	is.Equal(len(m.backlogReady), 1)                                             // another batch is due
 	is.True(time.Duration(r.published.confirmedAt.Load()) < r.now()-time.Hour/2) // and the data does not count as current yet
-	answer := m.node.Answer(r.now(), &wire.MirrorRequest{Packed: true})
+	answer := m.node.AnswerPull(r.now(), &wire.MirrorRequest{Packed: true})
 	is.True(len(answer.Packed) > 0) // others get the complete list
 	m.applyBacklog()
 	m.flush(context.Background())
 	is.Equal(len(r.fleet.IDs()), 2*maxItemsPerBatch)
-	is.Equal(time.Duration(r.published.confirmedAt.Load()), m.node.Confirmed())
+	is.Equal(time.Duration(r.published.confirmedAt.Load()), m.node.ConfirmedAt())
 }
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -35,10 +35,10 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.endedUnder.Any() || r.cfg.Off[balance.Withholding] {
+	if !r.crashSuspects.Any() || r.cfg.Disabled[balance.Withholding] {
 		return 0
 	}
-	return r.endedUnder.Left(r.now(), x.contentHash())
+	return r.crashSuspects.Left(r.now(), x.requestHash())
 }
 
 // needsNewConn reports whether the request must be sent on a new connection because an earlier
@@ -49,7 +49,7 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return x.disconnects > 0 || r.endedUnder.Any() && r.endedUnder.Suspected(x.contentHash())
+	return x.runsCut > 0 || r.crashSuspects.Any() && r.crashSuspects.Suspected(x.requestHash())
 }
 
 // noteDisconnect records that the upstream closed or reset the connection under the run, and
@@ -58,13 +58,13 @@
 // known to have ended.
 func (x *exchange) noteDisconnect() {
 	r := x.relay
-	if r.cfg.Off[balance.Withholding] {
+	if r.cfg.Disabled[balance.Withholding] {
 		return
 	}
-	content, u := x.contentHash(), x.upstream
+	content, u := x.requestHash(), x.upstream
 	r.mu.Lock()
-	withheld := r.endedUnder.CutOff(r.now(), content, u.Incarnation())
-	suspected := r.endedUnder.Suspected(content)
+	withheld := r.crashSuspects.CutOff(r.now(), content, u.Incarnation())
+	suspected := r.crashSuspects.Suspected(content)
 	r.mu.Unlock()
 	if withheld {
 		r.withholdContents([]uint64{content}, "seen here")
@@ -117,11 +117,11 @@
 // recordEnd counts the unannounced end of an upstream against the requests that were
 // disconnected there.
 func (r *Relay) recordEnd(inc balance.Incarnation) {
-	if r.cfg.Off[balance.Withholding] {
+	if r.cfg.Disabled[balance.Withholding] {
 		return
 	}
 	r.mu.Lock()
-	withheld, isNew := r.endedUnder.Ended(r.now(), inc)
+	withheld, isNew := r.crashSuspects.Ended(r.now(), inc)
 	r.mu.Unlock()
 	if !isNew {
 		return
@@ -136,11 +136,11 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.endedUnder.Any() {
+	if !r.crashSuspects.Any() {
 		return
 	}
-	r.endedUnder.Answered(r.now(), x.contentHash())
-	r.endedUnder.Alive(x.upstream.Incarnation(), x.ticket.Opened())
+	r.crashSuspects.Answered(r.now(), x.requestHash())
+	r.crashSuspects.Alive(x.upstream.Incarnation(), x.ticket.Opened())
 }
 
 // withholdContents logs contents that are withheld from now on. It also closes the connections
@@ -150,10 +150,10 @@
 	for _, content := range contents {
 		r.mu.Lock()
 		now := r.now()
-		count, left := r.endedUnder.Count(content), r.endedUnder.Left(now, content)
-		for x, c := range r.runs {
-			if !x.begun.Load() && x.contentHash() == content {
-				x.withheld.Store(true)
+		count, left := r.crashSuspects.Count(content), r.crashSuspects.Left(now, content)
+		for x, c := range r.runConns {
+			if !x.eventsBegan.Load() && x.requestHash() == content {
+				x.withheldRun.Store(true)
 				_ = c.Close()
 			}
 		}
@@ -168,15 +168,15 @@
 func (m *members) shareSuspects() {
 	r := m.relay
 	received := m.node.DrainSuspects()
-	if r.cfg.Off[balance.Withholding] {
+	if r.cfg.Disabled[balance.Withholding] {
 		return
 	}
 	now := r.now()
 	r.mu.Lock()
-	withheld := r.endedUnder.Take(now, received)
-	if own := r.endedUnder.News(now); len(own) > 0 {
-		m.node.TellSuspects(own)
-		m.node.SetWithheld(r.endedUnder.Withheld(now))
+	withheld := r.crashSuspects.Take(now, received)
+	if own := r.crashSuspects.News(now); len(own) > 0 {
+		m.node.AnnounceSuspects(own)
+		m.node.SetWithheld(r.crashSuspects.Withheld(now))
 	}
 	r.mu.Unlock()
 	m.node.FlushSuspects(now)
--- a/relay/withhold_test.go
+++ b/relay/withhold_test.go
@@ -33,7 +33,7 @@
 // replaced by another one with a new ID and address.
 type crashingUpstreams struct {
 	t testing.TB
-	b *bench
+	b *testBox
 
 	mu      sync.Mutex
 	ended   int
@@ -71,7 +71,7 @@
 			m.end(s)
 			return false
 		}
-		return answerOK("well")(c, r)
+		return respondOK("well")(c, r)
 	})
 	close(ready)
 	return s
@@ -88,8 +88,8 @@
 	for _, c := range open {
 		_ = c.Close()
 	}
-	m.b.board.set(s.id, nil, true)
-	m.b.list(m.start(), false)
+	m.b.publisher.set(s.id, nil, true)
+	m.b.listUpstream(m.start(), false)
 }
 
 // newest is the ID of the upstream that was started last.
@@ -111,7 +111,7 @@
 	for range n {
 		list = append(list, m.start())
 	}
-	m.b = newBenchWith(m.t, change, list...)
+	m.b = newTestBoxWithConfig(m.t, change, list...)
 }
 
 // maxEnded is how many upstreams a request may crash, however often it arrives.
@@ -122,7 +122,7 @@
 	m := newCrashingUpstreams(t)
 	m.startBox(6, func(*Config) {})
 	for n := range 10 {
-		m.b.until(func() bool { return m.b.knows(m.newest()) })
+		m.b.waitFor(func() bool { return m.b.lists(m.newest()) })
 		m.b.do(m.b.request(http.MethodPost, "/safe/x", fatalBody, "X-Id", fmt.Sprint("fatal-", n)))
 	}
 	t.Logf("%d upstreams ended under one request", m.endedCount())
@@ -141,7 +141,7 @@
 	m := newCrashingUpstreams(t)
 	m.waits = true
 	m.startBox(6, func(*Config) {})
-	got := make(chan answered, 1)
+	got := make(chan callerResponse, 1)
 	go func() { got <- m.b.do(m.b.request(http.MethodPost, "/flow/x", fatalBody, "X-Id", "waits")) }()
 	<-m.began
 	is.Equal(m.b.do(m.b.request(http.MethodPost, "/flow/x", fatalBody, "X-Id", "ends")).status, http.StatusBadGateway)
@@ -151,7 +151,7 @@
 	withheld := m.b.relay.state().Withheld
 	is.Equal(len(withheld), 1)
 	is.Equal(withheld[0].Ended, uint32(2))
-	m.b.until(func() bool { return m.b.log.contains(`"content":"` + withheld[0].Content + `"`) })
+	m.b.waitFor(func() bool { return m.b.log.contains(`"content":"` + withheld[0].Content + `"`) })
 }
 
 // A request that was answered completely is not withheld, though upstreams ended during other
@@ -165,8 +165,8 @@
 	ends := func(id string) {
 		m.b.relay.mu.Lock()
 		defer m.b.relay.mu.Unlock()
-		m.b.relay.endedUnder.CutOff(m.b.relay.now(), x.contentHash(), balance.Incarnation{ID: id})
-		m.b.relay.endedUnder.Ended(m.b.relay.now(), balance.Incarnation{ID: id})
+		m.b.relay.crashSuspects.CutOff(m.b.relay.now(), x.requestHash(), balance.Incarnation{ID: id})
+		m.b.relay.crashSuspects.Ended(m.b.relay.now(), balance.Incarnation{ID: id})
 	}
 	ends("gone-1")
 	is.Equal(m.b.do(m.b.request(http.MethodPost, "/safe/x", "sound")).status, http.StatusOK)
@@ -178,14 +178,14 @@
 }
 
 // startPeer starts another box of the group in front of the same upstreams.
-func (b *bench) startPeer(self *wire.GroupBox) *bench {
+func (b *testBox) startPeer(self *wire.GroupBox) *testBox {
 	b.t.Helper()
-	other := newBenchWith(b.t, func(c *Config) {
-		c.Publisher = b.board
+	other := newTestBoxWithConfig(b.t, func(c *Config) {
+		c.Publisher = b.publisher
 		joinGroup(b.t, c, "second", self.Address)
 	})
-	other.board = b.board
-	other.until(func() bool { return other.relay.Ready() && other.relay.boxes() == 2 && b.relay.boxes() == 2 })
+	other.publisher = b.publisher
+	other.waitFor(func() bool { return other.relay.Ready() && other.relay.boxes() == 2 && b.relay.boxes() == 2 })
 	return other
 }
 
@@ -200,8 +200,8 @@
 	if err := udp.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c.Control = listen(t)
-	c.Self = &wire.GroupBox{Name: name, Domain: "d", Address: address, Pulls: c.Control.Addr().String(), Boot: 1, Strength: uint32(len(name))}
+	c.ControlListener = listen(t)
+	c.Self = &wire.GroupBox{Name: name, Domain: "d", Address: address, Pulls: c.ControlListener.Addr().String(), Boot: 1, Strength: uint32(len(name))}
 	c.Seeds = seeds
 }
 
@@ -223,8 +223,8 @@
 	is.Equal(status, http.StatusServiceUnavailable) // the first box has come to refuse it
 	before := m.endedCount()
 	for version := uint64(2); version < 5; version++ { // the first box's evidence has arrived along with the last of these versions
-		m.b.board.set("document", testDocument(version), false)
-		second.until(func() bool { return second.relay.documentVersion() == version })
+		m.b.publisher.set("document", testDocument(version), false)
+		second.waitFor(func() bool { return second.relay.documentVersion() == version })
 	}
 	is.Equal(second.do(second.request(http.MethodPost, "/safe/x", fatalBody, "X-Id", "second")).status, http.StatusServiceUnavailable)
 	is.Equal(m.endedCount(), before) // no upstream crashed under it at the second box
@@ -254,13 +254,13 @@
 				}
 				return false
 			}
-			return answerOK("well")(c, r)
+			return respondOK("well")(c, r)
 		}
 	}
 	for n := range 3 {
 		stubs = append(stubs, newStub(t, fmt.Sprint("u", n), script(n)))
 	}
-	b := newBench(t, stubs...)
+	b := newTestBox(t, stubs...)
 	var warm sync.WaitGroup
 	for n := range 12 { // leaves an idle connection to each upstream
 		warm.Go(func() { b.do(b.request(http.MethodPost, "/safe/x", "warm", "X-Id", fmt.Sprint("warm", n))) })
@@ -281,20 +281,20 @@
 	for _, leaving := range []bool{false, true} {
 		cutOff := func(net.Conn, stubRequest) bool { return false }
 		u := newStub(t, "u", cutOff)
-		b := newBench(t, u)
+		b := newTestBox(t, u)
 		if leaving {
-			b.list(u, true)
-			b.until(func() bool { return b.log.contains(`"leaving":true`) })
+			b.listUpstream(u, true)
+			b.waitFor(func() bool { return b.log.contains(`"leaving":true`) })
 		}
 		const content = 7
 		b.relay.mu.Lock()
-		b.relay.endedUnder.CutOff(b.relay.now(), content, balance.Incarnation{ID: "u"})
+		b.relay.crashSuspects.CutOff(b.relay.now(), content, balance.Incarnation{ID: "u"})
 		b.relay.mu.Unlock()
 		next := &stub{id: "next", listener: u.listener}
-		b.list(next, false)
-		b.until(func() bool { return b.log.contains(`"upstream":"next"`) }) // its entry is applied completely
+		b.listUpstream(next, false)
+		b.waitFor(func() bool { return b.log.contains(`"upstream":"next"`) }) // its entry is applied completely
 		b.relay.mu.Lock()
-		is.Equal(b.relay.endedUnder.Suspected(content), !leaving)
+		is.Equal(b.relay.crashSuspects.Suspected(content), !leaving)
 		b.relay.mu.Unlock()
 	}
 }
