--- a/balance/budget.go
+++ b/balance/budget.go
@@ -77,16 +77,16 @@
 }
 
 // BudgetUsage is the state of a budget at one moment.
-type BudgetUse struct {
+type BudgetUsage struct {
 	Taken int // requests within the last window
 	Spent int // retries within the last window
 	Boxes int // number of boxes that share the slack; 0: this box has no share
 }
 
 // Use returns the requests and retries of the window that ends now.
-func (b *Budget) Use(now time.Duration, boxes int) BudgetUse {
+func (b *Budget) Use(now time.Duration, boxes int) BudgetUsage {
 	n := b.advance(now)
-	use := BudgetUse{Boxes: boxes}
+	use := BudgetUsage{Boxes: boxes}
 	for i := n - bucketsPerWindow; i <= n; i++ {
 		use.Taken += countAt(&b.requests, i)
 		use.Spent += countAt(&b.retries, i)
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -54,7 +54,7 @@
 }
 
 // logNotRetried logs a request that the budget denies a retry.
-func (x *exchange) logNotRetried(use balance.BudgetUse) {
+func (x *exchange) logNotRetried(use balance.BudgetUsage) {
 	x.relay.cfg.Log.Event("run", "not retried", Fields{"id": x.request.id, "upstream": x.upstream.ID, "service": x.service, "reason": "retry budget used up",
 		"taken": use.Taken, "spent": use.Spent, "boxes": use.Boxes, "window_ms": x.relay.cfg.Budget.Window.Milliseconds()})
 }
