--- a/relay/members.go
+++ b/relay/members.go
@@ -90,7 +90,7 @@
 		Mirror:      m.mirror,
 		OnChange:    m.changed,
 		FirstStart:  r.cfg.FirstStart,
-		LinkRate:    r.cfg.Link,
+		LinkRate:    r.cfg.LinkBandwidth,
 		DomainCount: len(r.cfg.Regions),
 	}, r.now())
 	return m, m.listen()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -29,7 +29,7 @@
 	ControlListener   net.Listener      // accepts RPCs of other boxes; nil if the box has no peers
 	Self              *wire.GroupBox    // the entry of this box in the group; without an address the box has no peers
 	Seeds             []string          // IP:port of boxes to contact first; they need not be running
-	Link              float64           // bandwidth of the box's network link in bytes per second; 0: unknown
+	LinkBandwidth     float64           // bandwidth of the box's network link in bytes per second; 0: unknown
 	Timing            group.Timing
 	Protocol          Protocol
 	// Publisher provides the routing document and the list of upstreams as items; Decode parses one
