--- a/balance/pause.go
+++ b/balance/pause.go
@@ -199,7 +199,7 @@
 
 // ReturnCapacity returns how many requests of a service may be sent now after pauses; upstreams
 // that are not paused count with all their slots.
-func (f *Fleet) Room(now time.Duration, service string) int {
+func (f *Fleet) ReturnCapacity(now time.Duration, service string) int {
 	room := 0
 	for _, m := range f.byService[service] {
 		if m.closed() || m.unreachable {
--- a/relay/pausequeue.go
+++ b/relay/pausequeue.go
@@ -147,7 +147,7 @@
 		return
 	}
 	now := r.now()
-	for range min(r.fleet.Room(now, service), len(q.list)) {
+	for range min(r.fleet.ReturnCapacity(now, service), len(q.list)) {
 		r.wakeWaiter(q.list[0])
 	}
 	if r.pauseQueues[service] == nil {
