--- a/cmd/doormastd/relay.go
+++ b/cmd/doormastd/relay.go
@@ -144,7 +144,7 @@
 		Disabled:      off,
 		FirstStart:    s.FirstStart,
 		Boxes:         boxesAssumed,
-		Grace:         s.Bounds.Grace(),
+		StopTimeout:   s.Bounds.Grace(),
 		Memory:        keptMemory(s.MemoryMB),
 	}
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -51,8 +51,8 @@
 	Memory int64
 	// Clock also counts the time during which the machine was suspended; nil: the system clock.
 	Clock timer.Clock
-	// Grace is the maximum duration of a planned stop, including graceMargin.
-	Grace time.Duration
+	// StopTimeout is the maximum duration of a planned stop, including graceMargin.
+	StopTimeout time.Duration
 }
 
 // ColdBounds limit the number of requests sent to upstreams that have just started (cold upstreams).
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -23,7 +23,7 @@
 	r.stopping.Store(true)
 	r.wakeAll()
 	r.cfg.Log.Event("box", "stop", Fields{"open": r.stats.open.Load()})
-	ctx, cancel := context.WithTimeout(context.Background(), r.cfg.Grace-graceMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), r.cfg.StopTimeout-graceMargin)
 	defer cancel()
 	r.members.leave(ctx)
 	sleep(ctx, acceptLinger)
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -309,7 +309,7 @@
 	cfg := Config{Box: "box", Domain: "d", CallerListener: callers, ReadinessListener: ready, Self: &wire.GroupBox{Name: "box", Domain: "d", Boot: 1},
 		Timing: group.DefaultTiming, Protocol: testProtocol, Publisher: b.publisher, Decode: decodeItem, Log: log,
 		Budget: balance.BudgetConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, Limits: balance.LimitBounds{Span: allowedSpan, Overshoot: allowedTimes, Slack: allowedSlack}, Tuning: balance.DefaultTuning,
-		FirstStart: true, Boxes: 1, Grace: time.Second}
+		FirstStart: true, Boxes: 1, StopTimeout: time.Second}
 	change(&cfg)
 	b.relay, err = Start(cfg)
 	if err != nil {
