--- a/balance/move.go
+++ b/balance/move.go
@@ -36,9 +36,9 @@
 
 // Progress is the state of a running answer.
 type Progress struct {
-	Events  int           // events received so far
-	Between time.Duration // recent time between two events
-	Left    time.Duration // time until the caller's deadline
+	Events        int           // events received so far
+	EventInterval time.Duration // recent time between two events
+	Left          time.Duration // time until the caller's deadline
 }
 
 // Move is a decision to move an answer.
@@ -56,7 +56,7 @@
 	}
 	a := &f.serviceOf(r.Service).answers
 	rest := a.remainingEvents(r.ExpectedTokens, p.Events)
-	here := time.Duration(rest * float64(p.Between))
+	here := time.Duration(rest * float64(p.EventInterval))
 	there := time.Duration(rest * float64(a.movedInterval()))
 	if there == 0 || here < p.Left {
 		return Move{}, false
--- a/relay/move.go
+++ b/relay/move.go
@@ -67,7 +67,7 @@
 	if r.isPaused(x.upstream.Incarnation()) || !x.route.Resumable && r.rejectsRequests(x.upstream) {
 		return // without room for the copy, it could continue neither here nor elsewhere
 	}
-	p := balance.Progress{Events: x.events.total, Between: x.pace.recent, Left: x.timeLeft()}
+	p := balance.Progress{Events: x.events.total, EventInterval: x.pace.recent, Left: x.timeLeft()}
 	q := x.placement()
 	m, reservation := x.planMove(q, p)
 	if reservation == nil {
