--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -66,8 +66,8 @@
 			boxes := boxNames(rapid.IntRange(1, 8).Draw(t, "boxes"))
 			for _, box := range boxes {
 				f := NewFleet(Config{Domain: fmt.Sprintf("d%d", d), Tuning: DefaultTuning})
-				f.SetCold("s", ColdLimit{Lasts: time.Minute, Most: most})
-				f.SetSharers(QuotaPeers{Box: box, Boxes: boxes})
+				f.SetCold("s", ColdLimit{Duration: time.Minute, MaxPerSecond: most})
+				f.SetQuotaPeers(QuotaPeers{Box: box, Boxes: boxes})
 				for i := range with {
 					f.Put(0, Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: fmt.Sprintf("d%d", i), Slots: 8})
 				}
@@ -96,12 +96,12 @@
 	for i := range boxes {
 		domain := fmt.Sprintf("d%d", i%3)
 		f := NewFleet(Config{Domain: domain, Tuning: DefaultTuning, FirstStart: true})
-		f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: most})
+		f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: most})
 		var names []string
 		for j := range 30 {
 			names = append(names, fmt.Sprintf("box%d", 3*j+i%3))
 		}
-		f.SetSharers(QuotaPeers{Box: fmt.Sprintf("box%d", i), Boxes: names})
+		f.SetQuotaPeers(QuotaPeers{Box: fmt.Sprintf("box%d", i), Boxes: names})
 		for j := range 90 {
 			u := Upstream{ID: fmt.Sprintf("u%d", j), Service: "s", Address: fmt.Sprintf("10.0.0.%d:1", j), Domain: fmt.Sprintf("d%d", j%3), Slots: 64}
 			if j%3 == 0 {
@@ -171,8 +171,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(2, 20).Draw(t, "most")
 		f := NewFleet(Config{Domain: "d", Tuning: DefaultTuning})
-		f.SetCold("s", ColdLimit{Lasts: time.Hour, Most: most})
-		f.SetSharers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
+		f.SetCold("s", ColdLimit{Duration: time.Hour, MaxPerSecond: most})
+		f.SetQuotaPeers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
 		f.Put(0, Upstream{ID: "u", Service: "s", Domain: "d", Slots: 8, ColdFor: time.Hour})
 		var now time.Duration
 		var sent []time.Duration
@@ -194,7 +194,7 @@
 func TestColdDuration(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
-	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 1}) // half of which rounds down to 0
+	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 1}) // half of which rounds down to 0
 	placed := func(now time.Duration) bool {
 		_, ok := f.Place(now, Request{Service: "s"}, nil)
 		return ok
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -18,7 +18,7 @@
 }
 
 func prompt(shared uint64) Request {
-	return Request{Service: "s", Moves: true, Tokens: 1400, Parts: []Part{{ID: shared, Tokens: 1000}, {ID: shared + 1e6, Tokens: 400}}}
+	return Request{Service: "s", CanTransfer: true, Tokens: 1400, Parts: []Part{{ID: shared, Tokens: 1000}, {ID: shared + 1e6, Tokens: 400}}}
 }
 
 func TestPromptsWithTheSamePrefixGoToTheSameUpstream(t *testing.T) {
@@ -44,15 +44,15 @@
 	c, ok := f.Place(0, prompt(7), nil)
 	is.True(ok)
 	is.True(c.Upstream.ID != home.Upstream.ID)
-	is.Equal(c.Fetch, home.Upstream.Address)
+	is.Equal(c.FetchFrom, home.Upstream.Address)
 	next := c.Upstream.Address
 	ticket.NoteFirstEvent(0) // the prompt has been read, so the home is free again
 	c, _ = f.Place(0, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
-	is.Equal(c.Fetch, next) // the box may not have received all reports of parts yet
+	is.Equal(c.FetchFrom, next) // the box may not have received all reports of parts yet
 	c, _ = f.Place(2*rereportInterval, prompt(7), nil)
 	is.Equal(c.Upstream.ID, home.Upstream.ID)
-	is.Equal(c.Fetch, "")
+	is.Equal(c.FetchFrom, "")
 }
 
 func TestLeavingUpstreamIsNeverChosen(t *testing.T) {
@@ -170,13 +170,13 @@
 		id := fmt.Sprintf("new%d", i)
 		f.Put(now, Upstream{ID: id, Service: "s", Address: id, Domain: "d1", Slots: 8})
 		if c, _ := f.Place(now, prompt(7), nil); c.Upstream.ID == id {
-			is.Equal(c.Fetch, old.Upstream.Address)
+			is.Equal(c.FetchFrom, old.Upstream.Address)
 			break
 		}
 		f.Remove(id)
 	}
 	c, _ := f.Place(now+DefaultTuning.NewUpstreamPeriod, prompt(7), nil)
-	is.Equal(c.Fetch, "") // by then the new home holds what it needs
+	is.Equal(c.FetchFrom, "") // by then the new home holds what it needs
 }
 
 func TestOneLaneIsReservedForTightStreams(t *testing.T) {
@@ -208,7 +208,7 @@
 	f := newTestFleet(1)
 	slow := Request{Service: "s", Tokens: 100000, Urgency: 5}
 	f.Open(0, "u0", slow)
-	f.SetRemoteLoads(map[LoadKey]Load{{Key("u0"), 7}: {Unread: 50000, Open: 3}})
+	f.SetRemoteLoads(map[LoadKey]Load{{Key("u0"), 7}: {Unread: 50000, Requests: 3}})
 	for urgency, want := range map[int]int{0: 0, 4: 0, 5: 100000, 9: 150000} {
 		r := prompt(1)
 		r.Urgency = urgency
@@ -221,20 +221,20 @@
 	is := is.New(t)
 	f := newTestFleet(9)
 	f.Open(0, "u1", prompt(1)).Close(0, Unreachable)
-	is.Equal(len(f.Unreached()), 1) // a single upstream may have crashed
+	is.Equal(len(f.Unreachable()), 1) // a single upstream may have crashed
 	f.Open(0, "u4", prompt(1)).Close(time.Second, Unreachable)
-	is.Equal(len(f.Unreached()), 3) // both lie in domain d1, which counts as cut off
-	is.Equal(len(f.NewlyLost()), 3)
-	is.Equal(len(f.NewlyLost()), 0) // each is returned once
+	is.Equal(len(f.Unreachable()), 3) // both lie in domain d1, which counts as cut off
+	is.Equal(len(f.TakeNewlyUnreachable()), 3)
+	is.Equal(len(f.TakeNewlyUnreachable()), 0) // each is returned once
 	for shared := range uint64(50) {
 		c, _ := f.Place(time.Second, prompt(shared), nil)
 		is.True(c.Upstream.Domain != "d1")
 	}
 	f.NoteReachableByID("u7")
-	is.Equal(len(f.Unreached()), 2)
+	is.Equal(len(f.Unreachable()), 2)
 	f.Open(0, "u0", prompt(1)).Close(0, Unreachable)
 	f.Open(0, "u3", prompt(1)).Close(0, Unreachable)
-	is.Equal(len(f.Unreached()), 4) // a box never treats its own domain as cut off
+	is.Equal(len(f.Unreachable()), 4) // a box never treats its own domain as cut off
 }
 
 func TestPrefillRateIsLearned(t *testing.T) {
@@ -268,10 +268,10 @@
 	r := prompt(7)
 	home, _ := f.Place(0, r, nil)
 	f.Open(0, home.Upstream.ID, Request{Service: "s", Tokens: 100000})
-	r.Moves = false
+	r.CanTransfer = false
 	c, _ := f.Place(0, r, nil)
 	is.True(c.Upstream.ID != home.Upstream.ID)
-	is.Equal(c.Fetch, "")
+	is.Equal(c.FetchFrom, "")
 }
 
 // Updates of the other boxes' loads apply on top of the known loads; an empty load clears an
@@ -280,10 +280,10 @@
 	is := is.New(t)
 	f := newTestFleet(2)
 	a, b := LoadKey{Key("u0"), 0}, LoadKey{Key("u1"), 3}
-	f.SetRemoteLoads(map[LoadKey]Load{a: {Unread: 640, Open: 2}})
-	f.UpdateRemoteLoads(map[LoadKey]Load{b: {Unread: 64, Open: 1}, {Key("unknown"), 0}: {Open: 1}, {Key("u0"), 99}: {Open: 1}})
-	is.Equal(f.byID["u0"].totalLoad(), Load{Unread: 640, Open: 2})
-	is.Equal(f.byID["u1"].totalLoad(), Load{Unread: 64, Open: 1})
+	f.SetRemoteLoads(map[LoadKey]Load{a: {Unread: 640, Requests: 2}})
+	f.UpdateRemoteLoads(map[LoadKey]Load{b: {Unread: 64, Requests: 1}, {Key("unknown"), 0}: {Requests: 1}, {Key("u0"), 99}: {Requests: 1}})
+	is.Equal(f.byID["u0"].totalLoad(), Load{Unread: 640, Requests: 2})
+	is.Equal(f.byID["u1"].totalLoad(), Load{Unread: 64, Requests: 1})
 	f.UpdateRemoteLoads(map[LoadKey]Load{a: {}})
 	is.Equal(f.byID["u0"].totalLoad(), Load{})
 	f.SetRemoteLoads(nil)
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -15,7 +15,7 @@
 // limitedFleet is the fleet of one box, with upstreams in two domains.
 func limitedFleet(boxes int, upstreams int) *Fleet {
 	f := NewFleet(Config{Domain: "d0", Tuning: DefaultTuning, Named: testLimitBounds, FirstStart: true})
-	f.SetSharers(QuotaPeers{Box: "box0", Boxes: boxNames(boxes)})
+	f.SetQuotaPeers(QuotaPeers{Box: "box0", Boxes: boxNames(boxes)})
 	f.SetBoxes(2*boxes, true)
 	for i := range upstreams {
 		f.Put(0, Upstream{ID: fmt.Sprint("u", i), Service: "s", Address: fmt.Sprint("10.0.0.", i, ":1"), Domain: fmt.Sprint("d", i%2), Slots: 8})
@@ -77,7 +77,7 @@
 			for _, side := range sides {
 				for _, box := range side {
 					f := NewFleet(Config{Domain: fmt.Sprint("d", d), Regions: regions, Tuning: DefaultTuning, Named: testLimitBounds})
-					f.SetSharers(QuotaPeers{Box: box, Boxes: side})
+					f.SetQuotaPeers(QuotaPeers{Box: box, Boxes: side})
 					f.Put(0, Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", Domain: "d0", Slots: 8})
 					f.advertiseLimit(time.Second, "u", perSecond)
 					l, _ := f.Limit(time.Second, "u")
@@ -176,7 +176,7 @@
 func TestBoxWithoutPeersSendsNothingUnderLimit(t *testing.T) {
 	is := is.New(t)
 	f := limitedFleet(1, 1)
-	f.SetSharers(QuotaPeers{Box: "box0"})
+	f.SetQuotaPeers(QuotaPeers{Box: "box0"})
 	f.advertiseLimit(time.Second, "u0", 3)
 	is.Equal(f.placeAndSend(2*time.Second, 0), "")
 	is.True(f.LimitLeft(2*time.Second, "s") > 0)
@@ -245,16 +245,16 @@
 	waits, goes := f.Open(2*time.Second, "u0", r), f.Open(2*time.Second, "u1", r)
 	before := f.Sent(2*time.Second, Incarnation{ID: "u0"}, time.Minute)
 	f.advertiseLimit(2100*time.Millisecond, "u0", 1)
-	is.True(!waits.MayGo(2200 * time.Millisecond))
+	is.True(!waits.MaySend(2200 * time.Millisecond))
 	is.Equal(f.Sent(2200*time.Millisecond, Incarnation{ID: "u0"}, time.Minute), before-1) // no longer counted as sent
-	is.True(goes.MayGo(2200 * time.Millisecond))
+	is.True(goes.MaySend(2200 * time.Millisecond))
 }
 
 // A request placed at an upstream that has since been removed is not counted, and may be sent.
 func TestTicketOfRemovedUpstreamMaySend(t *testing.T) {
 	is := is.New(t)
 	f := limitedFleet(1, 1)
-	is.True(f.Open(0, "gone", Request{Service: "s"}).MayGo(0))
+	is.True(f.Open(0, "gone", Request{Service: "s"}).MaySend(0))
 }
 
 func TestLimitsCanBeSwitchedOff(t *testing.T) {
--- a/balance/move.go
+++ b/balance/move.go
@@ -36,9 +36,9 @@
 
 // Progress is the state of a running answer.
 type Progress struct {
-	Events  int           // events received so far
-	Between time.Duration // recent time between two events
-	Left    time.Duration // time until the caller's deadline
+	Events        int           // events received so far
+	EventInterval time.Duration // recent time between two events
+	Left          time.Duration // time until the caller's deadline
 }
 
 // Move is a decision to move an answer.
@@ -51,12 +51,12 @@
 // the id of the upstream that runs it. It returns false if the answer stays for now.
 func (f *Fleet) MoveTo(now time.Duration, r Request, from string, p Progress) (Move, bool) {
 	source := f.byID[from]
-	if source == nil || source.evacuated || !f.mayRunIn(source.Domain, r) || !r.Moves || len(r.Parts) == 0 || f.cfg.Off[Moving] {
+	if source == nil || source.evacuated || !f.mayRunIn(source.Domain, r) || !r.CanTransfer || len(r.Parts) == 0 || f.cfg.Off[Moving] {
 		return Move{}, false
 	}
 	a := &f.serviceOf(r.Service).answers
-	rest := a.remainingEvents(r.Expected, p.Events)
-	here := time.Duration(rest * float64(p.Between))
+	rest := a.remainingEvents(r.ExpectedTokens, p.Events)
+	here := time.Duration(rest * float64(p.EventInterval))
 	there := time.Duration(rest * float64(a.movedInterval()))
 	if there == 0 || here < p.Left {
 		return Move{}, false
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -11,7 +11,7 @@
 // longRequest is a request whose caller expects a long answer.
 func longRequest(n uint64, expected int) Request {
 	r := prompt(n)
-	r.Expected = expected
+	r.ExpectedTokens = expected
 	return r
 }
 
@@ -22,7 +22,7 @@
 	for i := range 20 {
 		t := f.Open(0, fmt.Sprintf("u%d", i%upstreams), longRequest(uint64(i+1), 60))
 		t.NoteFirstEvent(0)
-		t.Events(9*30*time.Millisecond, 10, 10, true)
+		t.NoteAnswer(9*30*time.Millisecond, 10, 10, true)
 		t.Close(9*30*time.Millisecond, Answered)
 	}
 	return f
@@ -31,23 +31,23 @@
 func TestMoveDecision(t *testing.T) {
 	// 10 of 60 events have arrived, so 50 are left: they take 20 s at 400 ms each, and 0.75 s
 	// plus the time for the copy at the 15 ms expected after a move.
-	late := Progress{Events: 10, Between: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
+	late := Progress{Events: 10, EventInterval: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
 	for _, c := range []struct {
 		name   string
 		change func(f *Fleet, r *Request, p *Progress)
 		want   bool
 	}{
 		{"would end too late", func(*Fleet, *Request, *Progress) {}, true},
-		{"ends in time", func(_ *Fleet, _ *Request, p *Progress) { p.Between = 20 * time.Millisecond }, false},
+		{"ends in time", func(_ *Fleet, _ *Request, p *Progress) { p.EventInterval = 20 * time.Millisecond }, false},
 		{"enough time left to wait", func(_ *Fleet, _ *Request, p *Progress) { p.Left = 5 * time.Second }, false},
 		{"would end too late elsewhere as well", func(_ *Fleet, _ *Request, p *Progress) { p.Left = 500 * time.Millisecond }, false},
-		{"longer than expected", func(_ *Fleet, r *Request, p *Progress) { r.Expected, p.Events = 30, 200 }, true},
-		{"no expected length", func(_ *Fleet, r *Request, _ *Progress) { r.Expected = 0 }, false},
-		{"upstreams cannot copy", func(_ *Fleet, r *Request, _ *Progress) { r.Moves = false }, false},
+		{"longer than expected", func(_ *Fleet, r *Request, p *Progress) { r.ExpectedTokens, p.Events = 30, 200 }, true},
+		{"no expected length", func(_ *Fleet, r *Request, _ *Progress) { r.ExpectedTokens = 0 }, false},
+		{"upstreams cannot copy", func(_ *Fleet, r *Request, _ *Progress) { r.CanTransfer = false }, false},
 		{"no answers observed", func(f *Fleet, _ *Request, _ *Progress) { f.serviceOf("s").answers = answerStats{} }, false},
 		{"mechanism is off", func(f *Fleet, _ *Request, _ *Progress) { f.cfg.Off = Off{Moving: true} }, false},
-		{"all others have a backlog", func(f *Fleet, _ *Request, _ *Progress) { loadOthers(f, Load{Unread: 1000, Open: 1}) }, false},
-		{"all others have no free slots", func(f *Fleet, _ *Request, _ *Progress) { loadOthers(f, Load{Open: 4}) }, false},
+		{"all others have a backlog", func(f *Fleet, _ *Request, _ *Progress) { loadOthers(f, Load{Unread: 1000, Requests: 1}) }, false},
+		{"all others have no free slots", func(f *Fleet, _ *Request, _ *Progress) { loadOthers(f, Load{Requests: 4}) }, false},
 		{"all others are evacuated", func(f *Fleet, _ *Request, _ *Progress) { f.Evacuate("d1"); f.Evacuate("d2") }, false},
 		{"own domain is evacuated", func(f *Fleet, _ *Request, _ *Progress) { f.Evacuate("d0") }, false},
 		{"all others are cold", func(f *Fleet, _ *Request, _ *Progress) {
@@ -91,7 +91,7 @@
 	for _, id := range []string{"u1", "u2", "u3"} {
 		f.byID[id].reading = 0.9
 	}
-	p := Progress{Events: 10, Between: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
+	p := Progress{Events: 10, EventInterval: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
 	to := make(map[string]int)
 	for i := range uint64(100) {
 		m, ok := f.MoveTo(time.Second, longRequest(100+i, 360), "u0", p)
@@ -112,7 +112,7 @@
 	for range 5 {
 		ticket := f.OpenMoved(0, "u1", longRequest(1, 360))
 		ticket.NoteFirstEvent(0)
-		ticket.Events(10*time.Second, 11, 60, false) // one second between events
+		ticket.NoteAnswer(10*time.Second, 11, 60, false) // one second between events
 		ticket.Close(10*time.Second, Answered)
 	}
 	is.Equal(f.serviceOf("s").answers.movedInterval().Round(time.Millisecond), time.Second)
@@ -161,7 +161,7 @@
 	r := longRequest(uint64(1000+i), 6*events)
 	loads := make(map[LoadKey]Load)
 	for j := range 6 {
-		loads[LoadKey{Key(fmt.Sprintf("u%d", j)), 0}] = Load{Unread: 20000, Open: 2}
+		loads[LoadKey{Key(fmt.Sprintf("u%d", j)), 0}] = Load{Unread: 20000, Requests: 2}
 	}
 	f.SetRemoteLoads(loads)
 	for came := 1; now < whole; came++ {
@@ -173,7 +173,7 @@
 			between = 400 * time.Millisecond
 		}
 		now += between
-		m, ok := f.MoveTo(now, r, at, Progress{Events: came, Between: between, Left: whole - now})
+		m, ok := f.MoveTo(now, r, at, Progress{Events: came, EventInterval: between, Left: whole - now})
 		if ok {
 			at, moved = m.To.ID, true
 			now += 100 * time.Millisecond
--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -50,7 +50,7 @@
 			}
 			choice, used := f.Place(5*time.Second, plain, nil)
 			is.Equal(used, c.used)
-			is.True(used || choice.Passed == 1)
+			is.True(used || choice.Skipped == 1)
 			choice, used = f.Place(12*time.Second, plain, nil)
 			is.True(used)
 			is.True(f.Accepts(12*time.Second, choice.Upstream.Incarnation()))
@@ -207,7 +207,7 @@
 	ends := make(map[time.Duration]bool)
 	for box := range 50 {
 		f := pauseFleet(1)
-		f.SetSharers(QuotaPeers{Box: fmt.Sprint(box)})
+		f.SetQuotaPeers(QuotaPeers{Box: fmt.Sprint(box)})
 		till := f.Pause(0, Incarnation{ID: "u0"}, 2*time.Second)
 		is.True(till >= 2*time.Second && till < 2200*time.Millisecond)
 		ends[till] = true
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -71,7 +71,7 @@
 }
 
 // CutOffDomains returns the sorted names of the failure domains that this box treats as cut off.
-func (f *Fleet) CutOff() []string {
+func (f *Fleet) CutOffDomains() []string {
 	var list []string
 	for name, d := range f.domains {
 		if d.inferred > 0 {
@@ -84,7 +84,7 @@
 
 // FollowCutOffDomains applies the list of cut-off domains of another box: domains that are new in
 // the list are marked as cut off, and domains that have left the list are restored.
-func (f *Fleet) FollowCutOff(now time.Duration, reported []string) {
+func (f *Fleet) FollowCutOffDomains(now time.Duration, reported []string) {
 	if f.cfg.Off[DomainCutOff] {
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 // NoteUnreachable records that a probe connection to an upstream incarnation failed.
-func (f *Fleet) UnreachedLife(now time.Duration, l Incarnation) {
+func (f *Fleet) NoteUnreachable(now time.Duration, l Incarnation) {
 	if m := f.byID[l.ID]; m != nil && m.Incarnation() == l {
 		f.recordUnreachable(now, m)
 	}
@@ -180,7 +180,7 @@
 
 // NoteReachable records that a probe connection to an upstream incarnation was established, and
 // reports whether that incarnation is still the one listed.
-func (f *Fleet) ReachedLife(now time.Duration, l Incarnation) bool {
+func (f *Fleet) NoteReachable(now time.Duration, l Incarnation) bool {
 	m := f.byID[l.ID]
 	if m == nil || m.Incarnation() != l {
 		return false
@@ -197,7 +197,7 @@
 }
 
 // TakeNewlyUnreachable returns the upstreams that became unreachable since the last call.
-func (f *Fleet) NewlyLost() []UnreachableUpstream {
+func (f *Fleet) TakeNewlyUnreachable() []UnreachableUpstream {
 	list := f.lost
 	f.lost = nil
 	return list
@@ -205,7 +205,7 @@
 
 // Unreachable returns the unreachable upstreams that are not evacuated, sorted by id so that a
 // caller can probe them in turn.
-func (f *Fleet) Unreached() []Upstream {
+func (f *Fleet) Unreachable() []Upstream {
 	var list []Upstream
 	for _, m := range f.byID {
 		if m.unreachable && !m.evacuated {
--- a/balance/recovery.go
+++ b/balance/recovery.go
@@ -27,10 +27,10 @@
 	}
 	m.back = now
 	cold := f.serviceOf(m.Service).cold
-	if cold.Most == 0 || now < m.coldTill || f.majorityLost(m.Service) {
+	if cold.MaxPerSecond == 0 || now < m.coldTill || f.majorityLost(m.Service) {
 		return
 	}
-	f.markCold(now, m, cold.Lasts)
+	f.markCold(now, m, cold.Duration)
 	m.setReachability(m.unreachable, now < m.coldTill)
 }
 
--- a/balance/ticket.go
+++ b/balance/ticket.go
@@ -52,7 +52,7 @@
 		t.tight = 1
 	}
 	t.held = t.request.needs()
-	t.count(Load{Unread: t.unread, Open: 1, Tight: t.tight, Held: t.held})
+	t.count(Load{Unread: t.unread, Requests: 1, Tight: t.tight, MemoryTokens: t.held})
 	t.fleet.noteSent(now, t.member, t.request)
 	t.member.recordColdRequest(now)
 	t.countResumed(now)
@@ -91,10 +91,10 @@
 	t.fleet.dropIdleUnlisted(m)
 }
 
-// Events records how far the answer has come: events is the number of events since the first one
+// NoteAnswer records how far the answer has come: events is the number of events since the first one
 // of this run, all the number over all runs of the request, and whole reports whether the answer
 // is complete.
-func (t *Ticket) Events(now time.Duration, events, all int, whole bool) {
+func (t *Ticket) NoteAnswer(now time.Duration, events, all int, whole bool) {
 	if t.closed || !t.prefilled {
 		return
 	}
@@ -108,7 +108,7 @@
 		recordInterval(&a.busy, events, now-t.firstEventAt)
 	}
 	if whole {
-		a.recordLength(t.request.Expected, all)
+		a.recordLength(t.request.ExpectedTokens, all)
 	}
 }
 
@@ -120,7 +120,7 @@
 	t.clearUnread()
 	t.closed = true
 	t.finishResumed(outcome == Answered)
-	t.count(Load{Open: -1, Tight: -t.tight, Held: -t.held})
+	t.count(Load{Requests: -1, Tight: -t.tight, MemoryTokens: -t.held})
 	t.member.health.record(now, outcome)
 	if t.prefilled {
 		t.fleet.serviceOf(t.request.Service).holding.end(now)
--- a/group/cutoff.go
+++ b/group/cutoff.go
@@ -33,9 +33,9 @@
 	return list
 }
 
-// SetCutOff sets the domains that this box cannot reach, in sorted order. A leader announces them
+// SetUnreachableDomains sets the domains that this box cannot reach, in sorted order. A leader announces them
 // to its members at once.
-func (n *Node) SetCutOff(domains []string) {
+func (n *Node) SetUnreachableDomains(domains []string) {
 	if slices.Equal(domains, n.cutOff) {
 		return
 	}
@@ -45,9 +45,9 @@
 	}
 }
 
-// CutOff returns the domains that the leader of this box cannot reach, or none if the leader is
+// UnreachableDomains returns the domains that the leader of this box cannot reach, or none if the leader is
 // not heard.
-func (n *Node) CutOff(now time.Duration) []string {
+func (n *Node) UnreachableDomains(now time.Duration) []string {
 	p := n.peers[n.leader().Name]
 	if p == nil || !p.isLeader || now-p.lastHeard > n.cfg.Timing.LeaderTimeout {
 		return nil
--- a/group/sharers_test.go
+++ b/group/quotapeers_test.go
@@ -56,7 +56,7 @@
 		is.True(slices.Contains(all, s.Box))
 	}
 	w.boxes[boxName(0, 59)].dead = true
-	w.run(shareWindow + 2*listedTimeouts*DefaultTiming.MemberTimeout + 5*time.Second) // the leader keeps listing it for a while, and the share lasts from then
+	w.run(recentPeerWindow + 2*listedTimeouts*DefaultTiming.MemberTimeout + 5*time.Second) // the leader keeps listing it for a while, and the share lasts from then
 	for i := range 59 {
 		is.Equal(len(w.boxes[boxName(0, i)].node.QuotaPeers(w.now).Boxes), 59) // it is forgotten after a while
 	}
@@ -87,7 +87,7 @@
 			case 3:
 				w.cutDomains[b.self.Domain] = !w.cutDomains[b.self.Domain]
 			case 4:
-				w.loss = 0.3 - w.loss
+				w.lossRate = 0.3 - w.lossRate
 			case 5:
 				for _, other := range w.names {
 					if o := w.boxes[other]; o.self.Domain == b.self.Domain {
@@ -120,8 +120,8 @@
 			continue
 		}
 		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning})
-		f.SetCold("s", balance.ColdLimit{Lasts: time.Minute, Most: most})
-		f.SetSharers(b.node.QuotaPeers(w.now))
+		f.SetCold("s", balance.ColdLimit{Duration: time.Minute, MaxPerSecond: most})
+		f.SetQuotaPeers(b.node.QuotaPeers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8, ColdFor: time.Minute})
 		f.Put(0, balance.Upstream{ID: "other", Service: "s", Domain: domainName(1), Slots: 8, Leaving: true})
 		for range most {
@@ -145,7 +145,7 @@
 		}
 		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning, Named: limitBounds,
 			Regions: map[string]string{domainName(0): "r", domainName(1): "r"}})
-		f.SetSharers(b.node.QuotaPeers(w.now))
+		f.SetQuotaPeers(b.node.QuotaPeers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8})
 		f.NoteLimitStatement(time.Second, balance.Incarnation{ID: upstream}, balance.LimitStatement{Named: true, PerSecond: perSecond, Read: time.Second})
 		l, _ := f.Limit(time.Second, upstream)
@@ -178,7 +178,7 @@
 			fresh.Load(items, revision+1)
 			w.published = fresh
 		}},
-		{"the publisher refuses the reader", func(w *simulation) { w.refused[boxName(0, 0)] = true }},
+		{"the publisher refuses the reader", func(w *simulation) { w.refusedBoxes[boxName(0, 0)] = true }},
 		{"the reader stops", func(w *simulation) { w.boxes[boxName(0, 0)].dead = true }},
 		{"a domain is cut off", func(w *simulation) { w.cutDomains[domainName(1)] = true }},
 		{"boxes restart", func(w *simulation) {
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -23,8 +23,8 @@
 func (w *simulation) setDistinctLoads() {
 	for i, name := range w.names {
 		w.boxes[name].node.SetLoads(Loads{
-			{Upstream: 7, Urgency: 2}:    {Unread: tokenUnit << (i % 16), Open: 1},
-			{Upstream: uint32(1000 + i)}: {Unread: 100 * tokenUnit, Open: 3, Held: 1000 * tokenUnit},
+			{Upstream: 7, Urgency: 2}:    {Unread: tokenUnit << (i % 16), Requests: 1},
+			{Upstream: uint32(1000 + i)}: {Unread: 100 * tokenUnit, Requests: 3, MemoryTokens: 1000 * tokenUnit},
 		})
 	}
 }
@@ -82,7 +82,7 @@
 		{"it freezes for a while", func(w *simulation) { w.boxes[leader].frozen = true }, func(w *simulation) { w.boxes[leader].frozen = false }},
 		{"its domain is cut off for a while", func(w *simulation) { w.cutDomains[domainName(0)] = true }, func(w *simulation) { w.cutDomains[domainName(0)] = false }},
 		{"regions are disconnected for a while", func(w *simulation) { w.linkCut = betweenRegions }, func(w *simulation) { w.linkCut = nil }},
-		{"a third of the messages are lost for a while", func(w *simulation) { w.loss = 0.3 }, func(w *simulation) { w.loss = 0 }},
+		{"a third of the messages are lost for a while", func(w *simulation) { w.lossRate = 0.3 }, func(w *simulation) { w.lossRate = 0 }},
 		{"it is cut off from the other domain of its region", func(w *simulation) {
 			w.linkCut = func(a, b *wire.GroupBox) bool {
 				return a.Domain != b.Domain && a.Region == b.Region && a.Region == "region0"
@@ -127,7 +127,7 @@
 		}
 	}
 	w.run(settleTime)
-	w.checkOtherLoads(t, "back", hearsAll)
+	w.checkOtherLoads(t, "reconnected", hearsAll)
 }
 
 // Between regions, loads and prompt parts are sent from one box of a region to one of another,
@@ -168,17 +168,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		policy := rapid.SampledFrom([]sendPolicy{memberPolicy, regionPolicy, otherRegionPolicy}).Draw(t, "policy")
 		n := NewNode(Config{Self: &wire.GroupBox{Name: "a", Domain: "d", Address: "a"}, Timing: DefaultTiming, Mirror: mirror.New(), FirstStart: true}, 0)
-		a := newRecipientGroup(policy, scopeRegion)
+		g := newRecipientGroup(policy, scopeRegion)
 		for i := range rapid.IntRange(1, 30).Draw(t, "boxes") {
-			a.peers = append(a.peers, &peer{box: &wire.GroupBox{Name: fmt.Sprint("p", i), Address: fmt.Sprint(i), Boot: 1}})
+			g.peers = append(g.peers, &peer{box: &wire.GroupBox{Name: fmt.Sprint("p", i), Address: fmt.Sprint(i), Boot: 1}})
 		}
 		actual := make(Loads)
-		a.loads = func() Loads { return actual }
-		a.loadAt = func(key balance.LoadKey) balance.Load { return actual[key] }
+		g.loads = func() Loads { return actual }
+		g.loadAt = func(key balance.LoadKey) balance.Load { return actual[key] }
 		received := make(Loads)
 		bytes, now := 0, time.Duration(0)
-		last := 0 // bytes of the newest message, whose interval has not passed yet
-		take := func() {
+		lastSize := 0 // bytes of the newest message, whose interval has not passed yet
+		receive := func() {
 			out, _ := n.Drain()
 			for _, o := range out {
 				if o.To != "0" {
@@ -190,7 +190,7 @@
 					for key, load := range messageLoads(o.Message) {
 						setLoad(received, key, load)
 					}
-					bytes, last = bytes+last, proto.Size(o.Message)
+					bytes, lastSize = bytes+lastSize, proto.Size(o.Message)
 				}
 			}
 		}
@@ -199,29 +199,29 @@
 		for range steps {
 			for range rapid.IntRange(0, 40).Draw(t, "changes") {
 				key := balance.LoadKey{Upstream: uint32(rapid.IntRange(1, keys).Draw(t, "key"))}
-				setLoad(actual, key, balance.Load{Unread: 64 * rapid.IntRange(0, 200).Draw(t, "unread"), Open: rapid.IntRange(0, 20).Draw(t, "open")})
-				a.changed[key] = struct{}{}
+				setLoad(actual, key, balance.Load{Unread: 64 * rapid.IntRange(0, 200).Draw(t, "unread"), Requests: rapid.IntRange(0, 20).Draw(t, "open")})
+				g.changed[key] = struct{}{}
 			}
-			a.sendChanges(n, now)
-			take()
+			g.sendChanges(n, now)
+			receive()
 			now += 30 * time.Millisecond
 		}
-		boxRate := min(policy.boxRate, policy.totalRate/float64(len(a.peers)))
+		boxRate := min(policy.boxRate, policy.totalRate/float64(len(g.peers)))
 		if limit := boxRate * now.Seconds() * 1.01; float64(bytes) > limit {
 			t.Fatalf("%d bytes in %v, want at most %f", bytes, now, limit)
 		}
 		for range 2000 {
-			a.sendChanges(n, now)
-			take()
+			g.sendChanges(n, now)
+			receive()
 			now += 30 * time.Millisecond
 		}
 		for key, load := range actual {
-			if known := received[key]; known != roundLoad(load) && a.isSignificant(known, roundLoad(load)) {
+			if known := received[key]; known != roundLoad(load) && g.isSignificant(known, roundLoad(load)) {
 				t.Fatalf("load %v is known on %v, want %v", known, key, load)
 			}
 		}
-		a.sendFullList(n, now+maxFullListInterval)
-		take()
+		g.sendFullList(n, now+maxFullListInterval)
+		receive()
 		if len(received) != len(roundLoads(actual)) {
 			t.Fatalf("%d loads are known after a complete list, want %d", len(received), len(roundLoads(actual)))
 		}
@@ -234,8 +234,8 @@
 		l := make(Loads)
 		for range rapid.IntRange(0, 40).Draw(t, "loads") {
 			key := balance.LoadKey{Upstream: rapid.Uint32().Draw(t, "upstream"), Urgency: rapid.IntRange(0, balance.Levels-1).Draw(t, "urgency")}
-			l[key] = roundLoad(balance.Load{Unread: rapid.IntRange(0, 1<<20).Draw(t, "unread"), Open: rapid.IntRange(0, 99).Draw(t, "open"),
-				Tight: rapid.IntRange(0, 9).Draw(t, "tight"), Held: rapid.IntRange(0, 1<<24).Draw(t, "held")})
+			l[key] = roundLoad(balance.Load{Unread: rapid.IntRange(0, 1<<20).Draw(t, "unread"), Requests: rapid.IntRange(0, 99).Draw(t, "open"),
+				Tight: rapid.IntRange(0, 9).Draw(t, "tight"), MemoryTokens: rapid.IntRange(0, 1<<24).Draw(t, "held")})
 		}
 		got := unpackColumns(packColumns(l))
 		if len(got) != len(l) {
@@ -253,7 +253,7 @@
 func TestShortColumnsDecodeAsZero(t *testing.T) {
 	is := is.New(t)
 	got := unpackColumns(&wire.GroupColumns{Upstream: []uint32{1, 2, 3}, Levels: []uint32{3, 1 << 31}, Unread: []uint32{5}, Open: []uint32{1, 2}})
-	is.Equal(got, Loads{{Upstream: 1}: {Unread: 5 * tokenUnit, Open: 1}, {Upstream: 1, Urgency: 1}: {Open: 2}})
+	is.Equal(got, Loads{{Upstream: 1}: {Unread: 5 * tokenUnit, Requests: 1}, {Upstream: 1, Urgency: 1}: {Requests: 2}})
 }
 
 // After a simultaneous start each box has briefly led its domain. Published data is sent only to
@@ -264,10 +264,10 @@
 	w := startRegions(t, 9, layout{3, 1}, 60)
 	w.restartAll()
 	w.run(8 * time.Second)
-	count := func(do func()) map[Reach]int {
+	count := func(action func()) map[Reach]int {
 		w.run(DefaultTiming.HeartbeatInterval)
 		reaches := make(map[Reach]int)
-		do()
+		action()
 		for _, name := range w.names {
 			out, _ := w.boxes[name].node.Drain()
 			for _, o := range out {
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -29,8 +29,8 @@
 	r := m.relay
 	now := r.now()
 	silent := m.node.SilentDomains(now)
-	cutOff, reported := r.updateCutOff(now, m.node.IsLeader(), m.node.CutOff(now))
-	m.node.SetCutOff(cutOff)
+	cutOff, reported := r.updateCutOff(now, m.node.IsLeader(), m.node.UnreachableDomains(now))
+	m.node.SetUnreachableDomains(cutOff)
 	for _, domain := range cutOff {
 		if !slices.Contains(m.cutOffDomains, domain) && (slices.Contains(reported, domain) || slices.Contains(silent, domain)) {
 			r.cfg.Log.Event("domain", "cut off", Fields{"domain": domain, "told_by": m.node.LeaderName(), "unheard": silent})
@@ -51,10 +51,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !isLeader {
-		r.fleet.FollowCutOff(now, reported)
+		r.fleet.FollowCutOffDomains(now, reported)
 		adopted = reported
 	}
-	return r.fleet.CutOff(), adopted
+	return r.fleet.CutOffDomains(), adopted
 }
 
 // probeDomains probes a few upstreams of each domain.
@@ -82,9 +82,9 @@
 	}
 	r.mu.Lock()
 	if err == nil {
-		r.fleet.ReachedLife(r.now(), u.Incarnation())
+		r.fleet.NoteReachable(r.now(), u.Incarnation())
 	} else {
-		r.fleet.UnreachedLife(r.now(), u.Incarnation())
+		r.fleet.NoteUnreachable(r.now(), u.Incarnation())
 	}
 	r.mu.Unlock()
 	if err != nil {
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -40,13 +40,13 @@
 	lead := &wire.GroupMessage{Sender: &wire.GroupBox{Name: "lead", Domain: "d0", Boot: 1, Strength: 9}, Leads: true, CutOff: []string{"d1"}}
 	m.node.Handle(m.relay.now(), lead)
 	m.syncCutOff(context.Background())
-	is.Equal(m.relay.fleet.CutOff(), []string{"d1"})
-	is.Equal(len(m.relay.fleet.Unreached()), 6)
+	is.Equal(m.relay.fleet.CutOffDomains(), []string{"d1"})
+	is.Equal(len(m.relay.fleet.Unreachable()), 6)
 	lead.CutOff = nil
 	m.node.Handle(m.relay.now(), lead)
 	m.syncCutOff(context.Background())
-	is.Equal(m.relay.fleet.CutOff(), nil)
-	is.Equal(len(m.relay.fleet.Unreached()), 0)
+	is.Equal(m.relay.fleet.CutOffDomains(), nil)
+	is.Equal(len(m.relay.fleet.Unreachable()), 0)
 }
 
 // A box's own observation takes precedence over its leader's: a successful connection restores
@@ -57,10 +57,10 @@
 	lead := &wire.GroupMessage{Sender: &wire.GroupBox{Name: "lead", Domain: "d0", Boot: 1, Strength: 9}, Leads: true, CutOff: []string{"d1"}}
 	m.node.Handle(m.relay.now(), lead)
 	m.syncCutOff(context.Background())
-	m.relay.fleet.ReachedLife(m.relay.now(), balance.Incarnation{ID: "u1"})
+	m.relay.fleet.NoteReachable(m.relay.now(), balance.Incarnation{ID: "u1"})
 	m.node.Handle(m.relay.now(), lead)
 	m.syncCutOff(context.Background())
-	is.Equal(m.relay.fleet.CutOff(), nil)
+	is.Equal(m.relay.fleet.CutOffDomains(), nil)
 }
 
 // A leader that hears from no box of a domain marks it as cut off only if its upstreams do not
@@ -72,10 +72,10 @@
 		u, _ := m.relay.fleet.Entry(fmt.Sprintf("u%d", i))
 		m.relay.probeUpstream(context.Background(), u) // nothing listens there
 	}
-	is.Equal(m.relay.fleet.CutOff(), nil)
+	is.Equal(m.relay.fleet.CutOffDomains(), nil)
 	for i := 1; i < 6; i += 2 {
-		m.relay.fleet.UnreachedLife(m.relay.now(), balance.Incarnation{ID: fmt.Sprintf("u%d", i)})
+		m.relay.fleet.NoteUnreachable(m.relay.now(), balance.Incarnation{ID: fmt.Sprintf("u%d", i)})
 	}
 	m.syncCutOff(context.Background())
-	is.Equal(m.relay.fleet.CutOff(), []string{"d1"})
+	is.Equal(m.relay.fleet.CutOffDomains(), []string{"d1"})
 }
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -46,7 +46,7 @@
 	replacement    string                // ID of the upstream that sent it, if another one than addressed
 	ticket         *balance.Ticket
 	upstream       balance.Upstream
-	fetchOffered   bool          // the upstream was told another one that has the prompt cached
+	fetchOffered   bool          // the upstream was told of another one that has the prompt cached
 	prefixCached   bool          // the upstream is assumed to have the prompt's shared prefix cached
 	backlog        int           // prompt tokens that the upstream has to process first
 	tooLate        bool          // it would have been served too late
@@ -80,7 +80,7 @@
 	r := x.relay
 	r.stats.openRequests.Add(1)
 	r.mu.Lock()
-	r.budgets.Of(x.service).Take(r.now())
+	r.budgets.ForService(x.service).CountRequest(r.now())
 	r.mu.Unlock()
 	x.ctx, x.cancel = context.WithDeadline(context.Background(), x.deadline)
 	x.watch = watchDisconnect(ctx.Conn(), x.cancel)
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -52,8 +52,8 @@
 
 // failedResponse is a 5xx response of an upstream. The caller gets it if no other upstream succeeds.
 type failedResponse struct {
-	answer *response
-	body   []byte
+	response *response
+	body     []byte
 }
 
 // lastFailure returns the body of the error response to forward to the caller, if there is one.
@@ -61,7 +61,7 @@
 	if x.failure == nil || x.ctx.Err() != nil {
 		return nil, false
 	}
-	x.response = x.failure.answer
+	x.response = x.failure.response
 	return x.failure.body, true
 }
 
@@ -183,7 +183,7 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budgets.Of(x.service).Left(r.now(), r.divisor())
+	return r.budgets.ForService(x.service).Left(r.now(), r.divisor())
 }
 
 // closeTicket releases the capacity reserved for the current run and reports its outcome.
--- a/relay/probe.go
+++ b/relay/probe.go
@@ -44,7 +44,7 @@
 // upstream whose failed connection attempt led to that.
 func (r *Relay) logUnreachable(cause string) {
 	r.mu.Lock()
-	list := r.fleet.NewlyLost()
+	list := r.fleet.TakeNewlyUnreachable()
 	r.mu.Unlock()
 	for _, u := range list {
 		r.cfg.Log.Event("upstream", "out of reach", Fields{"upstream": u.ID, "domain": u.Domain, "service": u.Service,
@@ -56,7 +56,7 @@
 func (r *Relay) unreachable() []balance.Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.fleet.Unreached()
+	return r.fleet.Unreachable()
 }
 
 // probeUnreachable opens a connection to an upstream and closes it, and marks the upstream
@@ -73,7 +73,7 @@
 	}
 	_ = c.Close()
 	r.mu.Lock()
-	isListed := r.fleet.ReachedLife(r.now(), inc)
+	isListed := r.fleet.NoteReachable(r.now(), inc)
 	r.mu.Unlock()
 	if isListed {
 		r.cfg.Log.Event("upstream", "reachable again", Fields{"upstream": id, "born": inc.StartedAt})
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -69,12 +69,12 @@
 	began := time.Now()
 	choice, ok := r.fleet.Place(r.now(), q, x.triedCurrent())
 	r.stats.observe("decision_us", time.Since(began).Microseconds())
-	if choice.Passed > 0 {
+	if choice.Skipped > 0 {
 		r.stats.count(requestsHeldBack)
 	}
 	if !ok {
 		x.pausedFor = x.pauseLeft(x.triedCurrent())
-		x.allLimited = choice.Passed > 0 && x.pausedFor == 0
+		x.allLimited = choice.Skipped > 0 && x.pausedFor == 0
 		x.tooLarge = r.fleet.TooLarge(q)
 		left := max(r.fleet.ColdLeft(r.now(), x.service), r.fleet.MemoryLeft(r.now(), q), r.fleet.LimitLeft(r.now(), x.service), addJitter(r.fleet.UnavailableFor(r.now(), x.service)))
 		x.retryAfter = min(left, maxRetryAfter)
@@ -89,7 +89,7 @@
 	x.ticket = r.fleet.Open(r.now(), choice.Upstream.ID, q)
 	wake(r.members.loadsChanged)
 	x.upstream = *choice.Upstream
-	x.fetchOffered, x.prefixCached, x.backlog = choice.Fetch != "", choice.Kept, choice.Backlog
+	x.fetchOffered, x.prefixCached, x.backlog = choice.FetchFrom != "", choice.Kept, choice.Backlog
 	return choice, true
 }
 
@@ -97,17 +97,17 @@
 func (x *exchange) placement() balance.Request {
 	p := &x.request.prompt
 	return balance.Request{
-		Service:  x.service,
-		Parts:    p.Parts,
-		Tokens:   p.Tokens,
-		Bytes:    x.request.headBytes + len(x.request.body) + p.Expected*bytesPerToken,
-		Moves:    x.canFetchPrompts(),
-		Class:    x.route.Name,
-		Gap:      x.route.EventGap,
-		Expected: p.Expected,
-		Homes:    route.HomesOf(x.route, x.customer),
-		Urgency:  x.urgency,
-		Waited:   x.pauseWaited > 0,
+		Service:        x.service,
+		Parts:          p.Parts,
+		Tokens:         p.Tokens,
+		Bytes:          x.request.headBytes + len(x.request.body) + p.Expected*bytesPerToken,
+		CanTransfer:    x.canFetchPrompts(),
+		Class:          x.route.Name,
+		MaxGap:         x.route.EventGap,
+		ExpectedTokens: p.Expected,
+		Homes:          route.HomesOf(x.route, x.customer),
+		Urgency:        x.urgency,
+		Waited:         x.pauseWaited > 0,
 	}
 }
 
@@ -129,14 +129,14 @@
 
 // runOn runs the request on the chosen upstream.
 func (x *exchange) runOn(choice balance.Choice) (runState, []byte) {
-	return x.send(x.nextRun(choice.Fetch))
+	return x.send(x.nextRun(choice.FetchFrom))
 }
 
 // send runs the request with the given parameters. With runAnswered, either the whole body has been
 // read or the first events of the stream are pending.
 func (x *exchange) send(params runParams) (runState, []byte) {
 	x.triedInstances = append(x.triedInstances, x.upstream.Incarnation())
-	state, a, err := x.attempt(x.relay.outgoing(x.request, params))
+	state, resp, err := x.attempt(x.relay.buildRequest(x.request, params))
 	if errors.Is(err, errNotAccepting) {
 		x.triedInstances = x.triedInstances[:len(x.triedInstances)-1] // it may wait for this upstream's pause
 	}
@@ -145,7 +145,7 @@
 	}
 	var body []byte
 	if state == runAnswered {
-		state, body, err = x.accept(a)
+		state, body, err = x.accept(resp)
 	}
 	if state != runAnswered {
 		x.recordFailure(state, err)
@@ -157,15 +157,15 @@
 // prompt can be fetched.
 func (x *exchange) nextRun(fetch string) runParams {
 	params := runParams{
-		upstream: x.upstream,
-		timeLeft: x.timeLeft(),
-		urgency:  x.urgency,
-		customer: x.customer,
-		fetch:    fetch,
-		lastSeen: x.request.lastEventID,
+		upstream:    x.upstream,
+		timeLeft:    x.timeLeft(),
+		urgency:     x.urgency,
+		customer:    x.customer,
+		fetchFrom:   fetch,
+		lastEventID: x.request.lastEventID,
 	}
 	if x.events != nil && x.events.hasEvents {
-		params.lastSeen = formatID(x.events.lastID)
+		params.lastEventID = formatID(x.events.lastID)
 	}
 	return params
 }
