--- a/relay/caller_test.go
+++ b/relay/caller_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// A caller that does not read a response is cut off also if the response is not a stream.
+// A caller that does not read its response is cut off even if the response is not a stream.
 func TestUnreadNonStreamResponseIsCutOff(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", respondOK(strings.Repeat("x", 2<<20)))
@@ -372,9 +372,9 @@
 	b := newTestBoxWithConfig(t, withMemoryBound(bound), u)
 	b.addSlowCallers(80, 200) // 80 of the 100 connections that the service allows
 	var failed atomic.Int64
-	var sound sync.WaitGroup
+	var healthy sync.WaitGroup
 	for i := range 10 {
-		sound.Go(func() {
+		healthy.Go(func() {
 			for j := range 30 {
 				if b.do(b.request("POST", fmt.Sprintf("/once/s%d-%d", i, j), "body")).status != 200 {
 					failed.Add(1)
@@ -383,7 +383,7 @@
 			}
 		})
 	}
-	sound.Wait()
+	healthy.Wait()
 	is.Equal(failed.Load(), int64(0))
 	is.True(b.relay.account.Peak() <= bound)
 	is.Equal(b.relay.stats.counted(callersTurnedAway), uint64(0))
--- a/relay/outcome_test.go
+++ b/relay/outcome_test.go
@@ -46,11 +46,11 @@
 	b.listBorn(u, 200, false)
 	b.await("u", 200)
 	r := b.relay
-	present, _ := r.listed("u")
-	c, err := r.conns.get(context.Background(), present, "s")
+	current, _ := r.listed("u")
+	c, err := r.conns.get(context.Background(), current, "s")
 	is.NoErr(err)
 	r.conns.keep(c, time.Minute)
-	resting := func() int {
+	idleConns := func() int {
 		r.conns.mu.Lock()
 		defer r.conns.mu.Unlock()
 		return len(r.conns.idle["u"])
@@ -59,10 +59,10 @@
 	r.fleet.Open(r.now(), "v", balance.Request{Service: "s"}).Close(r.now(), balance.Unreachable)
 	r.mu.Unlock()
 
-	x := &exchange{relay: r, request: &request{}, ctx: context.Background(), upstream: present}
+	x := &exchange{relay: r, request: &request{}, ctx: context.Background(), upstream: current}
 	x.upstream.StartedAt = 100
 	x.recordFailure(runUnsent, syscall.ECONNREFUSED)
-	is.Equal(resting(), 1)
+	is.Equal(idleConns(), 1)
 	r.mu.Lock()
 	lost := r.fleet.TakeNewlyUnreachable()
 	x.ticket = r.fleet.Open(r.now(), "u", balance.Request{Service: "s"})
@@ -70,6 +70,6 @@
 	is.Equal(len(lost), 1) // not yet attributed to u
 	x.upstream.StartedAt = 200
 	x.recordFailure(runUnsent, syscall.ECONNREFUSED)
-	is.Equal(resting(), 0)
+	is.Equal(idleConns(), 0)
 	b.waitFor(func() bool { return b.log.contains("out of reach") })
 }
--- a/relay/retry_test.go
+++ b/relay/retry_test.go
@@ -40,7 +40,7 @@
 // of both services then show the same figures.
 func TestRetryBudgetIsPerService(t *testing.T) {
 	is := is.New(t)
-	sound := newStub(t, "sound", respondOK("ok"))
+	healthy := newStub(t, "healthy", respondOK("ok"))
 	bad1, bad2 := newStub(t, "bad1", respond500), newStub(t, "bad2", respond500)
 	b := newTestBoxWithConfig(t, func(c *Config) { c.Budget = balance.BudgetConfig{Ratio: 0.5, Window: 10 * time.Second} }, bad1, bad2)
 	doc := testDocument(2)
@@ -48,7 +48,7 @@
 	doc.Routes = append(doc.Routes, route.Route{Name: "other", Host: "h.example", Prefix: "/other/", Repeat: route.Repeatable, MaxAttempts: 2, Timeout: 5 * time.Second,
 		Targets: []route.Target{{Service: "other", Weight: 1}}})
 	b.publisher.set("document", doc, false)
-	b.publisher.set("sound", balance.Upstream{ID: "sound", Service: "other", Address: sound.listener.Addr().String(), Domain: "d", Slots: 8}, false)
+	b.publisher.set("healthy", balance.Upstream{ID: "healthy", Service: "other", Address: healthy.listener.Addr().String(), Domain: "d", Slots: 8}, false)
 	b.waitFor(func() bool { return b.upstreamCount() == 3 && b.do(b.request("GET", "/other/first", "")).status == 200 })
 	for range 40 {
 		is.Equal(b.do(b.request("GET", "/other/x", "")).status, 200)
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -288,9 +288,9 @@
 }
 
 // newTestBoxWithProtocol is newTestBox with another protocol.
-func newTestBoxWithProtocol(t *testing.T, words Protocol, stubs ...*stub) *testBox {
+func newTestBoxWithProtocol(t *testing.T, protocol Protocol, stubs ...*stub) *testBox {
 	t.Helper()
-	return newTestBoxWithConfig(t, func(c *Config) { c.Protocol = words }, stubs...)
+	return newTestBoxWithConfig(t, func(c *Config) { c.Protocol = protocol }, stubs...)
 }
 
 // newTestBoxWithConfig is newTestBox with a configuration modified by change.
