--- a/balance/partreport.go
+++ b/balance/partreport.go
@@ -103,14 +103,14 @@
 }
 
 // TakePartReports returns the reports queued since the last call.
-func (f *Fleet) KeptNews() []PartReport {
+func (f *Fleet) TakePartReports() []PartReport {
 	news := f.parts.news
 	f.parts.news = nil
 	return news
 }
 
 // NotePartReports applies reports from other boxes.
-func (f *Fleet) NoteKept(now time.Duration, list []PartReport) {
+func (f *Fleet) NotePartReports(now time.Duration, list []PartReport) {
 	for _, report := range list {
 		m := f.byKey[report.Upstream]
 		if m == nil {
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -117,7 +117,7 @@
 }
 
 // NoteUnreachable records that a probe connection to an upstream incarnation failed.
-func (f *Fleet) UnreachedLife(now time.Duration, l Incarnation) {
+func (f *Fleet) NoteUnreachable(now time.Duration, l Incarnation) {
 	if m := f.byID[l.ID]; m != nil && m.Incarnation() == l {
 		f.recordUnreachable(now, m)
 	}
@@ -180,7 +180,7 @@
 
 // NoteReachable records that a probe connection to an upstream incarnation was established, and
 // reports whether that incarnation is still the one listed.
-func (f *Fleet) ReachedLife(now time.Duration, l Incarnation) bool {
+func (f *Fleet) NoteReachable(now time.Duration, l Incarnation) bool {
 	m := f.byID[l.ID]
 	if m == nil || m.Incarnation() != l {
 		return false
@@ -205,7 +205,7 @@
 
 // Unreachable returns the unreachable upstreams that are not evacuated, sorted by id so that a
 // caller can probe them in turn.
-func (f *Fleet) Unreached() []Upstream {
+func (f *Fleet) Unreachable() []Upstream {
 	var list []Upstream
 	for _, m := range f.byID {
 		if m.unreachable && !m.evacuated {
--- a/experiment/placing/way.go
+++ b/experiment/placing/way.go
@@ -163,10 +163,10 @@
 	w.divide(now, list)
 	for _, d := range list {
 		d.loads = d.fleet.Loads()
-		news := d.fleet.KeptNews()
+		news := d.fleet.TakePartReports()
 		for _, o := range list {
 			if o != d && w.Parts {
-				o.fleet.NoteKept(now, news)
+				o.fleet.NotePartReports(now, news)
 			}
 		}
 	}
--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -27,7 +27,7 @@
 	r := m.relay
 	now := r.now()
 	unheard := m.node.SilentDomains(now)
-	left, told := r.cutOff(now, m.node.IsLeader(), m.node.CutOff(now))
+	left, told := r.cutOff(now, m.node.IsLeader(), m.node.UnreachableDomains(now))
 	m.node.SetUnreachableDomains(left)
 	for _, domain := range left {
 		if !slices.Contains(m.left, domain) && (slices.Contains(told, domain) || slices.Contains(unheard, domain)) {
@@ -79,9 +79,9 @@
 	}
 	r.mu.Lock()
 	if err == nil {
-		r.fleet.ReachedLife(r.now(), u.Incarnation())
+		r.fleet.NoteReachable(r.now(), u.Incarnation())
 	} else {
-		r.fleet.UnreachedLife(r.now(), u.Incarnation())
+		r.fleet.NoteUnreachable(r.now(), u.Incarnation())
 	}
 	r.mu.Unlock()
 	if err != nil {
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -39,12 +39,12 @@
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOffDomains(), []string{"d1"})
-	is.Equal(len(m.relay.fleet.Unreached()), 6)
+	is.Equal(len(m.relay.fleet.Unreachable()), 6)
 	lead.CutOff = nil
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOffDomains(), nil)
-	is.Equal(len(m.relay.fleet.Unreached()), 0)
+	is.Equal(len(m.relay.fleet.Unreachable()), 0)
 }
 
 // What a box has seen itself goes before what it is told: a connection that comes up takes the domain back.
@@ -54,7 +54,7 @@
 	lead := &wire.GroupMessage{Sender: &wire.GroupBox{Name: "lead", Domain: "d0", Boot: 1, Strength: 9}, Leads: true, CutOff: []string{"d1"}}
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
-	m.relay.fleet.ReachedLife(m.relay.now(), balance.Incarnation{ID: "u1"})
+	m.relay.fleet.NoteReachable(m.relay.now(), balance.Incarnation{ID: "u1"})
 	m.node.Handle(m.relay.now(), lead)
 	m.shareCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOffDomains(), nil)
@@ -70,7 +70,7 @@
 	}
 	is.Equal(m.relay.fleet.CutOffDomains(), nil)
 	for i := 1; i < 6; i += 2 {
-		m.relay.fleet.UnreachedLife(m.relay.now(), balance.Incarnation{ID: fmt.Sprintf("u%d", i)})
+		m.relay.fleet.NoteUnreachable(m.relay.now(), balance.Incarnation{ID: fmt.Sprintf("u%d", i)})
 	}
 	m.shareCutOff(context.Background())
 	is.Equal(m.relay.fleet.CutOffDomains(), []string{"d1"})
