--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -102,7 +102,7 @@
 	is := is.New(t)
 	f := fleetWithAnswers(3)
 	f.SetMemory("s", testMemory)
-	late := Progress{Events: 10, EventInterval: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
+	late := Progress{Events: 10, EventInterval: 400 * time.Millisecond, TimeLeft: 1500 * time.Millisecond}
 	setRemoteMemory(f, f.byID["u1"], 0, testMemory*9/10)
 	m, ok := f.MoveTo(time.Second, longRequest(100, 360), "u0", late)
 	is.True(ok)
--- a/balance/move.go
+++ b/balance/move.go
@@ -38,7 +38,7 @@
 type Progress struct {
 	Events        int           // events received so far
 	EventInterval time.Duration // recent time between two events
-	Left          time.Duration // time until the caller's deadline
+	TimeLeft      time.Duration // time until the caller's deadline
 }
 
 // Move is a decision to move an answer.
@@ -58,12 +58,12 @@
 	rest := a.remainingEvents(r.ExpectedTokens, p.Events)
 	here := time.Duration(rest * float64(p.EventInterval))
 	there := time.Duration(rest * float64(a.movedInterval()))
-	if there == 0 || here < p.Left {
+	if there == 0 || here < p.TimeLeft {
 		return Move{}, false
 	}
 	there += moveDuration
-	early := p.Left > moveSlackFactor*there+moveCheckInterval
-	if early || there > p.Left || here < moveMinSpeedup*there {
+	early := p.TimeLeft > moveSlackFactor*there+moveCheckInterval
+	if early || there > p.TimeLeft || here < moveMinSpeedup*there {
 		return Move{}, false
 	}
 	to := f.moveTarget(now, r, source)
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -31,7 +31,7 @@
 func TestMoveDecision(t *testing.T) {
 	// 10 of 60 events have arrived, so 50 are left: they take 20 s at 400 ms each, and 0.75 s
 	// plus the time for the copy at the 15 ms expected after a move.
-	late := Progress{Events: 10, EventInterval: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
+	late := Progress{Events: 10, EventInterval: 400 * time.Millisecond, TimeLeft: 1500 * time.Millisecond}
 	for _, c := range []struct {
 		name   string
 		change func(f *Fleet, r *Request, p *Progress)
@@ -39,8 +39,8 @@
 	}{
 		{"would end too late", func(*Fleet, *Request, *Progress) {}, true},
 		{"ends in time", func(_ *Fleet, _ *Request, p *Progress) { p.EventInterval = 20 * time.Millisecond }, false},
-		{"enough time left to wait", func(_ *Fleet, _ *Request, p *Progress) { p.Left = 5 * time.Second }, false},
-		{"would end too late elsewhere as well", func(_ *Fleet, _ *Request, p *Progress) { p.Left = 500 * time.Millisecond }, false},
+		{"enough time left to wait", func(_ *Fleet, _ *Request, p *Progress) { p.TimeLeft = 5 * time.Second }, false},
+		{"would end too late elsewhere as well", func(_ *Fleet, _ *Request, p *Progress) { p.TimeLeft = 500 * time.Millisecond }, false},
 		{"longer than expected", func(_ *Fleet, r *Request, p *Progress) { r.ExpectedTokens, p.Events = 30, 200 }, true},
 		{"no expected length", func(_ *Fleet, r *Request, _ *Progress) { r.ExpectedTokens = 0 }, false},
 		{"upstreams cannot copy", func(_ *Fleet, r *Request, _ *Progress) { r.CanTransfer = false }, false},
@@ -91,7 +91,7 @@
 	for _, id := range []string{"u1", "u2", "u3"} {
 		f.byID[id].reading = 0.9
 	}
-	p := Progress{Events: 10, EventInterval: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
+	p := Progress{Events: 10, EventInterval: 400 * time.Millisecond, TimeLeft: 1500 * time.Millisecond}
 	to := make(map[string]int)
 	for i := range uint64(100) {
 		m, ok := f.MoveTo(time.Second, longRequest(100+i, 360), "u0", p)
@@ -173,7 +173,7 @@
 			between = 400 * time.Millisecond
 		}
 		now += between
-		m, ok := f.MoveTo(now, r, at, Progress{Events: came, EventInterval: between, Left: whole - now})
+		m, ok := f.MoveTo(now, r, at, Progress{Events: came, EventInterval: between, TimeLeft: whole - now})
 		if ok {
 			at, moved = m.To.ID, true
 			now += 100 * time.Millisecond
--- a/balance/residency_test.go
+++ b/balance/residency_test.go
@@ -39,7 +39,7 @@
 					seen[choice.Upstream.Domain] = true
 					tried = append(tried, choice.Upstream.ID)
 				}
-				m, ok := f.MoveTo(time.Second, r, "u0", Progress{Events: 10, EventInterval: 400 * time.Millisecond, Left: 1500 * time.Millisecond})
+				m, ok := f.MoveTo(time.Second, r, "u0", Progress{Events: 10, EventInterval: 400 * time.Millisecond, TimeLeft: 1500 * time.Millisecond})
 				is.Equal(ok, len(c.want) > 0)
 				if ok {
 					seen[m.To.Domain] = true
--- a/balance/rtt_test.go
+++ b/balance/rtt_test.go
@@ -249,7 +249,7 @@
 		a := &f.serviceOf("s").answers
 		a.events.add(1, 1)
 		a.calm.add(15, minAnswers) // ms from one event to the next
-		m, ok := f.MoveTo(now, r, from, Progress{Events: 5, EventInterval: 400 * time.Millisecond, Left: time.Second})
+		m, ok := f.MoveTo(now, r, from, Progress{Events: 5, EventInterval: 400 * time.Millisecond, TimeLeft: time.Second})
 		if ok {
 			within("moved from", f.byID[from].Address)
 			within("moved to", m.To.Address)
--- a/relay/move.go
+++ b/relay/move.go
@@ -67,14 +67,14 @@
 	if r.isPaused(x.upstream.Incarnation()) || !x.route.Resumable && r.rejectsRequests(x.upstream) {
 		return // without room for the copy, it could continue neither here nor elsewhere
 	}
-	p := balance.Progress{Events: x.events.total, EventInterval: x.pace.recent, Left: x.timeLeft()}
+	p := balance.Progress{Events: x.events.total, EventInterval: x.pace.recent, TimeLeft: x.timeLeft()}
 	q := x.placement()
 	m, reservation := x.planMove(q, p)
 	if reservation == nil {
 		return
 	}
 	r.cfg.Log.Event("run", "moves", Fields{"id": x.request.id, "upstream": x.upstream.ID, "to": m.To.ID, "events": p.Events,
-		"here_ms": m.Here.Milliseconds(), "there_ms": m.There.Milliseconds(), "left_ms": p.Left.Milliseconds()})
+		"here_ms": m.Here.Milliseconds(), "there_ms": m.There.Milliseconds(), "left_ms": p.TimeLeft.Milliseconds()})
 	x.move = &move{from: x.upstream, to: m.To, copied: make(chan RunCopy, 1), reservation: reservation}
 	go r.requestCopy(x.move, x.request.id, x.service)
 }
