--- a/balance/suspectreport.go
+++ b/balance/suspectreport.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// DigestOf returns a digest that is equal for equal contents, incarnations and rounds, and 0 for
+// SuspectsDigest returns a digest that is equal for equal contents, incarnations and rounds, and 0 for
 // none.
-func DigestOf(list []Suspect) uint64 {
+func SuspectsDigest(list []Suspect) uint64 {
 	var sum uint64
 	for _, x := range list {
 		b := binary.LittleEndian.AppendUint64(nil, x.Content)
--- a/cell/ends.go
+++ b/cell/ends.go
@@ -89,7 +89,7 @@
 	if len(news) == 0 {
 		return nil
 	}
-	n.endsDigest = balance.DigestOf(n.ends.Withheld(n.now))
+	n.endsDigest = balance.SuspectsDigest(n.ends.Withheld(n.now))
 	for _, l := range n.sorted(func(l *local) bool { return n.withheld(l) > 0 }) {
 		n.holdBack(l)
 	}
@@ -139,5 +139,5 @@
 		return
 	}
 	n.ends.Forget(n.now)
-	n.endsDigest = balance.DigestOf(n.ends.Withheld(n.now))
+	n.endsDigest = balance.SuspectsDigest(n.ends.Withheld(n.now))
 }
--- a/group/suspects.go
+++ b/group/suspects.go
@@ -39,7 +39,7 @@
 
 // SetWithheld sets the requests that this box withholds from upstreams.
 func (n *Node) SetWithheld(list []balance.Suspect) {
-	n.suspects.all, n.suspects.digest = list, balance.DigestOf(list)
+	n.suspects.all, n.suspects.digest = list, balance.SuspectsDigest(list)
 }
 
 // AnnounceSuspects queues new entries to be announced.
