--- a/balance/active.go
+++ b/balance/active.go
@@ -24,10 +24,10 @@
 // active ones.
 func (f *Fleet) pruneActive(s *service) {
 	s.active = slices.DeleteFunc(s.active, func(m *member) bool {
-		if f.isListed(m) && (m.reading >= minReading || m.hasWork()) {
+		if f.isListed(m) && (m.prefillShare >= minReading || m.hasWork()) {
 			return false
 		}
-		m.active, m.reading = false, 0
+		m.active, m.prefillShare = false, 0
 		return true
 	})
 }
--- a/balance/active_test.go
+++ b/balance/active_test.go
@@ -82,7 +82,7 @@
 	loads := make(map[LoadKey]Load)
 	listed, slots := make(map[*service]int), make(map[*service]int)
 	for id, m := range f.byID {
-		if !m.active && (m.hasWork() || m.reading > 0) {
+		if !m.active && (m.hasWork() || m.prefillShare > 0) {
 			t.Fatalf("%s has work, or reads, and is not active", id)
 		}
 		f.addLoads(loads, m)
@@ -94,8 +94,8 @@
 		t.Fatalf("loads are %v, want %v", got, loads)
 	}
 	for name, s := range f.services {
-		if s.listed != listed[s] || s.slots != slots[s] || len(f.byService[name]) != listed[s] {
-			t.Fatalf("%s has %d upstreams and %d slots, but %d and %d are counted", name, listed[s], slots[s], s.listed, s.slots)
+		if s.upstreamCount != listed[s] || s.slotCount != slots[s] || len(f.byService[name]) != listed[s] {
+			t.Fatalf("%s has %d upstreams and %d slots, but %d and %d are counted", name, listed[s], slots[s], s.upstreamCount, s.slotCount)
 		}
 	}
 }
--- a/balance/answers.go
+++ b/balance/answers.go
@@ -83,11 +83,11 @@
 // prefill.
 func (m *member) updatePrefillActivity(past time.Duration, unread int) {
 	left := math.Exp(-float64(past) / float64(prefillWindow))
-	m.reading *= left
+	m.prefillShare *= left
 	if unread > 0 {
-		m.reading += 1 - left
+		m.prefillShare += 1 - left
 	}
 }
 
 // prefillLevel returns the level of prefill activity of an upstream; 0 is calm.
-func (m *member) prefillLevel() int { return int(m.reading * prefillLevels) }
+func (m *member) prefillLevel() int { return int(m.prefillShare * prefillLevels) }
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -81,10 +81,10 @@
 
 // SetQuotaPeers sets the boxes that the quotas are divided among.
 func (f *Fleet) SetQuotaPeers(s QuotaPeers) {
-	if s.Box == f.sharers.Box && slices.Equal(s.Boxes, f.sharers.Boxes) {
+	if s.Box == f.quotaPeers.Box && slices.Equal(s.Boxes, f.quotaPeers.Boxes) {
 		return
 	}
-	f.sharers = s
+	f.quotaPeers = s
 	f.rationsStale = true
 }
 
@@ -95,15 +95,15 @@
 		return
 	}
 	m.setReachability(m.unreachable, false) // its entry reports the restart
-	if now+left <= m.coldTill {
+	if now+left <= m.coldUntil {
 		return
 	}
-	if now >= m.coldTill {
-		m.coldSent = nil
-		f.cold = append(f.cold, m)
+	if now >= m.coldUntil {
+		m.coldRequests = nil
+		f.coldMembers = append(f.coldMembers, m)
 		f.rationsStale = true
 	}
-	m.coldTill = now + left
+	m.coldUntil = now + left
 }
 
 // refreshQuotas recomputes the quotas of this box if their inputs have changed. Doing so for each
@@ -118,9 +118,9 @@
 
 // refreshColdQuotas recomputes the quotas of this box for cold upstreams.
 func (f *Fleet) refreshColdQuotas(now time.Duration) {
-	f.cold = slices.DeleteFunc(f.cold, func(m *member) bool { return now >= m.coldTill })
-	for _, m := range f.cold {
-		m.ration = f.sharers.quota(m.ID, f.domainColdShare(m))
+	f.coldMembers = slices.DeleteFunc(f.coldMembers, func(m *member) bool { return now >= m.coldUntil })
+	for _, m := range f.coldMembers {
+		m.coldRation = f.quotaPeers.quota(m.ID, f.domainColdShare(m))
 	}
 }
 
@@ -149,24 +149,24 @@
 // coldQuotaLeft reports whether this box may send a request to an upstream now: it is not cold,
 // or some of its quota is left.
 func (f *Fleet) coldQuotaLeft(now time.Duration, m *member) bool {
-	if now >= m.coldTill || f.serviceOf(m.Service).cold.MaxPerSecond == 0 {
+	if now >= m.coldUntil || f.serviceOf(m.Service).cold.MaxPerSecond == 0 {
 		return true
 	}
 	f.refreshQuotas(now)
-	m.coldSent = slices.DeleteFunc(m.coldSent, func(at time.Duration) bool { return now-at >= coldWindow })
-	return len(m.coldSent) < m.ration
+	m.coldRequests = slices.DeleteFunc(m.coldRequests, func(at time.Duration) bool { return now-at >= coldWindow })
+	return len(m.coldRequests) < m.coldRation
 }
 
 // leastSentLimited returns the upstream of a list that this box has sent the fewest requests,
 // among those that are cold or advertise a limit, or nil if there is none. The few boxes with a
 // quota for it would hardly ever select it by rendezvous rank.
 func (f *Fleet) leastSentLimited(now time.Duration, list []*member) *member {
-	if len(f.cold) == 0 && len(f.limits.byLife) == 0 {
+	if len(f.coldMembers) == 0 && len(f.limits.byLife) == 0 {
 		return nil
 	}
 	var best *member
 	for _, m := range list {
-		isRationed := now < m.coldTill || f.limitOf(m) != nil
+		isRationed := now < m.coldUntil || f.limitOf(m) != nil
 		if isRationed && (best == nil || m.history.within(now, coldWindow) < best.history.within(now, coldWindow)) {
 			best = m
 		}
@@ -176,8 +176,8 @@
 
 // recordColdRequest counts a request that is sent to an upstream, if the upstream is cold.
 func (m *member) recordColdRequest(now time.Duration) {
-	if now < m.coldTill {
-		m.coldSent = append(m.coldSent, now)
+	if now < m.coldUntil {
+		m.coldRequests = append(m.coldRequests, now)
 	}
 }
 
@@ -186,7 +186,7 @@
 func (f *Fleet) ColdLeft(now time.Duration, service string) time.Duration {
 	var least time.Duration
 	for _, m := range f.byService[service] {
-		if left := m.coldTill - now; left > 0 && !m.closed() && (least == 0 || left < least) {
+		if left := m.coldUntil - now; left > 0 && !m.closed() && (least == 0 || left < least) {
 			least = left
 		}
 	}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -75,7 +75,7 @@
 				u.ColdFor = time.Minute
 				f.Put(0, u)
 				f.refreshColdQuotas(0)
-				sum += f.byID["u0"].ration
+				sum += f.byID["u0"].coldRation
 			}
 		}
 		if sum > most/2 || sum == 0 {
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -2,8 +2,8 @@
 // may be sent a second time.
 //
 // The package is pure: callers pass the time as an argument, and nothing blocks or performs I/O, so
-// that tests and measurements run the same decisions as production. A box holds one Fleet and one
-// Budget and reports events to them.
+// that tests and measurements run the same decisions as production. A box holds one Fleet and
+// the retry Budgets of its services, and reports events to them.
 //
 // Terms used throughout the package:
 //
@@ -11,9 +11,9 @@
 //   - entry: what the registry says of an upstream; document: the configuration in force
 //   - incarnation: one run of an upstream, from its start to its end
 //   - part: a section of a prompt; all parts but the last may be shared with other prompts
-//   - tight stream: a stream whose class allows only short gaps between its events
+//   - tight stream: a stream whose events must follow each other closely
 //   - lane: the upstreams of a service reserved for tight streams, or those for all other requests
-//   - cold: recently started or returned, and able to take only few requests per second
+//   - cold: recently started or reachable again, and able to take only few requests per second
 //
 // Files by topic:
 //
@@ -21,9 +21,9 @@
 //     (upstreams inspected periodically), load.go, ticket.go (counting requests), history.go
 //   - where a request goes: place.go, with cost.go, rendezvous.go, partindex.go, fetch.go, rtt.go, slots.go,
 //     memory.go, request.go
-//   - who is refused: admit.go; what is sent again: budget.go; what moves: move.go, answers.go
+//   - who is refused: admit.go; what is sent again: budget.go, budgets.go; what moves: move.go, answers.go
 //   - which upstreams are avoided: health.go, reach.go, recovery.go, evacuate.go
-//   - how much an upstream is sent: cold.go, limitquota.go, limitgate.go, limitstate.go, pause.go
+//   - how much an upstream is sent: cold.go, limitstate.go, limitquota.go, limitgate.go, pause.go
 //   - which upstreams are reserved for tight streams: separation.go, lane.go, laneneed.go, lanesize.go, rate.go
 //   - which requests are withheld: suspects.go
 //   - what boxes report to each other: partreport.go, classreport.go, limitreport.go, suspectreport.go
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -34,37 +34,37 @@
 // member is an upstream together with the state that this box keeps for it.
 type member struct {
 	Upstream
-	work          work    // of this box
-	remoteWork    work    // of all other boxes
-	successor     *member // the same incarnation, listed again; it now holds the work
-	health        health
-	unreachable   bool          // cannot be reached; used only if no other upstream is left
-	byDomain      bool          // became unreachable only because its failure domain was marked unreachable
-	listedAt      time.Duration // when it was first listed
-	key           uint32        // of its incarnation
-	history       *history
-	service       *service
-	cachedParts   map[uint32]struct{} // prompt parts that it is recorded as holding; see partIndex
-	laneWeight    uint64              // determines its position when the upstreams are divided into lanes
-	lastWeight    keyWeight
-	active        bool          // is in its service's list of active upstreams
-	tight         bool          // is in the lane for tight streams
-	laneChangedAt time.Duration // when it moved into its present lane from the other
-
-	reading           float64         // share of the time, 0 to 1, in which it has prompt tokens to read
+	work                work    // of this box
+	remoteWork          work    // of all other boxes
+	successor           *member // the same incarnation, listed again; it now holds the work
+	health              health
+	unreachable         bool          // cannot be reached; used only if no other upstream is left
+	unreachableByDomain bool          // became unreachable only because its failure domain was marked unreachable
+	listedAt            time.Duration // when it was first listed
+	key                 uint32        // of its incarnation
+	history             *history
+	service             *service
+	cachedParts         map[uint32]struct{} // prompt parts that it is recorded as holding; see partIndex
+	laneWeight          uint64              // determines its position when the upstreams are divided into lanes
+	lastWeight          keyWeight
+	active              bool          // is in its service's list of active upstreams
+	tight               bool          // is in the lane for tight streams
+	laneChangedAt       time.Duration // when it moved into its present lane from the other
+
+	prefillShare      float64         // share of the time, 0 to 1, in which it has prompt tokens to read
 	evacuated         bool            // its failure domain is evacuated
 	needsLeavingCheck bool            // its previous incarnation reported leaving, which may have meant this one
-	coldTill          time.Duration   // end of its cold period
-	ration            int             // number of requests that this box may send it within coldWindow while it is cold
-	coldSent          []time.Duration // when this box sent the requests of the last coldWindow
-
-	lastBreakAt   time.Duration // when the connection of a run last broke
-	recentBreaks  int           // number of connections that broke around lastBreakAt
-	back          time.Duration // when it last became reachable again
-	unsure        bool          // counts as cold, because nothing published describes it since it became reachable again
-	replaced      bool          // another upstream has taken over its address
-	suspect       bool          // there was a sign that it may have restarted
-	distrustUntil time.Duration // until then, cache news from other boxes may predate the suspected restart
+	coldUntil         time.Duration   // end of its cold period
+	coldRation        int             // number of requests that this box may send it within coldWindow while it is cold
+	coldRequests      []time.Duration // when this box sent the requests of the last coldWindow
+
+	lastBreakAt    time.Duration // when the connection of a run last broke
+	recentBreaks   int           // number of connections that broke around lastBreakAt
+	reachableSince time.Duration // when it last became reachable again
+	assumedCold    bool          // counts as cold, because nothing published describes it since it became reachable again
+	replaced       bool          // another upstream has taken over its address
+	suspect        bool          // there was a sign that it may have restarted
+	distrustUntil  time.Duration // until then, cache news from other boxes may predate the suspected restart
 }
 
 // Config configures a Fleet.
@@ -94,10 +94,10 @@
 	lastPutAt        time.Duration              // when an entry was last put
 	services         map[string]*service        // by name
 	parts            partIndex
-	lost             []UnreachableUpstream   // became unreachable, and not yet returned by NewlyLost
-	remoteLoadsStale bool                    // an upstream was listed after the last SetOthers; other boxes may have reported loads for it
+	newlyUnreachable []UnreachableUpstream   // became unreachable, and not yet returned by NewlyLost
+	remoteLoadsStale bool                    // an upstream was listed after the last SetRemoteLoads; other boxes may have reported loads for it
 	domains          map[string]*domainReach // by name
-	toldCutOff       []string                // failure domains that another box reports as cut off
+	reportedCutOff   []string                // failure domains that another box reports as cut off
 	rtts             map[string]*rttEstimate // by failure domain
 	prefillRate      float64                 // prompt tokens that an upstream reads per ms
 	firstListedAt    time.Duration           // when the first upstream was listed
@@ -107,11 +107,11 @@
 	evacuated        map[string]bool     // failure domains
 	memoryShare      float64             // share of an upstream's memory that this box may fill; 1 while it knows the loads of the other boxes
 	boxCount         int                 // number of all boxes, as far as known
-	sharers          QuotaPeers
+	quotaPeers       QuotaPeers
 	limits           limitTable        // that upstreams state in their answers
 	pauses           map[uint32]*pause // that upstreams requested, by incarnation key
-	pausesOver       []uint32          // pauses that ended and were not yet returned by PausesOver
-	cold             []*member         // upstreams that are cold, and some that were
+	endedPauses      []uint32          // pauses that ended and were not yet returned by PausesOver
+	coldMembers      []*member         // upstreams that are cold, and some that were
 	rationsStale     bool              // an input of the rations has changed
 }
 
@@ -183,7 +183,7 @@
 	for _, m := range f.byID {
 		load := Load{Unread: m.unreadAhead(Levels - 1), Requests: m.open(), MemoryTokens: m.held()}
 		list = append(list, View{Upstream: m.Upstream, Out: m.unreachable, Tight: m.tight, Evacuated: m.evacuated,
-			ColdLeft: max(0, m.coldTill-now), RTT: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
+			ColdLeft: max(0, m.coldUntil-now), RTT: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
 	}
 	slices.SortFunc(list, func(a, b View) int {
 		return cmp.Or(strings.Compare(a.Service, b.Service), strings.Compare(a.ID, b.ID))
--- a/balance/incarnation.go
+++ b/balance/incarnation.go
@@ -154,15 +154,15 @@
 	return true
 }
 
-// NeedsLeavingCheck reports whether an incarnation receives no requests until it has been asked whether it
-// is leaving: the reports attributed to its predecessor may have been its own.
+// NeedsLeavingCheck reports whether an incarnation receives no requests until it has been asked
+// whether it is leaving: the reports attributed to its predecessor may have been its own.
 func (f *Fleet) NeedsLeavingCheck(l Incarnation) bool {
 	last := f.incarnations[l.ID]
 	return last.entry.StartedAt == l.StartedAt && last.needsLeavingCheck
 }
 
-// NoteLeavingChecked records that an incarnation has been asked whether it is leaving and that its answer has
-// been applied.
+// NoteLeavingChecked records that an incarnation has been asked whether it is leaving and that
+// its answer has been applied.
 func (f *Fleet) NoteLeavingChecked(l Incarnation) {
 	if !f.NeedsLeavingCheck(l) {
 		return
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -89,7 +89,7 @@
 	is.Equal(m.totalLoad(), Load{})
 	is.Equal(m.health, health{})
 	is.True(!f.parts.holds(time.Second, PartKey(7), m))
-	is.Equal(m.coldTill, longAgo)
+	is.Equal(m.coldUntil, longAgo)
 	is.Equal(f.Loads(), map[LoadKey]Load{})
 	f.NotePartReports(time.Second, news) // from a box that does not know the new incarnation yet
 	f.UpdateRemoteLoads(map[LoadKey]Load{{old.key, 0}: {Requests: 3}})
@@ -337,15 +337,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			finder, receiver := newInformedFleet(0), newInformedFleet(0)
-			finder.Put(0, entryOf("true", 100, 1))
-			finder.Put(0, entryOf("false", 900, 2))
+			sender, receiver := newInformedFleet(0), newInformedFleet(0)
+			sender.Put(0, entryOf("true", 100, 1))
+			sender.Put(0, entryOf("false", 900, 2))
 			for _, u := range c.entries {
 				receiver.Put(0, u)
 			}
 			receiver.Put(0, entryOf("false", 900, 2))
-			finder.NoteIdentity(time.Second, Incarnation{"false", 900}, "true")
-			receiver.NotePartReports(time.Second, finder.TakePartReports())
+			sender.NoteIdentity(time.Second, Incarnation{"false", 900}, "true")
+			receiver.NotePartReports(time.Second, sender.TakePartReports())
 			for _, u := range c.then {
 				receiver.Put(2*time.Second, u)
 			}
@@ -381,7 +381,7 @@
 			f.Remove("u")
 			renewed(f)
 		}, true},
-		{"twice", 100, func(f *Fleet) {
+		{"its entry is removed and put again twice", 100, func(f *Fleet) {
 			f.Remove("u")
 			renewed(f)
 			f.Remove("u")
--- a/balance/lane.go
+++ b/balance/lane.go
@@ -57,7 +57,7 @@
 // one.
 func (f *Fleet) inLane(now time.Duration, m *member, tight bool) bool {
 	s := m.service
-	if s.listed < minLaneUpstreams {
+	if s.upstreamCount < minLaneUpstreams {
 		return true
 	}
 	if s.stale {
--- a/balance/lanesize.go
+++ b/balance/lanesize.go
@@ -35,7 +35,7 @@
 func (f *Fleet) Lanes() LanePlan {
 	plan := make(LanePlan)
 	for _, s := range f.services {
-		if s.listed >= minLaneUpstreams && s.reserved > 0 {
+		if s.upstreamCount >= minLaneUpstreams && s.reserved > 0 {
 			plan[Key(s.name)] = Lane{s.reserved, s.classes.tightKeys()}
 		}
 	}
@@ -59,7 +59,7 @@
 	var changes []LaneChange
 	for _, s := range f.services {
 		f.pruneActive(s)
-		if s.listed < minLaneUpstreams {
+		if s.upstreamCount < minLaneUpstreams {
 			continue
 		}
 		if change, changed := f.sizeLane(now, s, reported); changed {
@@ -104,7 +104,7 @@
 	}
 	limited := f.limitedUpstreams(s)
 	unread := sum.Unread
-	s.spare = s.slots
+	s.spare = s.slotCount
 	for _, m := range limited {
 		unread -= m.totalLoad().Unread
 		s.spare -= m.Slots
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -11,7 +11,7 @@
 // If an upstream reports in an answer that it is leaving, this holds for its incarnation,
 // whatever later entries say.
 func TestReportedLeavingHoldsForTheIncarnation(t *testing.T) {
-	gone := func(f *Fleet) { f.Remove("u") }
+	remove := func(f *Fleet) { f.Remove("u") }
 	put := func(u Upstream) func(*Fleet) { return func(f *Fleet) { f.Put(time.Second, u) } }
 	services := func(names ...string) func(*Fleet) {
 		return func(f *Fleet) { f.SetServices(time.Second, names) }
@@ -25,18 +25,18 @@
 	}{
 		{"no further event", entryOf("u", 100, 1), nil, false},
 		{"its entry is written again", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 100, 2))}, false},
-		{"its entry expires and is put again", entryOf("u", 100, 1), []func(*Fleet){gone, put(entryOf("u", 100, 3))}, false},
-		{"its entry expires and is put again, no start time", entryOf("u", 0, 1), []func(*Fleet){gone, put(entryOf("u", 0, 3))}, false},
+		{"its entry expires and is put again", entryOf("u", 100, 1), []func(*Fleet){remove, put(entryOf("u", 100, 3))}, false},
+		{"its entry expires and is put again, no start time", entryOf("u", 0, 1), []func(*Fleet){remove, put(entryOf("u", 0, 3))}, false},
 		{"the list is read again", entryOf("u", 0, 1), []func(*Fleet){put(entryOf("u", 0, 1)), put(entryOf("u", 0, 1))}, false},
 		{"its service is removed and added again", entryOf("u", 0, 1), []func(*Fleet){services("x"), services("s")}, false},
 		{"another writer's entry under its ID", entryOf("u", 0, 1), []func(*Fleet){services("s"), put(Upstream{ID: "u", StartedAt: 500, Service: "x"}), put(entryOf("u", 0, 4))}, false},
 		{"an entry of an earlier incarnation", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 50, 9))}, false},
-		{"the command count increases", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){gone, put(withCommandCount(entryOf("u", 0, 3), 6))}, false},
+		{"the command count increases", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){remove, put(withCommandCount(entryOf("u", 0, 3), 6))}, false},
 		{"a later incarnation", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
-		{"a later incarnation after its entry expired", entryOf("u", 100, 1), []func(*Fleet){gone, put(entryOf("u", 200, 2))}, true},
+		{"a later incarnation after its entry expired", entryOf("u", 100, 1), []func(*Fleet){remove, put(entryOf("u", 200, 2))}, true},
 		{"the first entry with a start time", entryOf("u", 0, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
 		{"the command count decreases", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){put(withCommandCount(entryOf("u", 0, 2), 1))}, true},
-		{"the command count decreases after its entry expired", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){gone, put(withCommandCount(entryOf("u", 0, 3), 1))}, true},
+		{"the command count decreases after its entry expired", withCommandCount(entryOf("u", 0, 1), 5), []func(*Fleet){remove, put(withCommandCount(entryOf("u", 0, 3), 1))}, true},
 		{"another upstream at its address", entryOf("u", 0, 1), []func(*Fleet){put(other)}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,13 +44,13 @@
 			f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 			f.Put(0, c.first)
 			is.True(f.NoteLeaving(c.first.Incarnation()))
-			is.True(!f.NoteLeaving(c.first.Incarnation())) // it is not new
+			is.True(!f.NoteLeaving(c.first.Incarnation())) // reported before
 			is.True(!f.Accepts(2*time.Second, c.first.Incarnation()))
 			for _, do := range c.then {
 				do(f)
 			}
 			if u, known := f.Entry("u"); known {
-				f.NoteLeavingChecked(u.Incarnation()) // asked, it does not report leaving again
+				f.NoteLeavingChecked(u.Incarnation()) // when asked, it does not report leaving again
 			}
 			choice, used := f.Place(2*time.Second, Request{Service: "s"}, nil)
 			is.Equal(used, c.used)
--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -162,13 +162,13 @@
 // become available and the refused caller may have retried, the little there is is withheld from
 // less urgent requests.
 func (f *Fleet) reserveForUrgent(now time.Duration, r Request) {
-	f.serviceOf(r.Service).wanted[r.urgencyLevel()] = now + f.cfg.Named.Span + 2*maxTransit
+	f.serviceOf(r.Service).urgentUntil[r.urgencyLevel()] = now + f.cfg.Named.Span + 2*maxTransit
 }
 
 // reservedFrom reports whether capacity is withheld from requests of a level in favor of more
 // urgent ones.
 func (s *service) reservedFrom(now time.Duration, level int) bool {
-	return slices.ContainsFunc(s.wanted[:level], func(until time.Duration) bool { return now < until })
+	return slices.ContainsFunc(s.urgentUntil[:level], func(until time.Duration) bool { return now < until })
 }
 
 // limitedUpstreams returns the upstreams of a service that advertise a limit; none if all of them
@@ -180,7 +180,7 @@
 			list = append(list, m)
 		}
 	}
-	if len(list) == s.listed {
+	if len(list) == s.upstreamCount {
 		return nil
 	}
 	return list
--- a/balance/limitquota.go
+++ b/balance/limitquota.go
@@ -49,7 +49,7 @@
 	for incarnation, x := range f.limits.byLife {
 		if m := f.byKey[incarnation]; m != nil && x.inForce() {
 			requests, _ := f.cfg.Named.allowance(x.perSecond)
-			x.quota = f.sharers.quota(m.ID, f.domainLimitShare(m, requests))
+			x.quota = f.quotaPeers.quota(m.ID, f.domainLimitShare(m, requests))
 		}
 	}
 }
--- a/balance/list.go
+++ b/balance/list.go
@@ -94,7 +94,7 @@
 		if u.Address != m.Address {
 			f.dropAddress(m)
 		}
-		m.service.slots += u.Slots - m.Slots
+		m.service.slotCount += u.Slots - m.Slots
 		m.Upstream, m.evacuated = u, f.evacuated[u.Domain]
 		f.claimAddress(m)
 		f.markCold(now, m, u.ColdFor)
@@ -104,7 +104,7 @@
 		f.firstListedAt = now
 	}
 	s := f.serviceOf(u.Service)
-	m := &member{Upstream: u, service: s, laneWeight: weight(u.ID, laneKey), listedAt: now, laneChangedAt: longAgo, lastBreakAt: longAgo, key: u.Incarnation().Key(), coldTill: longAgo, evacuated: f.evacuated[u.Domain]}
+	m := &member{Upstream: u, service: s, laneWeight: weight(u.ID, laneKey), listedAt: now, laneChangedAt: longAgo, lastBreakAt: longAgo, key: u.Incarnation().Key(), coldUntil: longAgo, evacuated: f.evacuated[u.Domain]}
 	m.needsLeavingCheck = f.NeedsLeavingCheck(u.Incarnation())
 	m.history = f.historyOf(m.key)
 	f.restore(m)
@@ -117,8 +117,8 @@
 	f.byID[u.ID], f.byKey[m.key] = m, m
 	f.limits.listed = len(f.byID)
 	s.stale, f.remoteLoadsStale = true, true
-	s.listed++
-	s.slots += u.Slots
+	s.upstreamCount++
+	s.slotCount += u.Slots
 	f.byService[u.Service] = append(f.byService[u.Service], m)
 	f.rationsStale = true
 }
@@ -150,14 +150,14 @@
 	}
 	f.dropAddress(m)
 	m.service.stale = true
-	m.service.listed--
-	m.service.slots -= m.Slots
+	m.service.upstreamCount--
+	m.service.slotCount -= m.Slots
 	f.parts.forget(m)
 	f.markReachable(m) // remove it from the count of its cut-off domain
 	m.setReachability(false, false)
 	isIt := func(other *member) bool { return other == m }
 	f.byService[m.Service] = slices.DeleteFunc(f.byService[m.Service], isIt)
-	f.cold = slices.DeleteFunc(f.cold, isIt)
+	f.coldMembers = slices.DeleteFunc(f.coldMembers, isIt)
 	f.forgetHistory(f.lastPutAt, m.key)
 }
 
--- a/balance/load.go
+++ b/balance/load.go
@@ -118,12 +118,12 @@
 	f.activate(m)
 }
 
-// NeedsRemoteLoads reports whether an upstream was listed after the last SetOthers. Other boxes
+// NeedsRemoteLoads reports whether an upstream was listed after the last SetRemoteLoads. Other boxes
 // may have reported loads for it before.
 func (f *Fleet) NeedsRemoteLoads() bool { return f.remoteLoadsStale }
 
-// SetRemoteLoads replaces the total loads of the other boxes. Its cost grows with the amount of work,
-// not with the number of upstreams.
+// SetRemoteLoads replaces the total loads of the other boxes. Its cost grows with the amount of
+// work, not with the number of upstreams.
 func (f *Fleet) SetRemoteLoads(loads map[LoadKey]Load) {
 	f.remoteLoadsStale = false
 	for _, s := range f.services {
--- a/balance/move.go
+++ b/balance/move.go
@@ -113,7 +113,7 @@
 // backlog.
 func (f *Fleet) canReceiveMove(now time.Duration, m *member, r Request) bool {
 	full := float64(m.open()+1) > moveMaxOccupancy*float64(m.Slots)
-	return !full && !m.unreachable && now >= m.coldTill && f.limitOf(m) == nil && f.pauseOf(m) == nil && f.backlog(now, m, r.urgencyLevel()) == 0
+	return !full && !m.unreachable && now >= m.coldUntil && f.limitOf(m) == nil && f.pauseOf(m) == nil && f.backlog(now, m, r.urgencyLevel()) == 0
 }
 
 // OpenMoved returns a ticket for an answer that has moved to an upstream, which needs no prefill
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -89,7 +89,7 @@
 	is := is.New(t)
 	f := fleetWithAnswers(9)
 	for _, id := range []string{"u1", "u2", "u3"} {
-		f.byID[id].reading = 0.9
+		f.byID[id].prefillShare = 0.9
 	}
 	p := Progress{Events: 10, Between: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
 	to := make(map[string]int)
@@ -100,7 +100,7 @@
 	}
 	is.Equal(len(to), 5)
 	for id, n := range to {
-		is.True(f.byID[id].reading == 0)
+		is.True(f.byID[id].prefillShare == 0)
 		is.True(n >= 10)
 	}
 }
--- a/balance/pause.go
+++ b/balance/pause.go
@@ -48,7 +48,7 @@
 
 // jitter returns the delay after the end of a pause; it differs between boxes and between pauses.
 func (f *Fleet) jitter(now time.Duration, key uint32, length time.Duration) time.Duration {
-	b := binary.LittleEndian.AppendUint32([]byte(f.sharers.Box), key)
+	b := binary.LittleEndian.AppendUint32([]byte(f.quotaPeers.Box), key)
 	b = binary.LittleEndian.AppendUint64(b, uint64(now))
 	share := float64(xxhash.Sum64(b)>>11) / (1 << 53)
 	return time.Duration(share * min(pauseJitter*float64(length), float64(maxPauseJitter)))
@@ -151,7 +151,7 @@
 func (f *Fleet) endPause(key uint32, p *pause) {
 	if f.pauses[key] == p {
 		delete(f.pauses, key)
-		f.pausesOver = append(f.pausesOver, key)
+		f.endedPauses = append(f.endedPauses, key)
 	}
 }
 
@@ -159,12 +159,12 @@
 // last call.
 func (f *Fleet) PausesOver() []Upstream {
 	var list []Upstream
-	for _, key := range f.pausesOver {
+	for _, key := range f.endedPauses {
 		if m := f.byKey[key]; m != nil {
 			list = append(list, m.Upstream)
 		}
 	}
-	f.pausesOver = nil
+	f.endedPauses = nil
 	return list
 }
 
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -89,16 +89,16 @@
 		return
 	}
 	for _, name := range reported {
-		if !slices.Contains(f.toldCutOff, name) && name != f.cfg.Domain {
+		if !slices.Contains(f.reportedCutOff, name) && name != f.cfg.Domain {
 			f.markDomainCutOff(name)
 		}
 	}
-	for _, name := range f.toldCutOff {
+	for _, name := range f.reportedCutOff {
 		if !slices.Contains(reported, name) {
 			f.restoreDomain(now, name)
 		}
 	}
-	f.toldCutOff = reported
+	f.reportedCutOff = reported
 }
 
 // Sample returns up to count upstreams of a failure domain that are not known to be unreachable,
@@ -136,11 +136,11 @@
 // says that this follows from the state of its domain and not from a failure of its own.
 func (f *Fleet) markUnreachable(m *member, byDomain bool) {
 	if !m.unreachable {
-		f.lost = append(f.lost, UnreachableUpstream{m.Upstream, byDomain})
+		f.newlyUnreachable = append(f.newlyUnreachable, UnreachableUpstream{m.Upstream, byDomain})
 	}
 	f.markReachable(m)
-	m.setReachability(true, m.unsure)
-	m.byDomain = byDomain
+	m.setReachability(true, m.assumedCold)
+	m.unreachableByDomain = byDomain
 	if byDomain {
 		f.domainReachOf(m.Domain).inferred++
 	}
@@ -148,11 +148,11 @@
 
 // markReachable clears the unreachable state of an upstream, also when it is removed.
 func (f *Fleet) markReachable(m *member) {
-	if m.byDomain {
+	if m.unreachableByDomain {
 		f.domainReachOf(m.Domain).inferred--
 	}
-	m.setReachability(false, m.unsure)
-	m.byDomain = false
+	m.setReachability(false, m.assumedCold)
+	m.unreachableByDomain = false
 }
 
 // recordReachable notes that an upstream is reachable, and hence its domain.
@@ -172,7 +172,7 @@
 // domain. Those that failed themselves are probed first.
 func (f *Fleet) restoreDomain(now time.Duration, name string) {
 	for _, m := range f.byID {
-		if m.Domain == name && m.byDomain {
+		if m.Domain == name && m.unreachableByDomain {
 			f.markRecovered(now, m)
 		}
 	}
@@ -198,8 +198,8 @@
 
 // TakeNewlyUnreachable returns the upstreams that became unreachable since the last call.
 func (f *Fleet) TakeNewlyUnreachable() []UnreachableUpstream {
-	list := f.lost
-	f.lost = nil
+	list := f.newlyUnreachable
+	f.newlyUnreachable = nil
 	return list
 }
 
--- a/balance/recovery.go
+++ b/balance/recovery.go
@@ -25,13 +25,13 @@
 	if !wasOut {
 		return
 	}
-	m.back = now
+	m.reachableSince = now
 	cold := f.serviceOf(m.Service).cold
-	if cold.MaxPerSecond == 0 || now < m.coldTill || f.majorityLost(m.Service) {
+	if cold.MaxPerSecond == 0 || now < m.coldUntil || f.majorityLost(m.Service) {
 		return
 	}
 	f.markCold(now, m, cold.Duration)
-	m.setReachability(m.unreachable, now < m.coldTill)
+	m.setReachability(m.unreachable, now < m.coldUntil)
 }
 
 // majorityLost reports whether more of a service's upstreams than may back off at once are
@@ -39,34 +39,34 @@
 // this box, and the quotas alone would leave its callers without service.
 func (f *Fleet) majorityLost(service string) bool {
 	s := f.serviceOf(service)
-	return (s.lost+1)*percent > s.listed*maxBackoffPercent
+	return (s.unreachableCount+1)*percent > s.upstreamCount*maxBackoffPercent
 }
 
 // setReachability notes whether an upstream is unreachable, and whether it recovered and no entry
 // published since is known.
 func (m *member) setReachability(out, unsure bool) {
-	if m.unreachable || m.unsure {
-		m.service.lost--
+	if m.unreachable || m.assumedCold {
+		m.service.unreachableCount--
 	}
-	m.unreachable, m.unsure = out, unsure
-	if m.unreachable || m.unsure {
-		m.service.lost++
+	m.unreachable, m.assumedCold = out, unsure
+	if m.unreachable || m.assumedCold {
+		m.service.unreachableCount++
 	}
 }
 
 // NotePublished notes that all entries published up to the time published are known here: an
 // upstream that recovered before then, and is cold, has had the time to say so.
 func (f *Fleet) NotePublished(now, published time.Duration) {
-	for _, m := range f.cold {
-		if m.unsure && published >= m.back+maxPublishDelay {
+	for _, m := range f.coldMembers {
+		if m.assumedCold && published >= m.reachableSince+maxPublishDelay {
 			m.setReachability(m.unreachable, false)
-			m.coldTill = now
+			m.coldUntil = now
 			f.rationsStale = true
 		}
 	}
-	f.cold = slices.DeleteFunc(f.cold, func(m *member) bool {
-		isWarm := now >= m.coldTill
-		m.setReachability(m.unreachable, m.unsure && !isWarm)
+	f.coldMembers = slices.DeleteFunc(f.coldMembers, func(m *member) bool {
+		isWarm := now >= m.coldUntil
+		m.setReachability(m.unreachable, m.assumedCold && !isWarm)
 		return isWarm
 	})
 }
--- a/balance/recovery_test.go
+++ b/balance/recovery_test.go
@@ -45,7 +45,7 @@
 			}
 			f.NotePublished(back, c.known)
 			m := f.byID["u0"]
-			is.Equal(max(0, m.coldTill-back), c.cool)
+			is.Equal(max(0, m.coldUntil-back), c.cool)
 			is.Equal(f.coldQuotaLeft(back, m), c.cool == 0 || c.cold.MaxPerSecond == 0) // this box knows no peers yet, so its quota is 0
 			is.True(f.coldQuotaLeft(back+c.cool, m))
 		})
@@ -96,12 +96,12 @@
 			}
 			lost := 0
 			for _, m := range f.byID {
-				if m.unreachable || m.unsure {
+				if m.unreachable || m.assumedCold {
 					lost++
 				}
 			}
-			if s := f.serviceOf("s"); s.lost != lost || s.listed != len(f.byID) {
-				t.Fatalf("lost: %d of %d upstreams, counted: %d of %d", lost, len(f.byID), s.lost, s.listed)
+			if s := f.serviceOf("s"); s.unreachableCount != lost || s.upstreamCount != len(f.byID) {
+				t.Fatalf("lost: %d of %d upstreams, counted: %d of %d", lost, len(f.byID), s.unreachableCount, s.upstreamCount)
 			}
 		}
 	})
--- a/balance/service.go
+++ b/balance/service.go
@@ -10,9 +10,9 @@
 	lanes
 	name             string
 	active           []*member     // upstreams that may have work; see active.go
-	listed           int           // number of its listed upstreams
-	lost             int           // number of them that are unreachable, or reachable again but not yet described by a newer entry
-	slots            int           // sum over its upstreams
+	upstreamCount    int           // number of its listed upstreams
+	unreachableCount int           // number of them that are unreachable, or reachable again but not yet described by a newer entry
+	slotCount        int           // sum over its upstreams
 	classes          classes       // statistics of its request classes
 	refusals         refusals      // recent refusals of its requests
 	holding          holding       // how long its requests hold slots
@@ -20,7 +20,7 @@
 	answers          answerStats   // statistics of its answers
 	cold             ColdLimit     // limits for its upstreams while they are cold
 	memory           int           // tokens that the memory of each of its upstreams holds; 0 if unknown
-	wanted           urgentHolds   // until when capacity is reserved for requests of each urgency
+	urgentUntil      urgentHolds   // until when capacity is reserved for requests of each urgency
 	waiters          waits         // requests that wait for the end of a pause
 	unavailableSince time.Duration // when a request first found all listed upstreams leaving; longAgo if they are not
 	meanUnread       float64       // prompt tokens that its upstreams have to read, averaged over them
