--- a/balance/budget.go
+++ b/balance/budget.go
@@ -64,7 +64,7 @@
 }
 
 // CountRequest counts a request that was received from a caller.
-func (b *Budget) Take(now time.Duration) { b.requests[b.advance(now)%bucketsKept]++ }
+func (b *Budget) CountRequest(now time.Duration) { b.requests[b.advance(now)%bucketsKept]++ }
 
 // Spend reports whether a retry is allowed and, if so, counts it. The slack is divided evenly
 // among boxes; 0 means that this box has no share of it.
@@ -77,16 +77,16 @@
 }
 
 // BudgetUsage is the state of a budget at one moment.
-type BudgetUse struct {
+type BudgetUsage struct {
 	Taken int // requests within the last window
 	Spent int // retries within the last window
 	Boxes int // number of boxes that share the slack; 0: this box has no share
 }
 
 // Use returns the requests and retries of the window that ends now.
-func (b *Budget) Use(now time.Duration, boxes int) BudgetUse {
+func (b *Budget) Use(now time.Duration, boxes int) BudgetUsage {
 	n := b.advance(now)
-	use := BudgetUse{Boxes: boxes}
+	use := BudgetUsage{Boxes: boxes}
 	for i := n - bucketsPerWindow; i <= n; i++ {
 		use.Taken += countAt(&b.requests, i)
 		use.Spent += countAt(&b.retries, i)
