--- a/balance/budget.go
+++ b/balance/budget.go
@@ -69,7 +69,7 @@
 // Spend reports whether a retry is allowed and, if so, counts it. The slack is divided evenly
 // among boxes; 0 means that this box has no share of it.
 func (b *Budget) Spend(now time.Duration, boxes int) bool {
-	if b.Left(now, boxes) < 1 {
+	if b.Remaining(now, boxes) < 1 {
 		return false
 	}
 	b.retries[b.newest%bucketsKept]++
@@ -102,7 +102,7 @@
 
 // Remaining returns how many more retries are allowed now: the minimum over all windows that
 // include the present moment.
-func (b *Budget) Left(now time.Duration, boxes int) int {
+func (b *Budget) Remaining(now time.Duration, boxes int) int {
 	n := b.advance(now)
 	left := math.Inf(1)
 	spent, since, before := 0, 0, 0
--- a/balance/budget_test.go
+++ b/balance/budget_test.go
@@ -24,7 +24,7 @@
 		is.True(b.Spend(0, 10))
 	}
 	is.True(!b.Spend(0, 10)) // 54 divided among 10 boxes
-	is.Equal(b.Left(0, 10), 0)
+	is.Equal(b.Remaining(0, 10), 0)
 	is.True(b.Spend(12*time.Second, 10))
 }
 
@@ -47,7 +47,7 @@
 	for now := time.Duration(0); now < 30*time.Second; now += 10 * time.Millisecond {
 		b.CountRequest(now)
 	}
-	is.Equal(b.Left(30*time.Second, 54), 49) // slack share of 1, and a quarter of a fifth of 1,000 requests, less those in the bucket in which the window begins
+	is.Equal(b.Remaining(30*time.Second, 54), 49) // slack share of 1, and a quarter of a fifth of 1,000 requests, less those in the bucket in which the window begins
 }
 
 // A box that has just started can use three quarters of the ratio at once.
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -183,7 +183,7 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budgets.ForService(x.service).Left(r.now(), r.divisor())
+	return r.budgets.ForService(x.service).Remaining(r.now(), r.divisor())
 }
 
 // closeTicket releases the capacity reserved for the current run and reports its outcome.
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -25,7 +25,7 @@
 	r := x.relay
 	r.mu.Lock()
 	budget := r.budgets.ForService(x.service)
-	left := budget.Left(r.now(), r.divisor())
+	left := budget.Remaining(r.now(), r.divisor())
 	use := budget.Use(r.now(), r.divisor())
 	r.mu.Unlock()
 	if left > 0 || x.retryPaid {
@@ -66,7 +66,7 @@
 	for _, service := range r.budgets.Services() {
 		budget := r.budgets.ForService(service)
 		use := budget.Use(now, boxes)
-		left := uint32(budget.Left(now, boxes))
+		left := uint32(budget.Remaining(now, boxes))
 		rows = append(rows, &wire.RetryRow{Service: service, Taken: uint32(use.Taken), Spent: uint32(use.Spent), Left: left})
 		if len(rows) == 1 || left < fewest {
 			fewest = left
--- a/relay/runs_test.go
+++ b/relay/runs_test.go
@@ -183,7 +183,7 @@
 	left := func() int {
 		b.relay.mu.Lock()
 		defer b.relay.mu.Unlock()
-		return b.relay.budgets.ForService("s").Left(b.relay.now(), b.relay.divisor())
+		return b.relay.budgets.ForService("s").Remaining(b.relay.now(), b.relay.divisor())
 	}
 	before := left()
 	first := b.do(b.request("GET", "/safe/x", "")) // both upstreams fail their first request
