--- a/relay/connecttime_test.go
+++ b/relay/connecttime_test.go
@@ -35,6 +35,6 @@
 	b.relay.mu.Unlock()
 	is.Equal(rows[0].Way, uint64(way.Microseconds()))
 	is.True(way > 0)
-	guess := balance.NewFleet(balance.Config{Domain: "d"}).RTT("far")
-	is.True(way != guess) // measured, no longer estimated from the layout
+	estimate := balance.NewFleet(balance.Config{Domain: "d"}).RTT("far")
+	is.True(way != estimate) // measured, no longer estimated from the layout
 }
--- a/relay/conns.go
+++ b/relay/conns.go
@@ -1,7 +1,7 @@
 package relay
 
 // This file defines the pool of connections to upstreams. The invariants: a connection carries
-// one request at a time; it is returned to the pool only after a complete answer with no
+// one request at a time; it is returned to the pool only after a complete response with no
 // further bytes buffered; and an idle connection is checked before it is reused.
 
 import (
@@ -160,7 +160,7 @@
 	p.release(c.incarnation.ID)
 }
 
-// putIdle returns a connection to the pool after its answer was read to the end. keepFor is the
+// putIdle returns a connection to the pool after its response was read to the end. keepFor is the
 // keep-alive timeout that the upstream stated, or 0 for the default.
 func (p *connPool) putIdle(c *conn, idleTimeout time.Duration) {
 	if idleTimeout == 0 {
@@ -185,7 +185,7 @@
 }
 
 // endIncarnation closes the idle connections to an incarnation that has ended; those in use are
-// closed when their answers have ended.
+// closed when their responses have ended.
 func (p *connPool) endIncarnation(inc balance.Incarnation) {
 	if inc.StartedAt > 0 {
 		p.mu.Lock()
--- a/relay/cutoff_test.go
+++ b/relay/cutoff_test.go
@@ -31,7 +31,7 @@
 	return m
 }
 
-// A domain was cut off for six seconds from a group of 125 boxes. Each box got one request per
+// A domain with 125 boxes was cut off for six seconds. Each box got one request per
 // second and found out about each upstream by its own connection timeout of 350 ms, although
 // its leader could have told it about all of them at once.
 func TestBoxAdoptsCutOffDomainsOfLeader(t *testing.T) {
--- a/relay/events.go
+++ b/relay/events.go
@@ -23,7 +23,7 @@
 	total      int   // events returned
 	bodyEvents int   // events returned from the current body
 
-	reserve  func(n int64) error // charges buffer memory beyond freeAnswer; nil: not charged
+	reserve  func(n int64) error // charges buffer memory beyond freeResponseBytes; nil: not charged
 	reserved int64               // size of the largest buffer charged
 }
 
@@ -77,7 +77,7 @@
 
 // charge charges a buffer of the given size if it is larger than all before.
 func (e *eventReader) charge(size int64) error {
-	if e.reserve == nil || size <= max(e.reserved, freeAnswerBytes) {
+	if e.reserve == nil || size <= max(e.reserved, freeResponseBytes) {
 		return nil
 	}
 	n := size - e.reserved
--- a/relay/incarnation_test.go
+++ b/relay/incarnation_test.go
@@ -68,7 +68,7 @@
 // An upstream restarts under the same ID and address during streams, and its old connections
 // stay open and silent. Resumable streams continue at once on the new incarnation, though there
 // is no other upstream; a request that may run only once keeps its connection, in case its
-// answer still arrives.
+// response still arrives.
 func TestRestartDuringStreams(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{})
@@ -331,12 +331,12 @@
 	is.Equal(b.listedStart("x"), int64(900))
 }
 
-// twoEvents answers with a stream of two events, and sends the second once goOn allows it.
-func twoEvents(goOn <-chan struct{}) func(net.Conn, stubRequest) bool {
+// twoEvents answers with a stream of two events, and sends the second once proceed allows it.
+func twoEvents(proceed <-chan struct{}) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
 		startStream(c, r)
 		writeChunk(c, event(1))
-		<-goOn
+		<-proceed
 		writeChunk(c, event(2))
 		writeChunk(c, "")
 		return true
@@ -347,8 +347,8 @@
 // continue.
 func TestLateUpdateEndsNoRuns(t *testing.T) {
 	is := is.New(t)
-	goOn := make(chan struct{})
-	u := newStub(t, "u", twoEvents(goOn))
+	proceed := make(chan struct{})
+	u := newStub(t, "u", twoEvents(proceed))
 	b := newTestBox(t, u)
 	b.listIncarnation(u, 100, false)
 	b.awaitIncarnation("u", 100)
@@ -358,7 +358,7 @@
 	b.listIncarnation(u, 200, false) // it started long before the connection was opened
 	b.awaitIncarnation("u", 200)
 	b.waitFor(func() bool { return b.log.contains(`"born":200`) })
-	close(goOn)
+	close(proceed)
 	a := <-done
 	is.NoErr(a.err)
 	is.Equal(a.body, event(1)+event(2))
@@ -371,8 +371,8 @@
 	for _, listens := range []bool{true, false} {
 		t.Run(fmt.Sprint("listens ", listens), func(t *testing.T) {
 			is := is.New(t)
-			goOn := make(chan struct{})
-			first := newStub(t, "u", twoEvents(goOn))
+			proceed := make(chan struct{})
+			first := newStub(t, "u", twoEvents(proceed))
 			next := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
 				startStream(c, r)
 				writeChunk(c, event(2))
@@ -393,13 +393,13 @@
 			b.awaitIncarnation("u", born)
 			if listens {
 				is.Equal(b.do(b.request("POST", "/fixed/y", "")).status, 200) // the check of the earlier address may still be in progress
-				close(goOn)
+				close(proceed)
 			}
 			is.Equal((<-done).body, event(1)+event(2))
 			is.Equal(len(first.requests()), 1)
 			is.Equal(len(next.requests()), 1)
 			if !listens {
-				close(goOn)
+				close(proceed)
 			}
 		})
 	}
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines how the box handles the rate limits that upstreams state in their answers:
+// This file defines how the box handles the rate limits that upstreams state in their responses:
 // how many requests per second they accept from all boxes together. The invariants: a value
-// that cannot be parsed neither sets nor clears a limit; and an answer sets the limit only of
+// that cannot be parsed neither sets nor clears a limit; and a response sets the limit only of
 // the upstream that gave it.
 
 import (
@@ -30,14 +30,14 @@
 // at their limits.
 const limitReason = "upstreams take no more"
 
-// limitHeader is the parsed limit header of an answer.
+// limitHeader is the parsed limit header of a response.
 type limitHeader struct {
 	valid     bool    // the header is absent or parsable; if false, it is ignored
 	present   bool    // a limit was stated
 	perSecond float64 // requests per second
 }
 
-// readLimit parses the limit header of an answer. Of several valid values the lowest applies.
+// readLimit parses the limit header of a response. Of several valid values the lowest applies.
 func readLimit(h *fasthttp.ResponseHeader, name string) limitHeader {
 	limit := limitHeader{valid: true}
 	for key, value := range h.All() {
@@ -61,8 +61,8 @@
 	return min(perSecond, balance.NoLimit), ok
 }
 
-// noteLimit records the limit that an answer states for its upstream. request is the ID of the
-// answered request, or empty for a call by the box itself; an answer to such a call need not
+// noteLimit records the limit that a response states for its upstream. request is the ID of the
+// answered request, or empty for a call by the box itself; a response to such a call need not
 // repeat the limit, so a missing header there clears nothing.
 func (r *Relay) noteLimit(a *response, request string) {
 	if r.cfg.Protocol.Limit == "" {
--- a/relay/limit_test.go
+++ b/relay/limit_test.go
@@ -16,12 +16,12 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// An overloaded upstream stated in its answers how many requests per second it accepts from all
+// An overloaded upstream stated in its responses how many requests per second it accepts from all
 // boxes together. Boxes forwarded that header to their callers like any other and did not tell
-// each other, so the load stayed as it was. In a recorded run, an upstream that stated 3.3 per
+// each other or log it, so the load stayed as it was. In a recorded run, an upstream that stated 3.3 per
 // second got, second by second,
 //
-//         7 s: 9   8 s: 12 (limit stated)   9 s: 5   10 s: 6   11 s: 9   12 s: 7
+//	7 s: 9   8 s: 12 (limit stated)   9 s: 5   10 s: 6   11 s: 9   12 s: 7
 //
 // which is 27 in 4 s from boxes that knew the limit, where 25 are allowed; another, which
 // stated 1.5, got 17 where 14 are allowed. Each of these requests had run once, so neither
@@ -40,7 +40,7 @@
 	t     testing.TB
 	list  []*stub
 	mu    sync.Mutex
-	limit string      // as stated in answers; empty: none
+	limit string      // as stated in responses; empty: none
 	got   []time.Time // when requests reached it
 }
 
@@ -181,8 +181,8 @@
 	return b.relay.fleet.Limit(b.relay.now(), id)
 }
 
-// answerWithHeaders answers with additional headers.
-func answerWithHeaders(status string, headers ...string) func(net.Conn, stubRequest) bool {
+// respondWithHeaders answers with additional headers.
+func respondWithHeaders(status string, headers ...string) func(net.Conn, stubRequest) bool {
 	return func(c net.Conn, r stubRequest) bool {
 		writeWire(c, fmt.Sprintf("HTTP/1.1 %s\nX-Id: %s\nX-Sign: s\n%s\nContent-Length: 4\n\nwell", status, r.Header.Get("X-Id"), strings.Join(headers, "\n")))
 		return true
@@ -193,11 +193,11 @@
 // back, and the cause shows in the state.
 func TestRefusalWhenAllUpstreamsAreAtLimits(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerWithHeaders("200 OK", "X-Limit: 0"))
+	u := newStub(t, "u", respondWithHeaders("200 OK", "X-Limit: 0"))
 	b := newTestBox(t, u)
 	got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "first"))
 	is.Equal(got.status, http.StatusOK)
-	is.Equal(got.header.Get("X-Limit"), "0") // the answer is forwarded unchanged
+	is.Equal(got.header.Get("X-Limit"), "0") // the response is forwarded unchanged
 	got = b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "second"))
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(got.header.Get("Retry-After") != "")
@@ -212,18 +212,18 @@
 	is.Equal(rows[0].Limit.Span, uint64(10*time.Second/time.Microsecond))
 }
 
-// Only the upstream's own answers set its limit, and only with a valid value.
-func TestAnswersThatSetLimit(t *testing.T) {
+// Only the upstream's own responses set its limit, and only with a valid value.
+func TestResponsesThatSetLimit(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		script func(net.Conn, stubRequest) bool
 		known  bool
 	}{
-		{"answer", answerWithHeaders("200 OK", "x-limit: 7"), true},
-		{"failure", answerWithHeaders("500 Broken", "X-Limit: 7"), true},
-		{"refusal", answerWithHeaders("503 Full", "X-Not-Run: 1", "X-Limit: 7"), true},
-		{"another instance", answerWithHeaders("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Limit: 7"), false},
-		{"invalid value", answerWithHeaders("200 OK", "X-Limit: -7"), false},
+		{"answer", respondWithHeaders("200 OK", "x-limit: 7"), true},
+		{"failure", respondWithHeaders("500 Broken", "X-Limit: 7"), true},
+		{"refusal", respondWithHeaders("503 Full", "X-Not-Run: 1", "X-Limit: 7"), true},
+		{"another instance", respondWithHeaders("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Limit: 7"), false},
+		{"invalid value", respondWithHeaders("200 OK", "X-Limit: -7"), false},
 		{"caller's header only", respondOK("well"), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -256,12 +256,12 @@
 	is.True(!known)
 }
 
-// Answers to the box's own calls set limits as well; a missing header in such an answer does
-// not clear one, since those answers need not repeat it.
-func TestLimitInAnswersToCalls(t *testing.T) {
+// Responses to the box's own calls set limits as well; a missing header in such a response does
+// not clear one, since those responses need not repeat it.
+func TestLimitInResponsesToCalls(t *testing.T) {
 	is := is.New(t)
 	limit := "X-Limit: 7"
-	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return answerWithHeaders("200 OK", limit)(c, r) })
+	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return respondWithHeaders("200 OK", limit)(c, r) })
 	b := newTestBox(t, u)
 	call := func() {
 		_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
@@ -281,7 +281,7 @@
 	})
 	b.do(b.request(http.MethodPost, "/safe/x", "x"))
 	_, known = b.limitOf("u")
-	is.True(!known) // an answer to a request clears it
+	is.True(!known) // a response to a request clears it
 }
 
 // A connection on which nothing was sent, because its upstream had reached its limit, is
--- a/relay/members.go
+++ b/relay/members.go
@@ -66,7 +66,7 @@
 	failures      int                      // consecutive failed reads
 	backlog       []mirror.Item            // changed items of the mirror that are not applied yet, in order
 	lastEncoded   encodedMessage           // the last message that was sent
-	missing       map[string]time.Duration // upstreams whose entries were removed while in doubt, and when to drop them
+	missing       map[string]time.Duration // upstreams whose entries were removed while removals are uncertain, and when to drop them
 	rejected      map[string]uint64        // by key: hash of the content last logged as rejected
 }
 
--- a/relay/memory.go
+++ b/relay/memory.go
@@ -15,11 +15,11 @@
 	// callerBytes is charged for a caller's connection.
 	callerBytes = 12 << 10
 	// requestBytes is charged for a request in progress: its goroutines, its header, its
-	// upstream connection with its buffer, and an answer of up to freeAnswerBytes.
+	// upstream connection with its buffer, and a response of up to freeResponseBytes.
 	requestBytes = 32 << 10
-	// freeAnswerBytes is how much of an answer requestBytes covers.
-	freeAnswerBytes = 8 << 10
-	// unreadBytes is charged for an answer that its caller does not read: the contents of both
+	// freeResponseBytes is how much of a response requestBytes covers.
+	freeResponseBytes = 8 << 10
+	// unreadBytes is charged for a response that its caller does not read: the contents of both
 	// kernel buffers, by the kernel's own accounting (a buffer takes twice the requested size).
 	unreadBytes = 2*callerBufferSize + 2*upstreamReceiveBuffer
 	// bodyMemoryFactor is the memory charged per byte of a body that is being read: a growing
@@ -38,16 +38,16 @@
 
 const (
 	// minRequestShare is the share of the bound that the least urgent requests may fill, and
-	// maxRequestShare that for the most urgent ones; the rest is reserved for answers, whose
+	// maxRequestShare that for the most urgent ones; the rest is reserved for responses, whose
 	// processing has already been paid for.
 	minRequestShare = 0.5
 	maxRequestShare = 0.9
-	// fullShare is for small or more valuable data: headers and answers.
+	// fullShare is for small or more valuable data: headers and responses.
 	fullShare = 1
 )
 
-// errMemoryShort reports that the box has no memory for an answer.
-var errMemoryShort = &Error{Op: "store answer", Kind: KindExhausted, Err: errors.New("memory limit reached")}
+// errMemoryShort reports that the box has no memory for a response.
+var errMemoryShort = &Error{Op: "store response", Kind: KindExhausted, Err: errors.New("memory limit reached")}
 
 // memoryShortReason is the reason given to callers and in logs.
 const memoryShortReason = "memory short"
@@ -77,10 +77,10 @@
 	return shareForUrgency(doc.Urgency(rt, customer, levels), doc.Urgencies(levels))
 }
 
-// chargeAnswer charges n bytes of an answer to the request's caller. It waits, with nothing
+// chargeResponse charges n bytes of a response to the request's caller. It waits, with nothing
 // read meanwhile, until they fit or the request is given up. While nothing is read, the
 // upstream does not count as silent: its data is held up here.
-func (x *exchange) chargeAnswer(n int64) error {
+func (x *exchange) chargeResponse(n int64) error {
 	if x.caller == nil || x.caller.lease.Grow(n, fullShare) {
 		return nil
 	}
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// chargedReader charges the part of a body that exceeds freeAnswerBytes.
+// chargedReader charges the part of a body that exceeds freeResponseBytes.
 type chargedReader struct {
 	exchange *exchange
 	answer   *response
@@ -105,8 +105,8 @@
 
 // Read implements io.Reader.
 func (k *chargedReader) Read(p []byte) (int, error) {
-	if k.read > freeAnswerBytes && k.read > k.charged {
-		if err := k.exchange.chargeAnswer(bodyMemoryFactor * (k.read - k.charged)); err != nil {
+	if k.read > freeResponseBytes && k.read > k.charged {
+		if err := k.exchange.chargeResponse(bodyMemoryFactor * (k.read - k.charged)); err != nil {
 			return 0, err
 		}
 		k.charged = k.read
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file defines how the box handles the notices in the answers of upstreams, other than
+// This file defines how the box handles the notices in the responses of upstreams, other than
 // limits: that the upstream is leaving, and for how long it wants no requests from this box (a
-// pause). The invariants: an answer applies to the incarnation that gave it, whichever request
+// pause). The invariants: a response applies to the incarnation that gave it, whichever request
 // it answers; and a pause that cannot be parsed has no effect.
 
 import (
@@ -23,14 +23,14 @@
 	pausesInvalid   = "pauses_not_taken"
 )
 
-// pauseHeader is the parsed pause header of an answer.
+// pauseHeader is the parsed pause header of a response.
 type pauseHeader struct {
 	value    string        // as received; empty: no pause was requested
 	duration time.Duration // 0: none
 	err      error         // why a received value was rejected
 }
 
-// saysLeaving reports whether the header of an answer states that its upstream is leaving.
+// saysLeaving reports whether the header of a response states that its upstream is leaving.
 func (r *Relay) saysLeaving(h *fasthttp.ResponseHeader) bool {
 	name := r.cfg.Protocol.Leaving
 	if name == "" {
@@ -49,7 +49,7 @@
 	return len(key) == len(name) && strings.EqualFold(string(key), name)
 }
 
-// readPause parses the pause that the header of an answer requests. Of several valid values the
+// readPause parses the pause that the header of a response requests. Of several valid values the
 // longest applies.
 func readPause(h *fasthttp.ResponseHeader, name string, now time.Time) pauseHeader {
 	var pause pauseHeader
@@ -83,7 +83,7 @@
 
 // askLeaving asks an incarnation whether it is leaving, before the box uses it. The incarnation
 // listed before had stated so; if the box learned late of the restart, the statement may have
-// come from this one. Every answer contains the leaving header, so any call will do.
+// come from this one. Every response contains the leaving header, so any call will do.
 func (r *Relay) askLeaving(u balance.Upstream) {
 	if r.cfg.Protocol.ReportCall != nil && r.cfg.Protocol.Leaving != "" {
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
@@ -100,7 +100,7 @@
 	r.wakeReady(u.Service)
 }
 
-// noteNotices records the notices in an answer; request is the ID of the request whose answer
+// noteNotices records the notices in a response; request is the ID of the request whose response
 // was read.
 func (r *Relay) noteNotices(a *response, request string) {
 	inc := a.conn.incarnation
--- a/relay/notices_test.go
+++ b/relay/notices_test.go
@@ -15,27 +15,27 @@
 )
 
 // noticeUpstreams are three upstreams, all listed as ready, of which the first includes a
-// notice in its answers.
+// notice in its responses.
 type noticeUpstreams struct {
 	t    testing.TB
 	list []*stub
 
-	mu     sync.Mutex
-	status string // of the first upstream's answers
-	says   string // header lines
+	mu      sync.Mutex
+	status  string // of the first upstream's responses
+	headers string // header lines
 }
 
-func newNoticeUpstreams(t testing.TB, status, says string) *noticeUpstreams {
-	a := &noticeUpstreams{t: t, status: status, says: says}
+func newNoticeUpstreams(t testing.TB, status, headers string) *noticeUpstreams {
+	a := &noticeUpstreams{t: t, status: status, headers: headers}
 	for i := range 3 {
 		a.list = append(a.list, newStub(t, fmt.Sprint("u", i), func(c net.Conn, r stubRequest) bool {
 			if i > 0 {
 				return respondOK("well")(c, r)
 			}
 			a.mu.Lock()
-			status, says := a.status, a.says
+			status, headers := a.status, a.headers
 			a.mu.Unlock()
-			return answerWithHeaders(status, says)(c, r)
+			return respondWithHeaders(status, headers)(c, r)
 		}))
 	}
 	return a
@@ -58,7 +58,7 @@
 	}
 }
 
-// An upstream states in each answer that it is leaving while its entry still lists it as ready:
+// An upstream states in each response that it is leaving while its entry still lists it as ready:
 // it gets no more requests.
 func TestLeavingNoticeStopsRequests(t *testing.T) {
 	is := is.New(t)
@@ -76,25 +76,25 @@
 	return b.relay.fleet.Get(id).Leaving
 }
 
-func TestAnswersWithLeavingNotice(t *testing.T) {
+func TestResponsesWithLeavingNotice(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		script func(net.Conn, stubRequest) bool
 		want   bool
 	}{
-		{"answer", answerWithHeaders("200 OK", "X-Leaving: 1"), true},
-		{"header name in lower case", answerWithHeaders("200 OK", "x-leaving: 1"), true},
-		{"not found", answerWithHeaders("404 No", "X-Leaving: 1"), true},
-		{"a failure", answerWithHeaders("500 Broken", "X-Leaving: 1"), true},
-		{"a refusal", answerWithHeaders("503 Full", "X-Not-Run: 1", "X-Leaving: 1"), true},
-		{"too many requests", answerWithHeaders("429 Many", "X-Not-Run: 1", "X-Leaving: 1"), true},
-		{"refusal with a pause", answerWithHeaders("503 Full", "X-Not-Run: 1", "Retry-After: 1", "X-Leaving: 1"), true},
+		{"answer", respondWithHeaders("200 OK", "X-Leaving: 1"), true},
+		{"header name in lower case", respondWithHeaders("200 OK", "x-leaving: 1"), true},
+		{"not found", respondWithHeaders("404 No", "X-Leaving: 1"), true},
+		{"a failure", respondWithHeaders("500 Broken", "X-Leaving: 1"), true},
+		{"a refusal", respondWithHeaders("503 Full", "X-Not-Run: 1", "X-Leaving: 1"), true},
+		{"too many requests", respondWithHeaders("429 Many", "X-Not-Run: 1", "X-Leaving: 1"), true},
+		{"refusal with a pause", respondWithHeaders("503 Full", "X-Not-Run: 1", "Retry-After: 1", "X-Leaving: 1"), true},
 		{"an answer to another request", func(c net.Conn, r stubRequest) bool {
 			writeWire(c, "HTTP/1.1 200 OK\nX-Id: before\nX-Leaving: 1\nContent-Length: 0\n\n")
 			return respondOK("well")(c, r)
 		}, true},
-		{"another instance", answerWithHeaders("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Leaving: 1"), false},
-		{"value 0", answerWithHeaders("200 OK", "X-Leaving: 0"), false},
+		{"another instance", respondWithHeaders("421 Other", "X-Not-Run: 1", "X-Started: next", "X-Leaving: 1"), false},
+		{"value 0", respondWithHeaders("200 OK", "X-Leaving: 0"), false},
 		{"caller's header only", respondOK("well"), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -111,10 +111,10 @@
 	}
 }
 
-// Answers to the box's own calls may state it as well.
-func TestLeavingNoticeInAnswerToCall(t *testing.T) {
+// Responses to the box's own calls may state it as well.
+func TestLeavingNoticeInResponseToCall(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerWithHeaders("200 OK", "X-Leaving: 1"))
+	u := newStub(t, "u", respondWithHeaders("200 OK", "X-Leaving: 1"))
 	b := newTestBox(t, u)
 	_, _, err := b.relay.callUpstream(t.Context(), *b.relay.fleet.Get("u"), "s", UpstreamCall{Method: http.MethodGet, Path: "/tell"})
 	is.NoErr(err)
@@ -127,12 +127,12 @@
 	for _, breaks := range []bool{false, true} {
 		t.Run(fmt.Sprint("breaks: ", breaks), func(t *testing.T) {
 			is := is.New(t)
-			said, goOn := make(chan struct{}), make(chan struct{})
+			noticeSent, proceed := make(chan struct{}), make(chan struct{})
 			u := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
 				writeWire(c, fmt.Sprintf("HTTP/1.1 200 OK\nX-Id: %s\nX-Sign: s\nX-Leaving: 1\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n", r.Header.Get("X-Id")))
 				writeChunk(c, event(1))
-				close(said)
-				<-goOn
+				close(noticeSent)
+				<-proceed
 				if breaks {
 					return false
 				}
@@ -149,11 +149,11 @@
 			b := newTestBox(t, u)
 			done := make(chan callerResponse, 1)
 			go func() { done <- b.do(b.request(http.MethodPost, "/flow/x", "")) }()
-			<-said
+			<-noticeSent
 			b.waitFor(func() bool { return b.isLeaving("u") })
 			b.listUpstream(v, false)
 			b.waitFor(func() bool { return b.upstreamCount() == 2 })
-			close(goOn)
+			close(proceed)
 			is.Equal((<-done).body, event(1)+event(2))
 			is.Equal(len(u.requests()), 1)
 			is.Equal(len(v.requests()) == 1, breaks)
@@ -165,7 +165,7 @@
 // have not run, and when to come back.
 func TestRefusalWhenLastUpstreamIsLeaving(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerWithHeaders("200 OK", "X-Leaving: 1"))
+	u := newStub(t, "u", respondWithHeaders("200 OK", "X-Leaving: 1"))
 	b := newTestBox(t, u)
 	is.Equal(b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "first")).status, http.StatusOK)
 	got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "second"))
@@ -178,7 +178,7 @@
 // An upstream starts to leave, or requests a pause, while a request waits for a connection to
 // it: the request is sent to another one.
 func TestNoticeWhileConnectingMovesRequest(t *testing.T) {
-	for name, says := range map[string]func(r *Relay, inc balance.Incarnation){
+	for name, notice := range map[string]func(r *Relay, inc balance.Incarnation){
 		"leaving": func(r *Relay, inc balance.Incarnation) { r.fleet.NoteLeaving(inc) },
 		"paused":  func(r *Relay, inc balance.Incarnation) { r.fleet.Pause(r.now(), inc, time.Minute) },
 	} {
@@ -194,7 +194,7 @@
 					first = id
 					inc := r.listedIncarnation(id)
 					r.mu.Lock()
-					says(r, inc)
+					notice(r, inc)
 					r.mu.Unlock()
 				})
 			}
@@ -227,7 +227,7 @@
 // A report may also state that its upstream is leaving, even if it contains no run.
 func TestLeavingNoticeInReport(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return answerReport(c, r, Report{Leaving: true}) })
+	u := newStub(t, "u", func(c net.Conn, r stubRequest) bool { return respondReport(c, r, Report{Leaving: true}) })
 	p := reportingProtocol()
 	b := newTestBoxWithProtocol(t, p, u)
 	_, err := b.relay.fetchReport(t.Context(), silentCandidate{exchange: &exchange{request: &request{id: "r"}}, upstream: *b.relay.fleet.Get("u"), service: "s"})
@@ -239,22 +239,22 @@
 // that it is leaving. Once its new entry arrives, the box asks it; it gets no requests if it
 // repeats the statement, and gets them otherwise.
 func TestRestartedUpstreamIsAskedWhetherItIsLeaving(t *testing.T) {
-	for _, says := range []bool{true, false} {
-		t.Run(fmt.Sprint("repeats the notice: ", says), func(t *testing.T) {
+	for _, repeats := range []bool{true, false} {
+		t.Run(fmt.Sprint("repeats the notice: ", repeats), func(t *testing.T) {
 			is := is.New(t)
 			var mu sync.Mutex
 			headers := "X-Leaving: 1"
 			u := newStub(t, "u", func(c net.Conn, r stubRequest) bool {
 				mu.Lock()
 				defer mu.Unlock()
-				return answerWithHeaders("200 OK", headers)(c, r)
+				return respondWithHeaders("200 OK", headers)(c, r)
 			})
 			b := newTestBoxWithProtocol(t, reportingProtocol(), u)
 			b.listIncarnation(u, 100, false)
 			b.awaitIncarnation("u", 100)
 			b.do(b.request(http.MethodPost, "/safe/x", "x"))
 			is.True(b.isLeaving("u"))
-			if !says {
+			if !repeats {
 				mu.Lock()
 				headers = "X-Leaving: 0"
 				mu.Unlock()
@@ -268,7 +268,7 @@
 				return !b.relay.fleet.NeedsLeavingCheck(balance.Incarnation{ID: "u", StartedAt: 200})
 			})
 			got := b.do(b.request(http.MethodPost, "/safe/x", "x", "X-Id", "again"))
-			is.Equal(got.status == http.StatusOK, !says)
+			is.Equal(got.status == http.StatusOK, !repeats)
 		})
 	}
 }
--- a/relay/pause_test.go
+++ b/relay/pause_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Reading the notices of an answer does not allocate.
+// Reading the notices of a response does not allocate.
 func TestReadingNoticesDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	r := &Relay{cfg: Config{Protocol: testProtocol}}
@@ -76,25 +76,25 @@
 // until hold is closed.
 type pausingUpstream struct {
 	*stub
-	mu    sync.Mutex
-	asked time.Time   // when it requested the pause
-	came  []time.Time // arrival times of later requests
-	hold  chan struct{}
+	mu          sync.Mutex
+	requestedAt time.Time   // when it requested the pause
+	arrived     []time.Time // arrival times of later requests
+	hold        chan struct{}
 }
 
 func newPausingUpstream(t testing.TB, length string) *pausingUpstream {
 	p := &pausingUpstream{hold: make(chan struct{})}
 	p.stub = newStub(t, "u", func(c net.Conn, r stubRequest) bool {
 		p.mu.Lock()
-		asks := p.asked.IsZero()
+		asks := p.requestedAt.IsZero()
 		if asks {
-			p.asked = time.Now()
+			p.requestedAt = time.Now()
 		} else {
-			p.came = append(p.came, time.Now())
+			p.arrived = append(p.arrived, time.Now())
 		}
 		p.mu.Unlock()
 		if asks {
-			return answerWithHeaders("503 No", "X-Not-Run: 1", "Retry-After: "+length)(c, r)
+			return respondWithHeaders("503 No", "X-Not-Run: 1", "Retry-After: "+length)(c, r)
 		}
 		<-p.hold
 		return respondOK("well")(c, r)
@@ -107,10 +107,10 @@
 func (p *pausingUpstream) arrivals() (n int, first time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.came) == 0 {
+	if len(p.arrived) == 0 {
 		return 0, 0
 	}
-	return len(p.came), p.came[0].Sub(p.asked)
+	return len(p.arrived), p.arrived[0].Sub(p.requestedAt)
 }
 
 // waitingRequests is how many requests of the service wait for the end of a pause.
@@ -123,7 +123,7 @@
 	return 0
 }
 
-// sendConcurrently sends requests concurrently, and returns a channel of their answers.
+// sendConcurrently sends requests concurrently, and returns a channel of their responses.
 func (b *testBox) sendConcurrently(count int, header ...string) <-chan callerResponse {
 	done := make(chan callerResponse, count)
 	for i := range count {
@@ -194,7 +194,7 @@
 	is.Equal(n, 0)
 }
 
-// The box's own calls respect pauses as well, and an answer to one can request a pause.
+// The box's own calls respect pauses as well, and a response to one can request a pause.
 func TestCallsRespectPauses(t *testing.T) {
 	is := is.New(t)
 	u := newPausingUpstream(t, "30")
@@ -211,7 +211,7 @@
 // An invalid pause is logged and has no other effect.
 func TestInvalidPauseIsLogged(t *testing.T) {
 	is := is.New(t)
-	u := newStub(t, "u", answerWithHeaders("503 No", "X-Not-Run: 1", "Retry-After: soon"))
+	u := newStub(t, "u", respondWithHeaders("503 No", "X-Not-Run: 1", "Retry-After: soon"))
 	b := newTestBox(t, u)
 	for range 2 {
 		b.do(b.request(http.MethodPost, "/once/x", "x"))
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -9,17 +9,17 @@
 // the description of a prompt is read. A header that a deployment does not have is an empty
 // string.
 type Protocol struct {
-	RequestID       string // identifies one attempt of a caller; returned in its answer
+	RequestID       string // identifies one attempt of a caller; returned in its response
 	TimeLeft        string // milliseconds that the caller will wait; milliseconds left for the upstream
 	Key             string // the caller's secret; not forwarded
 	Customer        string // set for the upstream: the customer who holds the key
 	Instance        string // set for the upstream: the instance that the request is meant for
 	CurrentInstance string // in an upstream's refusal: the instance that now has its address
-	Limit           string // in an upstream's answer: requests per second that it accepts from all boxes together
-	Leaving         string // in an upstream's answer: 1 if it is leaving
+	Limit           string // in an upstream's response: requests per second that it accepts from all boxes together
+	Leaving         string // in an upstream's response: 1 if it is leaving
 	RetryAfter      string // in an upstream's refusal: for how long it wants no requests from this box
 	NotExecuted     string // in an upstream's refusal: it has not run the request
-	Signature       string // in an upstream's answer: who gave it; the relay only forwards it
+	Signature       string // in an upstream's response: who gave it; the relay only forwards it
 	Priority        string // set for the upstream, 0 for the most urgent
 	LastEvent       string // the last event of a stream that the caller has received
 	KVHandle        string // set for the upstream: the KV cache copy that a run continues from
@@ -35,14 +35,14 @@
 	PromptHeaders []string
 
 	// MoveCall makes an upstream copy the KV cache of a request's run to the upstream at to
-	// (IP:port) and stop the run; ParseMove parses its answer, which came from IP:port.
+	// (IP:port) and stop the run; ParseMove parses its response, which came from IP:port.
 	// DropCall frees a copy. All are nil if runs cannot move.
 	MoveCall  func(request, to string) UpstreamCall
 	ParseMove func(from string, status int, body []byte) RunCopy
 	DropCall  func(name string) UpstreamCall
 
-	// ReportCall asks an upstream for its runs; ParseReport returns what the answer says of a
-	// request, false if the answer is no report. Both are nil if upstreams do not report their
+	// ReportCall asks an upstream for its runs; ParseReport returns what the response says of a
+	// request, false if the response is no report. Both are nil if upstreams do not report their
 	// runs.
 	ReportCall  func() UpstreamCall
 	ParseReport func(status int, body []byte, request string) (Report, bool)
@@ -82,5 +82,5 @@
 type Prompt struct {
 	Parts    []balance.Part
 	Tokens   int // of the prompt
-	Expected int // of the answer, as estimated by the caller; 0: not stated
+	Expected int // of the response, as estimated by the caller; 0: not stated
 }
--- a/relay/pull.go
+++ b/relay/pull.go
@@ -1,7 +1,7 @@
 package relay
 
 // This file defines how a box pulls the complete state of another, and answers such pulls. The
-// invariant: the answer is made by the loop that owns the mirror, and a box has at most one
+// invariant: the response is made by the loop that owns the mirror, and a box has at most one
 // pull in progress.
 
 import (
@@ -91,8 +91,8 @@
 	}
 }
 
-// minCompressBytes is larger than any answer, which turns compression off: the large parts of
-// an answer are already compressed.
+// minCompressBytes is larger than any response, which turns compression off: the large parts of
+// a response are already compressed.
 const minCompressBytes = 1 << 30
 
 // serveControl answers other boxes until the listener is closed.
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -2,7 +2,7 @@
 
 // This file defines how the box detects a connection that no longer delivers data although its
 // upstream is working. The invariant: silence alone ends no run. A run is ended where its
-// upstream, asked twice on new connections, reports that it has produced more of the answer
+// upstream, asked twice on new connections, reports that it has produced more of the response
 // than arrived, or that it does not know the run and has no requests waiting.
 
 import (
@@ -47,7 +47,7 @@
 // Report is what an upstream reports about one run.
 type Report struct {
 	Known   bool // the upstream knows the run
-	Events  int  // events of the answer that the upstream has produced
+	Events  int  // events of the response that the upstream has produced
 	Waiting int  // requests at the upstream that have not started
 	Leaving bool // the upstream is leaving
 }
@@ -55,8 +55,8 @@
 // upstreamWait is a run's wait for the next bytes from its upstream.
 type upstreamWait struct {
 	since    time.Time
-	sent     *requestWrite // the request, if no part of its answer has arrived; else nil
-	received int           // events of the answer that have arrived
+	sent     *requestWrite // the request, if no part of its response has arrived; else nil
+	received int           // events of the response that have arrived
 	askAfter time.Duration // silence after which the upstream is asked
 
 	lastAsked time.Duration // length of the silence when the upstream was last asked
@@ -64,7 +64,7 @@
 }
 
 // startReadWait records that the exchange waits for its upstream's next bytes, until
-// endReadWait. sent is the request if no part of its answer has arrived, else nil.
+// endReadWait. sent is the request if no part of its response has arrived, else nil.
 func (x *exchange) startReadWait(sent *requestWrite) {
 	if x.relay.cfg.Protocol.ReportCall == nil || x.events == nil && len(x.request.prompt.Parts) == 0 {
 		return
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -30,8 +30,8 @@
 	return p
 }
 
-// answerReport answers a request with a report.
-func answerReport(c net.Conn, r stubRequest, report Report) bool {
+// respondReport answers a request with a report.
+func respondReport(c net.Conn, r stubRequest, report Report) bool {
 	body, err := json.Marshal(report)
 	if err != nil {
 		return false
@@ -103,9 +103,9 @@
 				return func(conn net.Conn, r stubRequest) bool {
 					if r.URL.Path == "/tell" {
 						if id == silentID.Load() && c.delivered == 0 {
-							return answerReport(conn, r, Report{})
+							return respondReport(conn, r, Report{})
 						}
-						return answerReport(conn, r, Report{Known: true, Events: 9})
+						return respondReport(conn, r, Report{Known: true, Events: 9})
 					}
 					if r.URL.Path == "/once/first" {
 						return respondOK("ok")(conn, r)
@@ -140,7 +140,7 @@
 			b.waitFor(func() bool { return b.log.contains(`"msg":"run: silent"`) })
 			is.True(!b.log.contains(`"msg":"upstream: out of reach"`))
 			asked := b.relay.stats.counterValue("upstreams_asked")
-			is.True(asked >= confirmations && asked <= confirmations+2) // before the answer, the first report may come too early to show loss
+			is.True(asked >= confirmations && asked <= confirmations+2) // before the response, the first report may come too early to show loss
 			b.waitFor(func() bool { return b.relay.stats.openRequests.Load() == 0 })
 			b.relay.conns.mu.Lock()
 			is.Equal(len(b.relay.conns.idle[silentID.Load().(string)]), 0)
@@ -164,7 +164,7 @@
 			u := newStub(t, "u1", func(conn net.Conn, r stubRequest) bool {
 				if r.URL.Path == "/tell" {
 					asked <- struct{}{}
-					return answerReport(conn, r, c.report)
+					return respondReport(conn, r, c.report)
 				}
 				startStream(conn, r)
 				writeChunk(conn, event(1))
@@ -188,7 +188,7 @@
 	is := is.New(t)
 	u := newStub(t, "u1", func(conn net.Conn, r stubRequest) bool {
 		if r.URL.Path == "/tell" {
-			return answerReport(conn, r, Report{Known: true, Events: 1 << 20})
+			return respondReport(conn, r, Report{Known: true, Events: 1 << 20})
 		}
 		startStream(conn, r)
 		text := strings.Repeat("x", 1000)
@@ -204,7 +204,7 @@
 	defer func() { _ = conn.Close() }()
 	_, err = io.WriteString(conn, rawRequest("/flow/x", "", "X-Parts: 1:1000"))
 	is.NoErr(err)
-	time.Sleep(1500 * time.Millisecond) // less than how long a caller may leave an answer unread
+	time.Sleep(1500 * time.Millisecond) // less than how long a caller may leave a response unread
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	is.NoErr(err)
 	body, err := io.ReadAll(resp.Body)
@@ -297,7 +297,7 @@
 				}
 				q := stubRequest{Request: r}
 				if r.URL.Path == "/tell" {
-					answerReport(c, q, Report{})
+					respondReport(c, q, Report{})
 					return
 				}
 				left := len(body) - in.Buffered()
@@ -322,14 +322,14 @@
 	is.Equal(b.relay.stats.counterValue("connections_silent"), uint64(0))
 }
 
-// An answer that waits in this box for memory does not count as lost on its connection.
+// A response that waits in this box for memory does not count as lost on its connection.
 func TestWaitForMemoryIsNotSilence(t *testing.T) {
 	is := is.New(t)
 	large := "id: 2\ndata: " + strings.Repeat("x", 40<<10) + "\n\n"
 	full := make(chan struct{})
 	u := newStub(t, "u1", func(conn net.Conn, r stubRequest) bool {
 		if r.URL.Path == "/tell" {
-			return answerReport(conn, r, Report{Known: true, Events: 9})
+			return respondReport(conn, r, Report{Known: true, Events: 9})
 		}
 		startStream(conn, r)
 		writeChunk(conn, event(1))
--- a/relay/update.go
+++ b/relay/update.go
@@ -23,9 +23,9 @@
 	Evacuated, Restored string
 }
 
-// applyUpdate applies a published change. An upstream whose entry is removed before the end of
-// doubt is only recorded in missing, since the entry may come back.
-func (r *Relay) applyUpdate(u Update, doubt time.Duration, missing map[string]time.Duration) {
+// applyUpdate applies a published change. An upstream whose entry is removed before
+// uncertainUntil is only recorded in missing, since the entry may come back.
+func (r *Relay) applyUpdate(u Update, uncertainUntil time.Duration, missing map[string]time.Duration) {
 	switch {
 	case u.Document != nil:
 		r.applyDocument(u.Document)
@@ -40,8 +40,8 @@
 	case u.Restored != "":
 		r.restoreDomain(u.Restored)
 	case u.Removed == "":
-	case r.now() < doubt:
-		missing[u.Removed] = doubt
+	case r.now() < uncertainUntil:
+		missing[u.Removed] = uncertainUntil
 	default:
 		r.dropUpstream(u.Removed, "gone from the list")
 	}
--- a/relay/update_test.go
+++ b/relay/update_test.go
@@ -45,7 +45,7 @@
 	is.Equal(b.relay.documentVersion(), uint64(7))
 }
 
-func TestRemovedEntriesAreKeptWhileInDoubt(t *testing.T) {
+func TestRemovedEntriesAreKeptWhileUncertain(t *testing.T) {
 	is := is.New(t)
 	r := &Relay{startedAt: time.Now(), fleet: newEmptyFleet(), cfg: Config{Log: NewLog("box", io.Discard)}, conns: newConnPool(nil)}
 	missing := make(map[string]time.Duration)
@@ -55,7 +55,7 @@
 	is.Equal(len(missing), 1)
 	r.applyUpdate(Update{Upstream: upstreamOf("u1")}, 0, missing) // it is back
 	is.Equal(len(missing), 0)
-	r.applyUpdate(Update{Removed: "u1"}, 0, missing) // outside of doubt it is dropped at once
+	r.applyUpdate(Update{Removed: "u1"}, 0, missing) // once removals are certain, it is dropped at once
 	is.True(r.fleet.Get("u1") == nil)
 	is.NoErr(r.cfg.Log.Close())
 }
--- a/relay/withhold_test.go
+++ b/relay/withhold_test.go
@@ -19,10 +19,10 @@
 // upstreams per arrival. Neither a box nor the group counted the crashes under a request. In a
 // recorded run 46 upstreams crashed under one request and 34 under another:
 //
-//         41.871 s  upstream runs it
-//         41.989 s  its run ends, the upstream has crashed
-//         41.990 s  the same box sends it to another upstream
-//         42.158 s  its run ends, the upstream has crashed
+//	41.871 s  upstream runs it
+//	41.989 s  its run ends, the upstream has crashed
+//	41.990 s  the same box sends it to another upstream
+//	42.158 s  its run ends, the upstream has crashed
 //
 // The boxes logged "run: failed ... unexpected EOF", then "connection refused" up to 44 times
 // for one upstream, each line with another ID and without the content.
@@ -237,18 +237,18 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	var stubs []*stub
-	var cut, dead bool // the partition has begun; a retry was sent on an idle connection
+	var partitioned, usedIdle bool // the partition has begun; a retry was sent on an idle connection
 	script := func(n int) func(net.Conn, stubRequest) bool {
 		return func(c net.Conn, r stubRequest) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case r.body == "warm":
-			case cut && n != 2:
-				dead = true
+			case partitioned && n != 2:
+				usedIdle = true
 				return false
-			case !cut:
-				cut = true
+			case !partitioned:
+				partitioned = true
 				for _, s := range stubs[:2] {
 					_ = s.listener.Close()
 				}
@@ -271,7 +271,7 @@
 	is.True(!b.log.contains("content: withheld"))
 	mu.Lock()
 	defer mu.Unlock()
-	is.True(!dead)
+	is.True(!usedIdle)
 }
 
 // An upstream ends under a run, and another one starts at its address before the box can probe
