--- a/balance/incarnation_property_test.go
+++ b/balance/incarnation_property_test.go
@@ -32,9 +32,9 @@
 
 // sentNews is a report from one box to another, with the time at which it was sent.
 type sentNews struct {
-	to   int
-	at   time.Duration
-	kept []PartReport
+	to    int
+	at    time.Duration
+	parts []PartReport
 }
 
 const (
@@ -114,9 +114,9 @@
 	return nil
 }
 
-// tell queues the news of each box for all others. Delivery is in any order, late, repeated or
+// report queues the news of each box for all others. Delivery is in any order, late, repeated or
 // never.
-func (w *incarnationModel) tell() {
+func (w *incarnationModel) report() {
 	for i, f := range w.boxes {
 		news := f.TakePartReports()
 		for j := range w.boxes {
@@ -138,13 +138,13 @@
 		w.inTransit = append(w.inTransit[:i], w.inTransit[i+1:]...)
 	}
 	if w.now-n.at < maxNewsAge { // boxes send no older reports
-		w.boxes[n.to].NotePartReports(w.now, n.kept)
+		w.boxes[n.to].NotePartReports(w.now, n.parts)
 	}
 }
 
 // step performs one random event.
 func (w *incarnationModel) step() {
-	w.tell() // boxes do so ten times a second
+	w.report() // boxes do so ten times a second
 	w.now += time.Duration(rapid.IntRange(0, longestPause).Draw(w.t, "pause")) * time.Millisecond
 	box := rapid.IntRange(0, modelBoxes-1).Draw(w.t, "box")
 	id := fmt.Sprint("u", rapid.IntRange(0, modelUpstreams-1).Draw(w.t, "upstream"))
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -171,10 +171,10 @@
 		return now
 	}
 	for _, c := range []struct {
-		name     string
-		outcomes []Outcome
-		gap      time.Duration
-		keeps    bool // the part index keeps its parts
+		name       string
+		outcomes   []Outcome
+		gap        time.Duration
+		keepsParts bool // the part index keeps its parts
 	}{
 		{"all connections break at once", []Outcome{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, 20 * time.Millisecond, false},
 		{"all connections break, one after the other", []Outcome{ConnectionLost, ConnectionLost, ConnectionLost, ConnectionLost}, time.Second, true},
@@ -196,9 +196,9 @@
 			}
 			news := f.TakePartReports()
 			now := ends(f, open, c.gap, c.outcomes...)
-			is.Equal(f.parts.holds(now, PartKey(7), m), c.keeps)
+			is.Equal(f.parts.holds(now, PartKey(7), m), c.keepsParts)
 			f.NotePartReports(now+maxNewsAge-1, news) // may predate the sign
-			is.Equal(f.parts.holds(now+maxNewsAge-1, PartKey(7), m), true == c.keeps)
+			is.Equal(f.parts.holds(now+maxNewsAge-1, PartKey(7), m), true == c.keepsParts)
 			f.recordReachable(now, m)
 			f.NotePartReports(now+2*maxNewsAge, news) // a later report is accepted
 			is.True(f.parts.holds(now+2*maxNewsAge, PartKey(7), m))
@@ -411,13 +411,13 @@
 			f := newInformedFleet(0)
 			f.Put(0, entryOf("u", c.startedAt, 1))
 			first, second := f.Open(0, "u", prompt(7)), f.Open(0, "u", prompt(8))
-			before, told := f.byID["u"].work, f.Loads()
+			before, reported := f.byID["u"].work, f.Loads()
 			is.True(before.upTo(Levels-1).MemoryTokens > 0)
 			c.between(f)
 			want := work{}
 			if c.counted {
 				want = before
-				is.Equal(f.Loads(), told)
+				is.Equal(f.Loads(), reported)
 			}
 			is.Equal(f.byID["u"].work, want)
 			first.Close(2*time.Second, Answered)
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -256,8 +256,8 @@
 	w.runs = left
 }
 
-// tell reports the loads of each box to all others.
-func (w *memoryModel) tell() {
+// report reports the loads of each box to all others.
+func (w *memoryModel) report() {
 	for i, f := range w.boxes {
 		others := make(map[LoadKey]Load)
 		for j, g := range w.boxes {
@@ -282,7 +282,7 @@
 			now := time.Duration(i) * 10 * time.Millisecond
 			w.end(now)
 			if rapid.IntRange(0, 4).Draw(t, "tell") == 0 {
-				w.tell()
+				w.report()
 			}
 			box := rapid.IntRange(0, len(w.boxes)-1).Draw(t, "box")
 			r := unsharedRequest(uint64(i), rapid.IntRange(2, testMemory).Draw(t, "tokens"), rapid.IntRange(0, 1000).Draw(t, "expected"))
@@ -330,7 +330,7 @@
 				now := time.Duration(step) * 25 * time.Millisecond
 				w.end(now)
 				if step%2 == 0 {
-					w.tell()
+					w.report()
 				}
 				r := unsharedRequest(uint64(2*step), 14000, 400)
 				if _, ok := w.place(now, step%4, r, now+2*time.Second); ok {
--- a/balance/partindex.go
+++ b/balance/partindex.go
@@ -26,9 +26,9 @@
 
 // partHolder is an upstream that was sent a part.
 type partHolder struct {
-	member *member
-	sentAt time.Duration // when it was last sent the part, as far as known
-	toldAt time.Duration // when that was last reported, by any box
+	member     *member
+	sentAt     time.Duration // when it was last sent the part, as far as known
+	reportedAt time.Duration // when that was last reported, by any box
 }
 
 // recent reports whether the part was sent so recently that the upstream still holds it.
--- a/balance/partreport.go
+++ b/balance/partreport.go
@@ -48,10 +48,10 @@
 		}
 		part := PartKey(p.ID)
 		x := f.parts.note(now, part, m)
-		if x == nil || now-x.toldAt < rereportInterval || len(f.parts.news) >= maxReports {
+		if x == nil || now-x.reportedAt < rereportInterval || len(f.parts.news) >= maxReports {
 			continue
 		}
-		x.toldAt = now
+		x.reportedAt = now
 		f.parts.news = append(f.parts.news, PartReport{part, m.key})
 	}
 }
@@ -125,7 +125,7 @@
 			continue
 		}
 		if x := f.parts.note(now, report.Part, m); x != nil {
-			x.toldAt = now
+			x.reportedAt = now
 		}
 	}
 }
