--- a/group/lane.go
+++ b/group/lane.go
@@ -43,7 +43,8 @@
 	return n.leader()
 }
 
-// receiveLanes adopts the division in a message if the sender is the lane authority.
+// receiveLanes adopts the division in a message if its sender is the box whose division this box
+// adopts.
 func (n *Node) receiveLanes(now time.Duration, p *peer, m *wire.GroupMessage) {
 	if !m.Leads || p.box.Name != n.laneAuthority(now).Name {
 		return
--- a/group/lane_test.go
+++ b/group/lane_test.go
@@ -9,16 +9,16 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// setOwnLanes sets a different division as each box's own choice: its index plus one as the
-// number of places.
+// setOwnLanes sets a different division as each box's own choice: it reserves as many upstreams as
+// the box's index plus one.
 func (w *simulation) setOwnLanes() {
 	for i, name := range w.names {
 		w.boxes[name].node.SetLanes(balance.LanePlan{7: {Reserved: i + 1, Tight: []uint32{uint32(i)}}})
 	}
 }
 
-// places returns the number of places in the division that a box uses.
-func (w *simulation) places(name string) int {
+// reservedUpstreams returns how many upstreams the division that a box uses reserves.
+func (w *simulation) reservedUpstreams(name string) int {
 	n := w.boxes[name].node
 	if announced := n.Lanes(w.now); announced != nil {
 		return announced[7].Reserved
@@ -27,7 +27,7 @@
 }
 
 // checkAgreement checks that all running boxes of the domains use the same division, and returns
-// its number of places.
+// how many upstreams it reserves.
 func (w *simulation) checkAgreement(t *testing.T, domains ...int) int {
 	t.Helper()
 	is := is.New(t)
@@ -39,9 +39,9 @@
 				continue
 			}
 			if want == 0 {
-				want = w.places(name)
+				want = w.reservedUpstreams(name)
 			}
-			is.Equal(w.places(name), want) // of a box in contact with the others
+			is.Equal(w.reservedUpstreams(name), want) // of a box in contact with the others
 		}
 	}
 	return want
@@ -79,11 +79,11 @@
 	w.setOwnLanes()
 	w.run(4 * time.Second)
 	remaining := boxName(0, 3)
-	announced := w.places(remaining)
+	announced := w.reservedUpstreams(remaining)
 	for i := range 3 {
 		w.boxes[boxName(0, i)].dead = true
 	}
 	w.run(3 * time.Second)
-	is.True(w.places(remaining) != announced)
-	is.Equal(w.places(remaining), 4)
+	is.True(w.reservedUpstreams(remaining) != announced)
+	is.Equal(w.reservedUpstreams(remaining), 4)
 }
--- a/group/loadchanges.go
+++ b/group/loadchanges.go
@@ -58,7 +58,7 @@
 
 // hasDue reports whether a group has unsent changes that may be sent now.
 func (g *recipientGroups) hasDue(now time.Duration) bool {
-	for _, group := range []*recipientGroup{g.members, g.nearLeaders, g.farLeaders, g.regionRelay} {
+	for _, group := range []*recipientGroup{g.members, g.nearLeaders, g.otherRegionLeaders, g.regionRelay} {
 		if group != nil && len(group.changed) > 0 && now >= group.nextChangesAt {
 			return true
 		}
@@ -187,7 +187,7 @@
 	if len(n.loadChanges) == 0 {
 		return nil
 	}
-	news := n.loadChanges
+	changes := n.loadChanges
 	n.loadChanges = make(Loads)
-	return news
+	return changes
 }
--- a/group/messagekind.go
+++ b/group/messagekind.go
@@ -28,10 +28,10 @@
 
 // The values of Reach.
 const (
-	ReachDomain  Reach = "domain"       // within the sender's failure domain
-	ReachRegion  Reach = "region"       // to another domain of its region
-	ReachFar     Reach = "other region" // to another region
-	ReachUnknown Reach = "unknown"      // to an address of no known box
+	ReachDomain      Reach = "domain"       // within the sender's failure domain
+	ReachRegion      Reach = "region"       // to another domain of its region
+	ReachOtherRegion Reach = "other region" // to another region
+	ReachUnknown     Reach = "unknown"      // to an address of no known box
 )
 
 // KindOf returns the kind of a message.
@@ -67,7 +67,7 @@
 	case from.Region == to.Region:
 		return ReachRegion
 	}
-	return ReachFar
+	return ReachOtherRegion
 }
 
 // reachOf returns how far a message to an address travels.
--- a/group/node.go
+++ b/group/node.go
@@ -4,11 +4,11 @@
 // the messages it has to send. leader.go selects the leader and reader.go the box that reads the
 // publisher. count.go counts boxes. send.go and receive.go handle membership messages.
 // published.go, changes.go, pull.go, snapshot.go and restart.go distribute published data.
-// load.go and recipients.go exchange loads. cutoff.go tracks unreachable domains, and region.go
-// selects the region leader. lane.go exchanges the division of services into lanes, sentparts.go
-// the prompt parts sent to upstreams, suspects.go the requests that upstreams crash under, and
-// limits.go the rate limits that upstreams announce. The invariant: messages leave a Node only
-// through Drain.
+// load.go, loadchanges.go and recipients.go exchange loads. unreachable.go tracks unreachable
+// domains, and region.go selects the region leader. lane.go exchanges the division of services
+// into lanes, sentparts.go the prompt parts sent to upstreams, suspects.go the requests that
+// upstreams crash under, and limits.go the rate limits that upstreams announce. The invariant:
+// messages leave a Node only through Drain.
 
 import (
 	"time"
@@ -105,7 +105,7 @@
 	leaving      bool
 	timedOut     bool     // it was expected to lead and sent nothing within the timeout
 	domainBoxes  int      // live boxes of its domain, as it reported when it led
-	cutOff       []string // unreachable domains, as reported by it as leader of this domain
+	unreachable  []string // unreachable domains, as reported by it as leader of this domain
 
 	heartbeats     int    // sent to it
 	sentListDigest uint64 // digest of the box list last sent to it
@@ -159,10 +159,10 @@
 	readerHeardDirectlyAt time.Duration // when a box that reads everything was last heard itself
 	lastHelloAt           time.Duration // last hello while no box has answered
 
-	snapshot  packedSnapshot // the last snapshot encoded for pulls
-	delta     packedDelta    // the last delta encoded for pulls
-	reordered reorderBuffer  // changes received before the changes that precede them
-	cutOff    []string       // domains that this box cannot reach
+	snapshot    packedSnapshot // the last snapshot encoded for pulls
+	delta       packedDelta    // the last delta encoded for pulls
+	reordered   reorderBuffer  // changes received before the changes that precede them
+	unreachable []string       // domains that this box cannot reach
 
 	lastTick           time.Duration
 	resumedAt          time.Duration // when the box last noticed that it had been suspended
--- a/group/receive.go
+++ b/group/receive.go
@@ -50,7 +50,7 @@
 	}
 	if m.Leads && n.sameDomain(p) {
 		n.maxDomainBoxes = max(n.maxDomainBoxes, int(m.DomainBoxes))
-		p.cutOff = m.CutOff
+		p.unreachable = m.CutOff
 	}
 	for _, b := range m.Boxes {
 		n.recordListed(now, b)
--- a/group/recipients.go
+++ b/group/recipients.go
@@ -78,7 +78,7 @@
 
 // recipientGroups are the groups of a leader. regionRelay receives the sum of other regions from
 // the region leader.
-type recipientGroups struct{ members, nearLeaders, farLeaders, regionRelay *recipientGroup }
+type recipientGroups struct{ members, nearLeaders, otherRegionLeaders, regionRelay *recipientGroup }
 
 // newRecipientGroup returns a group that was sent nothing yet.
 func newRecipientGroup(policy sendPolicy, scope uint32) *recipientGroup {
@@ -92,7 +92,7 @@
 	g := &n.recipients
 	if g.members == nil {
 		g.members, g.nearLeaders = newRecipientGroup(memberPolicy, scopeDomain), newRecipientGroup(regionPolicy, scopeDomain)
-		g.farLeaders, g.regionRelay = newRecipientGroup(otherRegionPolicy, scopeRegion), newRecipientGroup(otherRegionPolicy, scopeOtherRegions)
+		g.otherRegionLeaders, g.regionRelay = newRecipientGroup(otherRegionPolicy, scopeRegion), newRecipientGroup(otherRegionPolicy, scopeOtherRegions)
 	}
 	s := &n.loadSums
 	g.members.loadAt = s.loadAt
@@ -102,11 +102,11 @@
 	g.nearLeaders.loads, g.nearLeaders.peers = func() Loads { return s.domain }, n.nearLeaders(now)
 	list := []*recipientGroup{g.members, g.nearLeaders}
 	if n.regionLeader(now) == n.cfg.Self {
-		g.farLeaders.loadAt = func(key balance.LoadKey) balance.Load { return s.domain[key].Plus(s.region[key]) }
-		g.farLeaders.loads, g.farLeaders.peers = func() Loads { return sumOf([]Loads{s.domain, s.region}) }, n.otherRegionLeaders(now)
+		g.otherRegionLeaders.loadAt = func(key balance.LoadKey) balance.Load { return s.domain[key].Plus(s.region[key]) }
+		g.otherRegionLeaders.loads, g.otherRegionLeaders.peers = func() Loads { return sumOf([]Loads{s.domain, s.region}) }, n.otherRegionLeaders(now)
 		g.regionRelay.loadAt = func(key balance.LoadKey) balance.Load { return s.otherRegions[key] }
 		g.regionRelay.loads, g.regionRelay.peers = func() Loads { return s.otherRegions }, g.nearLeaders.peers
-		list = append(list, g.farLeaders, g.regionRelay)
+		list = append(list, g.otherRegionLeaders, g.regionRelay)
 	}
 	return slices.DeleteFunc(list, func(g *recipientGroup) bool { return len(g.peers) == 0 || !n.canSendTo(now, g) })
 }
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -122,7 +122,7 @@
 	w.linkCut = nil
 	w.run(2 * time.Second)
 	for kind, bytes := range w.bytesByKind {
-		if kind.reach == ReachFar {
+		if kind.reach == ReachOtherRegion {
 			is.True(bytes < 40_000) // of all boxes, in 2 s
 		}
 	}
--- a/group/schedules_test.go
+++ b/group/schedules_test.go
@@ -181,15 +181,15 @@
 	w.setOwnLanes()
 	w.runChecked(t, path, 2*time.Second)
 	leaders := make(map[string]string) // by domain
-	want := w.places(otherLeader)
+	want := w.reservedUpstreams(otherLeader)
 	for name, b := range w.boxes {
 		leader := b.node.LeaderName()
 		if other, ok := leaders[b.self.Domain]; ok && other != leader {
 			t.Fatalf("%s: %s and %s are both followed as leader", actionNames(path), leader, other)
 		}
 		leaders[b.self.Domain] = leader
-		if got := w.places(name); got != want {
-			t.Fatalf("%s: %s uses %d places, another box %d", actionNames(path), name, got, want)
+		if got := w.reservedUpstreams(name); got != want {
+			t.Fatalf("%s: %s reserves %d upstreams, another box %d", actionNames(path), name, got, want)
 		}
 	}
 }
--- a/group/send.go
+++ b/group/send.go
@@ -231,7 +231,7 @@
 		m.Leads, m.Reads = true, !n.readFailed
 		m.DomainBoxes, m.AllBoxes = uint32(n.domainBoxes(now)), uint32(n.maxBoxes)
 		m.Lanes = n.packLanes(now)
-		m.CutOff = n.cutOff
+		m.CutOff = n.unreachable
 	}
 	return m
 }
@@ -257,21 +257,21 @@
 // With an empty domain, only leaders are listed.
 func (n *Node) boxesFor(domain string, now time.Duration) []*wire.GroupBox {
 	var own []*wire.GroupBox
-	leads := make(map[string]*wire.GroupBox)
+	leaders := make(map[string]*wire.GroupBox)
 	for _, p := range n.peers {
 		switch recent := now-p.lastHeard < listedTimeouts*n.cfg.Timing.MemberTimeout; {
 		case !recent || p.leaving:
 		case p.box.Domain == domain:
 			own = append(own, p.box)
-		case p.isLeader && (leads[p.box.Domain] == nil || stronger(p.box, leads[p.box.Domain])):
-			leads[p.box.Domain] = p.box
+		case p.isLeader && (leaders[p.box.Domain] == nil || stronger(p.box, leaders[p.box.Domain])):
+			leaders[p.box.Domain] = p.box
 		}
 	}
 	slices.SortFunc(own, strongestFirst)
 	if domain != n.cfg.Self.Domain {
 		own = own[:min(len(own), maxForeignListed)]
 	}
-	list := slices.AppendSeq(own, maps.Values(leads))
+	list := slices.AppendSeq(own, maps.Values(leaders))
 	slices.SortFunc(list, strongestFirst)
 	return list[:min(len(list), maxListed)]
 }
--- a/group/sentparts.go
+++ b/group/sentparts.go
@@ -136,8 +136,8 @@
 	if n.regionLeader(now) != n.cfg.Self {
 		return
 	}
-	n.sendPartsTo(n.otherRegionLeaders(now), list, scopeRegion, func(k pendingPart) bool { return k.reach != ReachFar && !k.membersOnly })
-	n.sendPartsTo(nearLeaders, list, scopeOtherRegions, func(k pendingPart) bool { return k.reach == ReachFar })
+	n.sendPartsTo(n.otherRegionLeaders(now), list, scopeRegion, func(k pendingPart) bool { return k.reach != ReachOtherRegion && !k.membersOnly })
+	n.sendPartsTo(nearLeaders, list, scopeOtherRegions, func(k pendingPart) bool { return k.reach == ReachOtherRegion })
 }
 
 // sendPartsTo sends the items accepted by fits to some boxes, except to the box that all of them
--- a/group/simulation_test.go
+++ b/group/simulation_test.go
@@ -222,7 +222,7 @@
 			continue
 		}
 		delay := time.Duration(w.random.IntN(4)) * step
-		if o.Reach == ReachFar {
+		if o.Reach == ReachOtherRegion {
 			delay += w.regionDelay
 		}
 		w.inFlight = append(w.inFlight, packet{w.now + delay, b.self.Name, o.To, data})
--- a/group/suspects_test.go
+++ b/group/suspects_test.go
@@ -215,15 +215,15 @@
 		}
 		h := newSuspectTables(w)
 		h.runTables(2 * time.Second)
-		all := w.bytesByKind[sentKey{KindSuspects, ReachDomain}]
+		before := w.bytesByKind[sentKey{KindSuspects, ReachDomain}]
 		for i := range 50 {
 			h.crash(fmt.Sprintf("b%03d", 2*i+1), uint64(1000+i), "u1")
 		}
 		h.runTables(time.Second)
-		b.ReportMetric(float64(w.bytesByKind[sentKey{KindSuspects, ReachDomain}]-all), "B/end")
-		all = w.bytesByKind[sentKey{KindSuspects, ReachDomain}]
+		b.ReportMetric(float64(w.bytesByKind[sentKey{KindSuspects, ReachDomain}]-before), "B/end")
+		before = w.bytesByKind[sentKey{KindSuspects, ReachDomain}]
 		h.crash("b001", 1000, "u2")
 		h.runTables(time.Second)
-		b.ReportMetric(float64(w.bytesByKind[sentKey{KindSuspects, ReachDomain}]-all), "B/withheld")
+		b.ReportMetric(float64(w.bytesByKind[sentKey{KindSuspects, ReachDomain}]-before), "B/withheld")
 	}
 }
--- a/group/takeover.go
+++ b/group/takeover.go
@@ -116,7 +116,7 @@
 		return true
 	case g == n.recipients.nearLeaders:
 		return h.domainKnown
-	case g == n.recipients.farLeaders:
+	case g == n.recipients.otherRegionLeaders:
 		return h.domainKnown && h.regionKnown
 	}
 	return h.otherRegionsKnown
--- a/group/cutoff.go
+++ b/group/unreachable.go
@@ -33,24 +33,24 @@
 	return list
 }
 
-// SetUnreachableDomains sets the domains that this box cannot reach, in sorted order. A leader announces them
-// to its members at once.
+// SetUnreachableDomains sets the domains that this box cannot reach, in sorted order. A
+// leader announces them to its members at once.
 func (n *Node) SetUnreachableDomains(domains []string) {
-	if slices.Equal(domains, n.cutOff) {
+	if slices.Equal(domains, n.unreachable) {
 		return
 	}
-	n.cutOff = domains
+	n.unreachable = domains
 	if n.IsLeader() {
 		n.lastHeartbeat = never
 	}
 }
 
-// UnreachableDomains returns the domains that the leader of this box cannot reach, or none if the leader is
-// not heard.
+// UnreachableDomains returns the domains that the leader of this box cannot reach, or
+// none if the leader is not heard.
 func (n *Node) UnreachableDomains(now time.Duration) []string {
 	p := n.peers[n.leader().Name]
 	if p == nil || !p.isLeader || now-p.lastHeard > n.cfg.Timing.LeaderTimeout {
 		return nil
 	}
-	return p.cutOff
+	return p.unreachable
 }
