--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -64,11 +64,11 @@
 	second, ok := f.Place(2*time.Second, r, nil)
 	is.True(ok)
 	is.True(second.Upstream.Domain != first.Upstream.Domain)
-	is.Equal(second.Fetch, first.Upstream.Address)
+	is.Equal(second.FetchFrom, first.Upstream.Address)
 	f.markUnreachable(f.byID[first.Upstream.ID], false)
 	third, ok := f.Place(2*time.Second, r, nil)
 	is.True(ok)
-	is.Equal(third.Fetch, "")
+	is.Equal(third.FetchFrom, "")
 }
 
 func TestUpstreamsListedLaterAreEvacuated(t *testing.T) {
@@ -79,12 +79,12 @@
 	_, ok := f.Place(time.Second, Request{Service: "s"}, nil)
 	is.True(!ok)
 	f.markUnreachable(f.byID["u"], false)
-	is.Equal(len(f.Unreached()), 0) // no probes either
+	is.Equal(len(f.Unreachable()), 0) // no probes either
 	is.Equal(f.Evacuated(), []string{"d1"})
 
 	is.True(f.EndEvacuation(2*time.Second, "d1"))
 	is.True(!f.EndEvacuation(2*time.Second, "d1"))
-	is.Equal(len(f.Unreached()), 1)
+	is.Equal(len(f.Unreachable()), 1)
 	_, ok = f.Place(2*time.Second, Request{Service: "s"}, nil)
 	is.True(ok)
 }
@@ -94,8 +94,8 @@
 func TestDomainIsColdAfterEvacuation(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6)
-	f.SetCold("s", ColdLimit{Lasts: 3 * time.Second, Most: 12})
-	f.SetSharers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
+	f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 12})
+	f.SetQuotaPeers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
 	for _, d := range []string{"d0", "d1", "d2"} {
 		f.Evacuate(d)
 	}
@@ -170,9 +170,9 @@
 		}
 		lost++
 		ticket.Close(now, Replaced)
-		news := f.KeptNews()
+		news := f.TakePartReports()
 		for _, other := range boxes { // as the group reports it
-			other.NoteKept(now, news)
+			other.NotePartReports(now, news)
 		}
 	}
 	is.True(lost <= 30)
--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -61,7 +61,7 @@
 			home, _ := f.Place(0, letter(1), nil)
 			for id := range f.byID {
 				if id != home.Upstream.ID && !tightUpstreams(f)[id] {
-					f.NoteKept(0, []PartReport{{PartKey(1), Key(id)}})
+					f.NotePartReports(0, []PartReport{{PartKey(1), Key(id)}})
 					c, _ := f.Place(0, letter(1), nil)
 					return c.Upstream.ID == id
 				}
@@ -72,12 +72,12 @@
 			home, _ := f.Place(0, letter(1), nil)
 			f.Open(0, home.Upstream.ID, letter(1))
 			c, _ := f.Place(0, letter(1), []string{home.Upstream.ID})
-			return c.Fetch != ""
+			return c.FetchFrom != ""
 		}},
 		{DomainCutOff, func(f *Fleet) bool {
 			f.Open(0, "u1", letter(1)).Close(0, Unreachable)
 			f.Open(0, "u4", letter(1)).Close(0, Unreachable)
-			return len(f.Unreached()) == 3
+			return len(f.Unreachable()) == 3
 		}},
 		{FailureBackoff, func(f *Fleet) bool {
 			home, _ := f.Place(0, letter(1), nil)
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -14,7 +14,7 @@
 // unsharedRequest returns a request whose prompt shares almost nothing, with an expected answer
 // length.
 func unsharedRequest(id uint64, tokens, expected int) Request {
-	return Request{Service: "s", Tokens: tokens, Expected: expected, Parts: []Part{{ID: 1, Tokens: 1}, {ID: 1e9 + id, Tokens: tokens - 1}}}
+	return Request{Service: "s", Tokens: tokens, ExpectedTokens: expected, Parts: []Part{{ID: 1, Tokens: 1}, {ID: 1e9 + id, Tokens: tokens - 1}}}
 }
 
 func newMemoryFleet(upstreams int) *Fleet {
@@ -102,7 +102,7 @@
 	is := is.New(t)
 	f := fleetWithAnswers(3)
 	f.SetMemory("s", testMemory)
-	late := Progress{Events: 10, Between: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
+	late := Progress{Events: 10, EventInterval: 400 * time.Millisecond, TimeLeft: 1500 * time.Millisecond}
 	setRemoteMemory(f, f.byID["u1"], 0, testMemory*9/10)
 	m, ok := f.MoveTo(time.Second, longRequest(100, 360), "u0", late)
 	is.True(ok)
--- a/balance/move.go
+++ b/balance/move.go
@@ -36,9 +36,9 @@
 
 // Progress is the state of a running answer.
 type Progress struct {
-	Events  int           // events received so far
-	Between time.Duration // recent time between two events
-	Left    time.Duration // time until the caller's deadline
+	Events        int           // events received so far
+	EventInterval time.Duration // recent time between two events
+	TimeLeft      time.Duration // time until the caller's deadline
 }
 
 // Move is a decision to move an answer.
@@ -55,15 +55,15 @@
 		return Move{}, false
 	}
 	a := &f.serviceOf(r.Service).answers
-	rest := a.remainingEvents(r.Expected, p.Events)
-	here := time.Duration(rest * float64(p.Between))
+	rest := a.remainingEvents(r.ExpectedTokens, p.Events)
+	here := time.Duration(rest * float64(p.EventInterval))
 	there := time.Duration(rest * float64(a.movedInterval()))
-	if there == 0 || here < p.Left {
+	if there == 0 || here < p.TimeLeft {
 		return Move{}, false
 	}
 	there += moveDuration
-	early := p.Left > moveSlackFactor*there+moveCheckInterval
-	if early || there > p.Left || here < moveMinSpeedup*there {
+	early := p.TimeLeft > moveSlackFactor*there+moveCheckInterval
+	if early || there > p.TimeLeft || here < moveMinSpeedup*there {
 		return Move{}, false
 	}
 	to := f.moveTarget(now, r, source)
@@ -113,7 +113,7 @@
 // backlog.
 func (f *Fleet) canReceiveMove(now time.Duration, m *member, r Request) bool {
 	full := float64(m.open()+1) > moveMaxOccupancy*float64(m.Slots)
-	return !full && !m.unreachable && now >= m.coldTill && f.limitOf(m) == nil && f.pauseOf(m) == nil && f.backlog(now, m, r.urgencyLevel()) == 0
+	return !full && !m.unreachable && now >= m.coldUntil && f.limitOf(m) == nil && f.pauseOf(m) == nil && f.backlog(now, m, r.urgencyLevel()) == 0
 }
 
 // OpenMoved returns a ticket for an answer that has moved to an upstream, which needs no prefill
--- a/balance/partindex_test.go
+++ b/balance/partindex_test.go
@@ -23,12 +23,12 @@
 	is := is.New(t)
 	f := newInformedFleet(9)
 	first, _ := f.Place(0, prompt(7), nil)
-	is.Equal(first.Fetch, "") // no upstream holds it
+	is.Equal(first.FetchFrom, "") // no upstream holds it
 	is.True(!first.Kept)
 	f.Open(0, first.Upstream.ID, Request{Service: "s", Tokens: 500})
 	second, _ := f.Place(0, prompt(7), nil)
 	is.True(second.Upstream.ID != first.Upstream.ID)
-	is.Equal(second.Fetch, "")
+	is.Equal(second.FetchFrom, "")
 }
 
 // Once a part has been sent to an upstream, all boxes that received the report place requests
@@ -40,17 +40,17 @@
 	busy := a.Open(0, home.Upstream.ID, Request{Service: "s", Tokens: 500})
 	holder := serve(a, 0, prompt(7)).Upstream
 	busy.Close(0, Answered)
-	b.NoteKept(0, a.KeptNews())
-	is.Equal(len(a.KeptNews()), 0) // reported once
+	b.NotePartReports(0, a.TakePartReports())
+	is.Equal(len(a.TakePartReports()), 0) // reported once
 	for _, f := range []*Fleet{a, b} {
 		c, _ := f.Place(time.Second, prompt(7), nil)
 		is.Equal(c.Upstream.ID, holder.ID) // although another upstream is its home
 		is.True(c.Kept)
-		is.Equal(c.Fetch, "")
+		is.Equal(c.FetchFrom, "")
 		f.Open(time.Second, holder.ID, Request{Service: "s", Tokens: 100000})
 		c, _ = f.Place(time.Second, prompt(7), nil)
 		is.True(c.Upstream.ID != holder.ID)
-		is.Equal(c.Fetch, holder.Address)
+		is.Equal(c.FetchFrom, holder.Address)
 	}
 }
 
@@ -85,14 +85,14 @@
 	is := is.New(t)
 	f := newInformedFleet(9)
 	serve(f, 0, prompt(7))
-	is.Equal(len(f.KeptNews()), 1)
+	is.Equal(len(f.TakePartReports()), 1)
 	serve(f, time.Second, prompt(7))
-	is.Equal(len(f.KeptNews()), 0)
+	is.Equal(len(f.TakePartReports()), 0)
 	serve(f, rereportInterval, prompt(7))
-	is.Equal(len(f.KeptNews()), 1)
-	f.NoteKept(2*rereportInterval, []PartReport{{PartKey(7), f.holderOfPart(t, 7).key}})
+	is.Equal(len(f.TakePartReports()), 1)
+	f.NotePartReports(2*rereportInterval, []PartReport{{PartKey(7), f.holderOfPart(t, 7).key}})
 	serve(f, 2*rereportInterval, prompt(7))
-	is.Equal(len(f.KeptNews()), 0) // another box has just reported it
+	is.Equal(len(f.TakePartReports()), 0) // another box has just reported it
 }
 
 // holderOfPart returns the only upstream that holds a part.
@@ -121,7 +121,7 @@
 			case 1:
 				f.Put(now, Upstream{ID: id, Service: "s", Slots: 4})
 			case 2:
-				f.NoteKept(now, []PartReport{{PartKey(shared), Key(id)}})
+				f.NotePartReports(now, []PartReport{{PartKey(shared), Key(id)}})
 			default:
 				if c, ok := f.Place(now, prompt(shared), nil); ok {
 					f.Open(now, c.Upstream.ID, prompt(shared)).Close(now, Outcome(rapid.IntRange(0, 4).Draw(t, "outcome")))
@@ -145,14 +145,14 @@
 	is := is.New(t)
 	f := newInformedFleet(4)
 	for shared := range uint64(maxParts + 100) {
-		f.NoteKept(0, []PartReport{{uint32(shared), Key("u1")}})
+		f.NotePartReports(0, []PartReport{{uint32(shared), Key("u1")}})
 	}
 	is.Equal(len(f.parts.holders), maxParts)
-	is.Equal(f.parts.sweptAt, time.Duration(0))                        // all excess parts caused a single scan
-	f.NoteKept(cacheLifetime, []PartReport{{maxParts + 1, Key("u1")}}) // expired parts make room
+	is.Equal(f.parts.sweptAt, time.Duration(0))                               // all excess parts caused a single scan
+	f.NotePartReports(cacheLifetime, []PartReport{{maxParts + 1, Key("u1")}}) // expired parts make room
 	is.Equal(len(f.parts.holders), 1)
 	for shared := range uint64(maxReports + 100) {
 		f.Open(cacheLifetime, "u1", prompt(shared))
 	}
-	is.Equal(len(f.KeptNews()), maxReports)
+	is.Equal(len(f.TakePartReports()), maxReports)
 }
--- a/balance/rtt_test.go
+++ b/balance/rtt_test.go
@@ -114,7 +114,7 @@
 		}
 	}
 	is.True(far > 30)
-	f.NoteKept(time.Second, []PartReport{{PartKey(7), Key("u2")}}) // in another region
+	f.NotePartReports(time.Second, []PartReport{{PartKey(7), Key("u2")}}) // in another region
 	c, _ := f.Place(time.Second, large(7), nil)
 	is.Equal(c.Upstream.ID, "u2")
 }
@@ -192,7 +192,7 @@
 func TestFetchesAndMovesPreferNearUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := newRegionalFleet(30)
-	f.NoteKept(time.Second, []PartReport{{PartKey(7), Key("u2")}, {PartKey(7), Key("u7")}}) // u7 is in a1
+	f.NotePartReports(time.Second, []PartReport{{PartKey(7), Key("u2")}, {PartKey(7), Key("u7")}}) // u7 is in a1
 	f.SetRemoteLoads(map[LoadKey]Load{{Key("u7"), 0}: {Requests: 5}})
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u0"]), "10.0.0.7:1")
 	is.Equal(f.fetchFrom(time.Second, large(7), f.byID["u8"]), "10.0.0.2:1")
@@ -214,14 +214,14 @@
 		f.cfg.FirstStart = rapid.Bool().Draw(t, "first start")
 		regions := []string{"a", "b", "c", "none"}
 		r := large(uint64(rapid.IntRange(1, 3).Draw(t, "part")))
-		r.Class, r.Gap, r.Expected = "c", 300*time.Millisecond, 100
+		r.Class, r.MaxGap, r.ExpectedTokens = "c", 300*time.Millisecond, 100
 		r.Homes = route.Homes{Bound: true, Regions: rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 0, 3, rapid.ID).Draw(t, "homes")}
 		now := time.Duration(rapid.IntRange(0, 200).Draw(t, "s")) * time.Second
 		loads := make(map[LoadKey]Load)
 		for i := range 24 {
 			id := fmt.Sprintf("u%d", i)
 			if rapid.Bool().Draw(t, "keeps") {
-				f.NoteKept(now, []PartReport{{PartKey(uint64(rapid.IntRange(1, 3).Draw(t, "kept"))), Key(id)}})
+				f.NotePartReports(now, []PartReport{{PartKey(uint64(rapid.IntRange(1, 3).Draw(t, "kept"))), Key(id)}})
 			}
 			if rapid.IntRange(0, 4).Draw(t, "out") == 0 {
 				f.recordUnreachable(now, f.byID[id])
@@ -237,8 +237,8 @@
 		var tried []string
 		for c, ok := f.Place(now, r, tried); ok; c, ok = f.Place(now, r, tried) {
 			within("placed", c.Upstream.Address)
-			if c.Fetch != "" {
-				within("fetched", c.Fetch)
+			if c.FetchFrom != "" {
+				within("fetched", c.FetchFrom)
 			}
 			if m := f.moveTarget(now, r, f.byID[c.Upstream.ID]); m != nil {
 				within("moved", m.Address)
@@ -249,7 +249,7 @@
 		a := &f.serviceOf("s").answers
 		a.events.add(1, 1)
 		a.calm.add(15, minAnswers) // ms from one event to the next
-		m, ok := f.MoveTo(now, r, from, Progress{Events: 5, Between: 400 * time.Millisecond, Left: time.Second})
+		m, ok := f.MoveTo(now, r, from, Progress{Events: 5, EventInterval: 400 * time.Millisecond, TimeLeft: time.Second})
 		if ok {
 			within("moved from", f.byID[from].Address)
 			within("moved to", m.To.Address)
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -89,7 +89,7 @@
 	x.ticket = r.fleet.Open(r.now(), choice.Upstream.ID, q)
 	wake(r.members.loaded)
 	x.upstream = *choice.Upstream
-	x.fetchOffered, x.prefixCached, x.backlog = choice.Fetch != "", choice.Kept, choice.Backlog
+	x.fetchOffered, x.prefixCached, x.backlog = choice.FetchFrom != "", choice.Kept, choice.Backlog
 	return choice, true
 }
 
@@ -97,17 +97,17 @@
 func (x *exchange) placement() balance.Request {
 	p := &x.request.prompt
 	return balance.Request{
-		Service:     x.service,
-		Parts:       p.Parts,
-		Tokens:      p.Tokens,
-		Bytes:       x.request.headBytes + len(x.request.body) + p.Expected*bytesPerToken,
-		CanTransfer: x.canFetchPrompts(),
-		Class:       x.route.Name,
-		Gap:         x.route.EventGap,
-		Expected:    p.Expected,
-		Homes:       route.HomesOf(x.route, x.customer),
-		Urgency:     x.urgency,
-		Waited:      x.pauseWaited > 0,
+		Service:        x.service,
+		Parts:          p.Parts,
+		Tokens:         p.Tokens,
+		Bytes:          x.request.headBytes + len(x.request.body) + p.Expected*bytesPerToken,
+		CanTransfer:    x.canFetchPrompts(),
+		Class:          x.route.Name,
+		MaxGap:         x.route.EventGap,
+		ExpectedTokens: p.Expected,
+		Homes:          route.HomesOf(x.route, x.customer),
+		Urgency:        x.urgency,
+		Waited:         x.pauseWaited > 0,
 	}
 }
 
@@ -129,7 +129,7 @@
 
 // runOn runs the request on the chosen upstream.
 func (x *exchange) runOn(choice balance.Choice) (runState, []byte) {
-	return x.send(x.nextRun(choice.Fetch))
+	return x.send(x.nextRun(choice.FetchFrom))
 }
 
 // send runs the request with the given parameters. With runAnswered, either the whole body has been
