--- a/relay/caller_test.go
+++ b/relay/caller_test.go
@@ -47,7 +47,7 @@
 // isIdle reports whether no request is active and only the given number of callers' connections is
 // charged to the memory account.
 func (b *testBox) isIdle(connections int64) bool {
-	return b.relay.stats.open.Load() == 0 && b.relay.account.Used() == connections*callerBytes
+	return b.relay.stats.openRequests.Load() == 0 && b.relay.account.Used() == connections*callerBytes
 }
 
 // endlessStream writes events of 1,000 bytes until the connection fails.
@@ -83,7 +83,7 @@
 	}
 	b.waitFor(func() bool { return b.isIdle(0) })
 	b.waitFor(func() bool { return b.activeHandlers() == 0 })
-	is.Equal(b.relay.stats.counted(callersCutOff), uint64(callers))
+	is.Equal(b.relay.stats.counterValue(callersCutOff), uint64(callers))
 	b.waitFor(func() bool { return b.log.contains(`"msg":"request: caller does not read"`) })
 	is.True(!b.log.contains(`"msg":"run: failed"`)) // the upstream is not blamed
 	b.relay.mu.Lock()
@@ -100,7 +100,7 @@
 	b := newTestBoxWithConfig(t, withMemoryBound(64<<20), u)
 	_, err := io.WriteString(b.dialBox(), rawRequest("/once/x", ""))
 	is.NoErr(err)
-	b.waitFor(func() bool { return b.relay.stats.counted(callersCutOff) == 1 && b.isIdle(0) })
+	b.waitFor(func() bool { return b.relay.stats.counterValue(callersCutOff) == 1 && b.isIdle(0) })
 	b.waitFor(func() bool { return b.log.contains("takes nothing") })
 }
 
@@ -126,7 +126,7 @@
 	rest, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
 	is.Equal(read+len(rest), len(whole))
-	is.Equal(b.relay.stats.counted(callersCutOff), uint64(0))
+	is.Equal(b.relay.stats.counterValue(callersCutOff), uint64(0))
 }
 
 func TestRequestsArrivingInPiecesAreServed(t *testing.T) {
@@ -195,7 +195,7 @@
 			is.Equal(a.header.Get("X-Id"), "id-/once/x")
 			is.True(strings.Contains(a.body, `"ran":"no"`))
 			is.Equal(len(u.requests()), 0)
-			is.Equal(b.relay.stats.counted(callersTurnedAway), uint64(1))
+			is.Equal(b.relay.stats.counterValue(callersTurnedAway), uint64(1))
 			is.True(b.relay.account.Peak() <= 1<<20)
 			b.waitFor(func() bool { return b.isIdle(0) })
 			is.Equal(b.do(b.request("POST", "/once/x", "small")).status, 200)
@@ -215,7 +215,7 @@
 		}
 	}
 	b.publisher.set("document", doc, false)
-	b.waitFor(func() bool { return b.relay.belief.document().Version == 2 })
+	b.waitFor(func() bool { return b.relay.published.document().Version == 2 })
 	others := b.relay.account.Lease()
 	is.True(others.Grow(600<<10, 1))
 	is.Equal(b.do(b.request("POST", "/once/x", "")).status, 503)
@@ -386,7 +386,7 @@
 	healthy.Wait()
 	is.Equal(failed.Load(), int64(0))
 	is.True(b.relay.account.Peak() <= bound)
-	is.Equal(b.relay.stats.counted(callersTurnedAway), uint64(0))
+	is.Equal(b.relay.stats.counterValue(callersTurnedAway), uint64(0))
 }
 
 // The document limits how long a connection may be idle and how long a header may take to arrive.
@@ -397,7 +397,7 @@
 	doc := testDocument(2)
 	doc.Limits.HeaderWait, doc.Limits.IdleWait = 150*time.Millisecond, 100*time.Millisecond
 	b.publisher.set("document", doc, false)
-	b.waitFor(func() bool { return b.relay.belief.document().Version == 2 })
+	b.waitFor(func() bool { return b.relay.published.document().Version == 2 })
 	for _, c := range []struct {
 		name string
 		sent string
--- a/relay/documentwait.go
+++ b/relay/documentwait.go
@@ -24,7 +24,7 @@
 // ended, and their next attempt is often the last: a refusal sent 0.2 s before the box could serve
 // would fail the request.
 func (r *Relay) awaitDocument(q *request, conn net.Conn) (doc *route.Document, disconnected bool) {
-	if d := r.belief.document(); d != nil {
+	if d := r.published.document(); d != nil {
 		return d, false
 	}
 	maxWait := maxDocumentWait
@@ -37,10 +37,10 @@
 	callerGone := make(chan struct{})
 	watch := watchDisconnect(conn, func() { close(callerGone) })
 	select {
-	case <-r.belief.known:
+	case <-r.published.ready:
 	case <-timer.C:
 	case <-callerGone:
 	}
 	watch.stop()
-	return r.belief.document(), watch.disconnected.Load()
+	return r.published.document(), watch.disconnected.Load()
 }
--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -71,7 +71,7 @@
 	document := testDocument(2)
 	document.Services[0].Moves = true
 	m.publisher.set("document", document, false)
-	m.waitFor(func() bool { return m.relay.version() == 2 })
+	m.waitFor(func() bool { return m.relay.documentVersion() == 2 })
 	m.trainFleet()
 	return m
 }
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -22,7 +22,7 @@
 	if x.isStream(resp) {
 		return x.acceptStream(resp)
 	}
-	body, err := io.ReadAll(io.LimitReader(&keptReader{exchange: x, answer: resp}, maxBufferedResponse+1))
+	body, err := io.ReadAll(io.LimitReader(&chargedReader{exchange: x, answer: resp}, maxBufferedResponse+1))
 	x.detachConn()
 	whole := err == nil && len(body) <= maxBufferedResponse
 	x.relay.releaseConn(resp, whole)
@@ -102,12 +102,12 @@
 		x.relay.noteEnd(x.upstream.Incarnation())
 	}
 	if outcome == balance.Replaced {
-		x.relay.takeName(x.upstream.Incarnation(), x.replacement)
+		x.relay.noteMisdirected(x.upstream.Incarnation(), x.replacement)
 	}
 	x.dropUnreached(outcome)
 	if outcome == balance.ConnectionLost {
 		x.runsCut++
-		x.noteCutOff()
+		x.noteDisconnect()
 	}
 	x.logFailed(state, outcome, err)
 }
@@ -116,15 +116,15 @@
 // replaced. If a newer instance of the upstream is known, its connections are kept: otherwise each
 // failed run on the older instance would close them all.
 func (x *exchange) dropUnreached(outcome balance.Outcome) {
-	if x.relay.isOver(x.upstream) {
+	if x.relay.isReplaced(x.upstream) {
 		return
 	}
 	if isConnectFailure(outcome) || outcome == balance.Replaced {
-		x.relay.conns.forget(x.upstream.ID)
+		x.relay.conns.closeIdle(x.upstream.ID)
 	}
 	if isConnectFailure(outcome) {
-		x.relay.logUnreached(x.upstream.ID)
-		x.relay.tryLater()
+		x.relay.logUnreachable(x.upstream.ID)
+		x.relay.wakeProbeLoop()
 	}
 }
 
@@ -132,11 +132,11 @@
 func (x *exchange) outcomeOfFailure(state runState, err error) balance.Outcome {
 	var status statusError
 	switch {
-	case x.ctx.Err() != nil, errors.Is(err, errShort), errors.Is(err, errNotAccepting), errors.Is(err, errLimit), errors.Is(err, errBudget), x.silent.Load() && state == runUnknown, x.withheldRun.Load():
+	case x.ctx.Err() != nil, errors.Is(err, errMemoryShort), errors.Is(err, errNotAccepting), errors.Is(err, errLimit), errors.Is(err, errBudget), x.silent.Load() && state == runUnknown, x.withheldRun.Load():
 		return balance.Neutral
 	case errors.As(err, &status):
 		return x.outcomeOf(int(status))
-	case state == runUnsent && errors.Is(err, errConnections):
+	case state == runUnsent && errors.Is(err, errConnLimit):
 		return balance.Failed
 	case state == runUnsent && errors.Is(err, syscall.ECONNREFUSED):
 		return balance.ConnectionRefused
@@ -170,7 +170,7 @@
 		fields["error"] = err.Error()
 	}
 	if outcome == balance.ConnectionLost {
-		fields["content"] = contentName(x.contentOf())
+		fields["content"] = formatContentHash(x.requestHash())
 	}
 	r.cfg.Log.Event("run", "failed", fields)
 	r.stats.count("runs_" + runNames[state])
@@ -183,7 +183,7 @@
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budgets.ForService(x.service).Left(r.now(), r.divisor())
+	return r.budgets.ForService(x.service).Remaining(r.now(), r.divisor())
 }
 
 // closeTicket releases the capacity reserved for the current run and reports its outcome.
@@ -193,14 +193,14 @@
 	}
 	r := x.relay
 	if o == balance.Answered {
-		x.noteAnswer()
+		x.noteAnswered()
 	}
 	r.mu.Lock()
 	x.ticket.Close(r.now(), o)
 	r.wakeReady(x.service)
 	over := r.fleet.PausesOver()
 	r.mu.Unlock()
-	r.logPausesOver(over)
-	wake(r.members.loaded)
+	r.logPausesEnded(over)
+	wake(r.members.loadsChanged)
 	x.ticket = nil
 }
--- a/relay/request.go
+++ b/relay/request.go
@@ -82,8 +82,8 @@
 
 // forwardHeaders returns the header lines to forward to the upstream.
 func (r *Relay) forwardHeaders(h *fasthttp.RequestHeader) []byte {
-	vital := r.cfg.Protocol.vital()
-	drop := slices.Concat(r.cfg.Protocol.own(), hopByHopHeaders)
+	vital := r.cfg.Protocol.alwaysForwarded()
+	drop := slices.Concat(r.cfg.Protocol.neverForwarded(), hopByHopHeaders)
 	hop := connectionHeaders(h)
 	var out bytes.Buffer
 	for name, value := range h.All() {
--- a/relay/runs_test.go
+++ b/relay/runs_test.go
@@ -155,7 +155,7 @@
 
 func TestConnectionLimitIsEnforced(t *testing.T) {
 	is := is.New(t)
-	p := newConns(func(string) int { return 2 })
+	p := newConnPool(func(string) int { return 2 })
 	is.True(p.reserve("u", 2))
 	is.True(p.reserve("u", 2))
 	is.True(!p.reserve("u", 2))
@@ -183,7 +183,7 @@
 	left := func() int {
 		b.relay.mu.Lock()
 		defer b.relay.mu.Unlock()
-		return b.relay.budgets.ForService("s").Left(b.relay.now(), b.relay.divisor())
+		return b.relay.budgets.ForService("s").Remaining(b.relay.now(), b.relay.divisor())
 	}
 	before := left()
 	first := b.do(b.request("GET", "/safe/x", "")) // both upstreams fail their first request
