--- a/balance/partindex_test.go
+++ b/balance/partindex_test.go
@@ -24,7 +24,7 @@
 	f := newInformedFleet(9)
 	first, _ := f.Place(0, prompt(7), nil)
 	is.Equal(first.FetchFrom, "") // no upstream holds it
-	is.True(!first.Kept)
+	is.True(!first.HoldsPart)
 	f.Open(0, first.Upstream.ID, Request{Service: "s", Tokens: 500})
 	second, _ := f.Place(0, prompt(7), nil)
 	is.True(second.Upstream.ID != first.Upstream.ID)
@@ -45,7 +45,7 @@
 	for _, f := range []*Fleet{a, b} {
 		c, _ := f.Place(time.Second, prompt(7), nil)
 		is.Equal(c.Upstream.ID, holder.ID) // although another upstream is its home
-		is.True(c.Kept)
+		is.True(c.HoldsPart)
 		is.Equal(c.FetchFrom, "")
 		f.Open(time.Second, holder.ID, Request{Service: "s", Tokens: 100000})
 		c, _ = f.Place(time.Second, prompt(7), nil)
--- a/balance/place.go
+++ b/balance/place.go
@@ -19,7 +19,7 @@
 	Backlog   int    // prompt tokens that the upstream reads before this request
 	Unread    int    // tokens of this prompt that the upstream has to read
 	Skipped   int    // number of upstreams skipped because they accept no more requests from this box
-	Kept      bool   // the upstream is known or assumed to hold the prompt's last shared part
+	HoldsPart bool   // the upstream is known or assumed to hold the prompt's last shared part
 }
 
 // Place chooses an upstream for a request, or returns false if none is left to try. tried lists
@@ -206,7 +206,7 @@
 		FetchFrom: f.fetchFrom(now, r, chosen),
 		Backlog:   f.backlog(now, chosen, r.urgencyLevel()),
 		Unread:    cost.unread(chosen),
-		Kept:      cost.holds(chosen, r.lastShared()),
+		HoldsPart: cost.holds(chosen, r.lastShared()),
 	}
 }
 
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -89,7 +89,7 @@
 	x.ticket = r.fleet.Open(r.now(), choice.Upstream.ID, q)
 	wake(r.members.loadsChanged)
 	x.upstream = *choice.Upstream
-	x.fetchOffered, x.prefixCached, x.backlog = choice.FetchFrom != "", choice.Kept, choice.Backlog
+	x.fetchOffered, x.prefixCached, x.backlog = choice.FetchFrom != "", choice.HoldsPart, choice.Backlog
 	return choice, true
 }
 
