--- a/relay/events.go
+++ b/relay/events.go
@@ -77,7 +77,7 @@
 
 // charge charges a buffer of the given size if it is larger than all before.
 func (e *eventReader) charge(size int64) error {
-	if e.reserve == nil || size <= max(e.reserved, freeAnswer) {
+	if e.reserve == nil || size <= max(e.reserved, freeAnswerBytes) {
 		return nil
 	}
 	n := size - e.reserved
--- a/relay/move.go
+++ b/relay/move.go
@@ -86,7 +86,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, ok := r.fleet.MoveTo(r.now(), q, x.upstream.ID, p)
-	if !ok || !r.isPresent(x.upstream) || !x.retryPaid && !r.budgets.ForService(x.service).Spend(r.now(), r.divisor()) {
+	if !ok || !r.isCurrent(x.upstream) || !x.retryPaid && !r.budgets.ForService(x.service).Spend(r.now(), r.divisor()) {
 		return m, nil
 	}
 	x.retryPaid = true
@@ -98,7 +98,7 @@
 	r.mu.Lock()
 	m.reservation.Close(r.now(), balance.Neutral)
 	r.mu.Unlock()
-	wake(r.members.loaded)
+	wake(r.members.loadsChanged)
 }
 
 // requestCopy tells the upstream to copy the run's memory and to stop the run.
@@ -126,7 +126,7 @@
 	defer stop()
 	resp, err := r.roundTrip(c, r.buildCall(u, call))
 	if err != nil {
-		r.conns.drop(c)
+		r.conns.discard(c)
 		return 0, nil, err
 	}
 	body, err = io.ReadAll(io.LimitReader(resp.body, maxBufferedResponse))
@@ -150,12 +150,12 @@
 	if c.Name == "" {
 		return false
 	}
-	if at := m.liesAt(c); x.relay.isOver(at) || x.relay.rejectsRequests(at) {
+	if at := m.copyHolder(c); x.relay.isReplaced(at) || x.relay.rejectsRequests(at) {
 		x.relay.discardCopy(m, c, x)
 		return false
 	}
 	x.endRun(false, balance.Neutral)
-	x.upstream = m.liesAt(c)
+	x.upstream = m.copyHolder(c)
 	x.openMoved()
 	params := x.nextRun("")
 	params.runCopy = c.Memory
@@ -190,7 +190,7 @@
 	r.mu.Lock()
 	x.ticket = r.fleet.OpenMoved(r.now(), x.upstream.ID, q)
 	r.mu.Unlock()
-	wake(r.members.loaded)
+	wake(r.members.loadsChanged)
 }
 
 // discardCopy frees a copy that was made but is not used.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -77,9 +77,9 @@
 	startBoot    time.Duration // reading of the clock that counts suspensions, taken at startedAt
 	suspendedFor atomic.Int64  // time.Duration for which the machine was suspended since the start
 	startWall    atomic.Int64  // wall clock time of the start in Unix ns, as derived when the last request arrived
-	belief       belief
+	published    published
 	account      *account.Account // memory used for callers and upstreams
-	conns        *conns
+	conns        *connPool
 	stats        stats
 	callerServer *callerServer
 
@@ -96,7 +96,7 @@
 	// is known.
 	endChecks map[balance.Incarnation]chan struct{}
 
-	trialNeeded  chan struct{} // readable when a connection to an upstream has failed
+	probeWake    chan struct{} // readable when a connection to an upstream has failed
 	stopping     atomic.Bool
 	graceOver    atomic.Bool // the grace period of a planned stop has passed
 	cancel       context.CancelFunc
@@ -115,12 +115,12 @@
 		cfg:         cfg,
 		startedAt:   time.Now(),
 		startBoot:   cfg.Clock.Boot(),
-		belief:      newBelief(),
+		published:   newPublished(),
 		account:     account.New(cfg.Memory),
 		cancel:      cancel,
 		endedTasks:  make(chan string, maxTasks),
 		pullClient:  newPullClient(),
-		trialNeeded: make(chan struct{}, 1),
+		probeWake:   make(chan struct{}, 1),
 		runConns:    make(map[*exchange]*conn),
 		pauseQueues: make(map[string]*pauseQueue),
 		endChecks:   make(map[balance.Incarnation]chan struct{}),
@@ -129,8 +129,8 @@
 	r.startWall.Store(r.startedAt.UnixNano())
 	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, Named: cfg.Limits, Off: cfg.Disabled, FirstStart: cfg.FirstStart})
 	r.budgets = balance.NewBudgets(cfg.Budget, r.now(), cfg.FirstStart)
-	r.conns = newConns(r.connectionCap)
-	r.conns.cameUp = r.noteWay
+	r.conns = newConnPool(r.connectionCap)
+	r.conns.onConnect = r.recordConnectTime
 	r.callerServer = newCallerServer(r)
 	var err error
 	if r.members, err = newMembers(r); err != nil {
@@ -144,11 +144,11 @@
 
 // startTasks starts the background tasks, which run until the box stops.
 func (r *Relay) startTasks(ctx context.Context) {
-	r.startTask("members", func() { r.members.duty(ctx) })
-	r.startTask("reader", func() { r.members.readDuty(ctx) })
-	r.startTask("trials", func() { r.trialDuty(ctx) })
+	r.startTask("members", func() { r.members.run(ctx) })
+	r.startTask("reader", func() { r.members.readLoop(ctx) })
+	r.startTask("trials", func() { r.probeLoop(ctx) })
 	if r.cfg.Protocol.ReportCall != nil {
-		r.startTask("silence", func() { r.silenceDuty(ctx) })
+		r.startTask("silence", func() { r.silenceLoop(ctx) })
 	}
 	if r.cfg.ControlListener != nil {
 		r.startTask("control", r.serveControl)
@@ -178,7 +178,7 @@
 
 // connectionCap returns how many connections this box may open to one upstream of the service.
 func (r *Relay) connectionCap(service string) int {
-	doc := r.belief.document()
+	doc := r.published.document()
 	if doc == nil {
 		return 1
 	}
@@ -194,4 +194,4 @@
 }
 
 // Ready reports whether the box accepts requests: it has a routing document and is not stopping.
-func (r *Relay) Ready() bool { return !r.stopping.Load() && r.belief.document() != nil }
+func (r *Relay) Ready() bool { return !r.stopping.Load() && r.published.document() != nil }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -119,7 +119,7 @@
 			a := b.do(b.request("POST", path, "").WithContext(ctx))
 			is.True(a.err != nil)
 			<-u.closed // the upstream sees its connection closed
-			b.waitFor(func() bool { return b.relay.stats.open.Load() == 0 })
+			b.waitFor(func() bool { return b.relay.stats.openRequests.Load() == 0 })
 		})
 	}
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -30,17 +30,17 @@
 // acceptStream waits for the first events of a stream, so that a run that fails before them can still
 // be answered otherwise.
 func (x *exchange) acceptStream(resp *response) (runState, []byte, error) {
-	e := &eventReader{src: resp.body, reserve: x.keep}
+	e := &eventReader{src: resp.body, reserve: x.chargeAnswer}
 	if x.events != nil {
 		e = x.events
 		e.continueWith(resp.body)
 	}
-	x.listen(nil)
+	x.startReadWait(nil)
 	pending, err := e.next()
-	x.heard()
+	x.endReadWait()
 	if err != nil && !errors.Is(err, io.EOF) {
 		x.detachConn()
-		x.relay.conns.drop(resp.conn)
+		x.relay.conns.discard(resp.conn)
 		return runUnknown, nil, err
 	}
 	if x.firstEventsAfter == 0 {
@@ -51,7 +51,7 @@
 	x.ticket.NoteFirstEvent(x.relay.now())
 	x.relay.wakeReady(x.service)
 	x.relay.mu.Unlock()
-	wake(x.relay.members.loaded)
+	wake(x.relay.members.loadsChanged)
 	x.eventsBegan.Store(true)
 	x.response, x.events, x.pendingEvents = resp, e, pending
 	return runAnswered, nil, nil
@@ -60,9 +60,9 @@
 // Read returns the next bytes of the stream for the caller.
 func (x *exchange) Read(p []byte) (int, error) {
 	for len(x.pendingEvents) == 0 {
-		x.listen(nil)
+		x.startReadWait(nil)
 		pending, err := x.events.next()
-		x.heard()
+		x.endReadWait()
 		x.pendingEvents = pending
 		if len(pending) > 0 {
 			x.pace.observe(time.Now(), x.route.EventGap)
@@ -99,7 +99,7 @@
 // outcomeOfDisconnect returns what an interrupted stream says about its upstream: nothing if the
 // caller disconnected, this box lacked memory, or the connection was silent.
 func (x *exchange) outcomeOfDisconnect(cause error) balance.Outcome {
-	if x.watch.disconnected.Load() || errors.Is(cause, errShort) || errors.Is(cause, errSilent) {
+	if x.watch.disconnected.Load() || errors.Is(cause, errMemoryShort) || errors.Is(cause, errSilent) {
 		return balance.Neutral
 	}
 	if isConnectionLost(cause) {
--- a/relay/suspension.go
+++ b/relay/suspension.go
@@ -44,7 +44,7 @@
 		return
 	}
 	r.suspendedFor.Store(int64(suspended))
-	r.cfg.Log.Event("box", "was suspended", Fields{"for_ms": (suspended - before).Milliseconds(), "open": r.stats.open.Load()})
+	r.cfg.Log.Event("box", "was suspended", Fields{"for_ms": (suspended - before).Milliseconds(), "open": r.stats.openRequests.Load()})
 	for x := range r.runConns {
 		x.cancelAtDeadline()
 	}
