--- a/balance/admit.go
+++ b/balance/admit.go
@@ -26,7 +26,7 @@
 
 // refusals holds, by urgency, when a request of a service was last refused and that request's
 // latency target.
-type refusals [Levels]struct {
+type refusals [UrgencyLevels]struct {
 	at     time.Duration
 	target time.Duration // 0: none was refused
 }
--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -109,7 +109,7 @@
 		open := rapid.SliceOfN(rapid.IntRange(0, 20), 3, 3).Draw(t, "open")
 		loads := make(map[LoadKey]Load)
 		for i, id := range []string{"u0", "u1", "u2"} {
-			level := rapid.IntRange(0, Levels-1).Draw(t, "level of the load")
+			level := rapid.IntRange(0, UrgencyLevels-1).Draw(t, "level of the load")
 			loads[LoadKey{Key(id), level}] = Load{Unread: load[i], Requests: open[i]}
 		}
 		f.SetRemoteLoads(loads)
@@ -119,8 +119,8 @@
 			return Admission{Target: time.Duration(target) * time.Millisecond, Retried: rapid.Bool().Draw(t, name+" is a retry")}
 		}
 		urgent, other := prompt(7), prompt(7)
-		urgent.Urgency = rapid.IntRange(0, Levels-2).Draw(t, "urgent")
-		other.Urgency = rapid.IntRange(urgent.Urgency+1, Levels-1).Draw(t, "other")
+		urgent.Urgency = rapid.IntRange(0, UrgencyLevels-2).Draw(t, "urgent")
+		other.Urgency = rapid.IntRange(urgent.Urgency+1, UrgencyLevels-1).Draw(t, "other")
 		f.serviceOf("s").meanUnread = float64(rapid.IntRange(0, 60000).Draw(t, "mean backlog"))
 		first, _ := f.Place(0, urgent, nil)
 		first.Unread = rapid.IntRange(0, 90000).Draw(t, "unread tokens of the urgent")
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -181,7 +181,7 @@
 func (f *Fleet) View(now time.Duration) []View {
 	list := make([]View, 0, len(f.byID))
 	for _, m := range f.byID {
-		load := Load{Unread: m.unreadAhead(Levels - 1), Requests: m.open(), MemoryTokens: m.held()}
+		load := Load{Unread: m.unreadAhead(UrgencyLevels - 1), Requests: m.open(), MemoryTokens: m.held()}
 		list = append(list, View{Upstream: m.Upstream, Out: m.unreachable, Tight: m.tight, Evacuated: m.evacuated,
 			ColdLeft: max(0, m.coldUntil-now), RTT: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
 	}
--- a/balance/incarnation.go
+++ b/balance/incarnation.go
@@ -92,7 +92,7 @@
 }
 
 // hasOpen reports whether this box has requests open on an upstream.
-func (m *member) hasOpen() bool { return m.work.upTo(Levels-1).Requests > 0 }
+func (m *member) hasOpen() bool { return m.work.upTo(UrgencyLevels-1).Requests > 0 }
 
 // isStale reports whether an entry describes an earlier incarnation than the latest known one.
 func (f *Fleet) isStale(u Upstream) bool {
--- a/balance/incarnation_property_test.go
+++ b/balance/incarnation_property_test.go
@@ -203,7 +203,7 @@
 // checkLoads verifies that remote load is counted only on incarnations that were sent requests.
 func (w *incarnationModel) checkLoads(box int, f *Fleet) {
 	for _, m := range f.byID {
-		if m.remoteWork.upTo(Levels-1).Requests > 0 && len(w.sent[m.Incarnation()]) == 0 {
+		if m.remoteWork.upTo(UrgencyLevels-1).Requests > 0 && len(w.sent[m.Incarnation()]) == 0 {
 			w.t.Fatalf("box %d counts remote load on %v, which was sent nothing", box, m.Incarnation())
 		}
 	}
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -126,7 +126,7 @@
 	behind.Put(0, entryOf("u", 200, 2))
 	is.Equal(len(behind.parts.holders), 0)
 	behind.SetRemoteLoads(ahead.Loads())
-	is.Equal(behind.byID["u"].remoteWork.upTo(Levels-1).Requests, 1)
+	is.Equal(behind.byID["u"].remoteWork.upTo(UrgencyLevels-1).Requests, 1)
 }
 
 func TestReplacedIncarnationIsNotUsedAgain(t *testing.T) {
@@ -412,7 +412,7 @@
 			f.Put(0, entryOf("u", c.startedAt, 1))
 			first, second := f.Open(0, "u", prompt(7)), f.Open(0, "u", prompt(8))
 			before, told := f.byID["u"].work, f.Loads()
-			is.True(before.upTo(Levels-1).MemoryTokens > 0)
+			is.True(before.upTo(UrgencyLevels-1).MemoryTokens > 0)
 			c.between(f)
 			want := work{}
 			if c.counted {
@@ -422,7 +422,7 @@
 			is.Equal(f.byID["u"].work, want)
 			first.Close(2*time.Second, Answered)
 			if c.counted {
-				is.Equal(f.byID["u"].work.upTo(Levels-1).Requests, 1)
+				is.Equal(f.byID["u"].work.upTo(UrgencyLevels-1).Requests, 1)
 			}
 			second.Close(2*time.Second, Answered)
 			is.Equal(f.byID["u"].work, work{})
--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -156,7 +156,7 @@
 
 // urgentHolds is, by urgency, until when capacity is reserved for requests of that urgency; 0:
 // none is reserved.
-type urgentHolds [Levels]time.Duration
+type urgentHolds [UrgencyLevels]time.Duration
 
 // reserveForUrgent notes that a request found no capacity because of limits. Until capacity has
 // become available and the refused caller may have retried, the little there is is withheld from
--- a/balance/load.go
+++ b/balance/load.go
@@ -5,8 +5,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Levels is the number of urgency levels. Greater urgency values count as the last level.
-const Levels = 10
+// UrgencyLevels is the number of urgency levels. Greater urgency values count as the last level.
+const UrgencyLevels = 10
 
 // Load is the work that boxes have in progress on an upstream.
 type Load struct {
@@ -42,7 +42,7 @@
 func Key(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 // work is the load by urgency.
-type work [Levels]Load
+type work [UrgencyLevels]Load
 
 // add applies a change to the load at an urgency. Fields of the change may be negative.
 func (w *work) add(urgency int, change Load) { w[urgency] = w[urgency].Plus(change).floored() }
@@ -67,7 +67,7 @@
 	if !m.active {
 		return Load{}
 	}
-	return m.work.upTo(Levels - 1).Plus(m.remoteWork.upTo(Levels - 1))
+	return m.work.upTo(UrgencyLevels - 1).Plus(m.remoteWork.upTo(UrgencyLevels - 1))
 }
 
 // open returns the number of open requests over all boxes.
@@ -111,7 +111,7 @@
 // out of range.
 func (f *Fleet) setRemoteLoad(key LoadKey, load Load) {
 	m := f.byKey[key.Upstream]
-	if m == nil || key.Urgency < 0 || key.Urgency >= Levels {
+	if m == nil || key.Urgency < 0 || key.Urgency >= UrgencyLevels {
 		return
 	}
 	m.remoteWork[key.Urgency] = load
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -140,7 +140,7 @@
 			now := time.Duration(i) * time.Millisecond
 			id := fmt.Sprintf("u%d", rapid.IntRange(0, 2).Draw(t, "upstream"))
 			r := unsharedRequest(uint64(i), rapid.IntRange(2, testMemory).Draw(t, "tokens"), rapid.IntRange(0, 1000).Draw(t, "expected"))
-			r.Urgency = rapid.IntRange(0, Levels).Draw(t, "urgency")
+			r.Urgency = rapid.IntRange(0, UrgencyLevels).Draw(t, "urgency")
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what == 0:
 				open = append(open, f.OpenMoved(now, id, r))
--- a/balance/pause.go
+++ b/balance/pause.go
@@ -178,7 +178,7 @@
 }
 
 // waiters counts, by urgency, the requests of a service that wait for the end of a pause.
-type waits [Levels]int
+type waits [UrgencyLevels]int
 
 // precede reports whether waiting requests go before r: more urgent ones, and equally urgent ones
 // if r has not waited.
--- a/balance/request.go
+++ b/balance/request.go
@@ -32,7 +32,7 @@
 }
 
 // urgencyLevel returns the urgency, limited to the levels that work is counted by.
-func (r Request) urgencyLevel() int { return min(max(r.Urgency, 0), Levels-1) }
+func (r Request) urgencyLevel() int { return min(max(r.Urgency, 0), UrgencyLevels-1) }
 
 // shared returns the parts that other prompts may share: all but the last.
 func (r Request) shared() []Part {
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -63,8 +63,8 @@
 	heads          []responseHead
 	nextArrival    time.Duration
 	arrivals       int
-	refused        [balance.Levels]int
-	placed         [balance.Levels]int
+	refused        [balance.UrgencyLevels]int
+	placed         [balance.UrgencyLevels]int
 }
 
 // limitBounds are the bounds that boxes observe.
@@ -306,7 +306,7 @@
 // receives more than it may, their capacity is used, and urgent requests are placed first.
 func TestLimitedCapacityGoesToUrgentRequests(t *testing.T) {
 	is := is.New(t)
-	var placed, refused [balance.Levels]int
+	var placed, refused [balance.UrgencyLevels]int
 	received, capacity := 0, 0.0
 	for seed := range uint64(6) {
 		d := newLimitReplay(t, limitReplayConfig{seed: seed, domains: 4, boxes: 8, upstreams: 9, perSecond: 36, prompts: seed%2 == 0})
@@ -315,7 +315,7 @@
 		}
 		d.advance(limitSpan + time.Second)
 		from := d.sim.now
-		d.placed, d.refused = [balance.Levels]int{}, [balance.Levels]int{}
+		d.placed, d.refused = [balance.UrgencyLevels]int{}, [balance.UrgencyLevels]int{}
 		d.advance(20 * time.Second)
 		for _, u := range d.upstreams {
 			is.True(u.maxInSpan(d) <= allowedRequests(u.limit))
--- a/group/loadencoding.go
+++ b/group/loadencoding.go
@@ -64,7 +64,7 @@
 	})
 	c := new(wire.GroupColumns)
 	for i, key := range keys {
-		if key.Urgency < 0 || key.Urgency >= balance.Levels {
+		if key.Urgency < 0 || key.Urgency >= balance.UrgencyLevels {
 			continue
 		}
 		if i == 0 || len(c.Upstream) == 0 || c.Upstream[len(c.Upstream)-1] != key.Upstream {
@@ -96,7 +96,7 @@
 		return 0
 	}
 	for i, upstream := range c.Upstream[:min(len(c.Upstream), len(c.Levels))] {
-		for urgency := range balance.Levels {
+		for urgency := range balance.UrgencyLevels {
 			if c.Levels[i]&(1<<urgency) == 0 {
 				continue
 			}
--- a/group/region_test.go
+++ b/group/region_test.go
@@ -233,7 +233,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := make(Loads)
 		for range rapid.IntRange(0, 40).Draw(t, "loads") {
-			key := balance.LoadKey{Upstream: rapid.Uint32().Draw(t, "upstream"), Urgency: rapid.IntRange(0, balance.Levels-1).Draw(t, "urgency")}
+			key := balance.LoadKey{Upstream: rapid.Uint32().Draw(t, "upstream"), Urgency: rapid.IntRange(0, balance.UrgencyLevels-1).Draw(t, "urgency")}
 			l[key] = roundLoad(balance.Load{Unread: rapid.IntRange(0, 1<<20).Draw(t, "unread"), Requests: rapid.IntRange(0, 99).Draw(t, "open"),
 				Tight: rapid.IntRange(0, 9).Draw(t, "tight"), MemoryTokens: rapid.IntRange(0, 1<<24).Draw(t, "held")})
 		}
