--- a/relay/suspension_test.go
+++ b/relay/suspension_test.go
@@ -82,7 +82,7 @@
 	is.Equal((<-got).status, http.StatusOK)
 	ms, err := strconv.Atoi(<-left)
 	is.NoErr(err)
-	is.True(ms <= 2000) // of 4,000 ms, of which the machine was suspended for two seconds
+	is.True(ms <= 2000) // at most 4,000, less two seconds of suspension
 }
 
 // Ages include suspensions; otherwise old information would be taken for new.
