--- a/relay/caller.go
+++ b/relay/caller.go
@@ -53,7 +53,7 @@
 			return nil, err
 		}
 		c := newCallerConn(l.relay, conn)
-		if c.lease.Grow(callerBytes, wholeShare) {
+		if c.lease.Grow(callerBytes, fullShare) {
 			return c, nil
 		}
 		l.relay.logTurnedAway("", "connection")
@@ -147,7 +147,7 @@
 
 // limits returns the limits of the current document.
 func (c *callerConn) limits() route.Limits {
-	if doc := c.relay.belief.document(); doc != nil {
+	if doc := c.relay.published.document(); doc != nil {
 		return doc.Limits
 	}
 	return route.Limits{}
@@ -156,7 +156,7 @@
 // releaseRequest releases the memory charged for the previous request.
 func (c *callerConn) releaseRequest() {
 	c.lease.Shrink(callerBytes)
-	c.memoryShare, c.requestID, c.writeDeadline, c.requestCharged = leastShare, "", time.Time{}, false
+	c.memoryShare, c.requestID, c.writeDeadline, c.requestCharged = minRequestShare, "", time.Time{}, false
 }
 
 // collect reads a request until it can be passed to the server.
@@ -170,7 +170,7 @@
 			_ = c.SetReadDeadline(time.Now().Add(readTimeout))
 		}
 		if !c.growBuffer(&b) {
-			c.readErr = errShort
+			c.readErr = errMemoryShort
 			break
 		}
 		n, err := c.Conn.Read(b.buf[len(b.buf):cap(b.buf)])
@@ -193,10 +193,10 @@
 		return true
 	}
 	size := max(initialBufferBytes, 2*cap(b.buf))
-	if !c.lease.Grow(int64(size), wholeShare) {
+	if !c.lease.Grow(int64(size), fullShare) {
 		ctx, cancel := context.WithTimeout(context.Background(), memoryWait)
 		defer cancel()
-		if !c.lease.Await(ctx, int64(size), wholeShare) {
+		if !c.lease.Await(ctx, int64(size), fullShare) {
 			return false
 		}
 	}
@@ -212,20 +212,20 @@
 	if h.Read(bufio.NewReaderSize(bytes.NewReader(head), len(head))) != nil {
 		return // the server reports the error
 	}
-	c.memoryShare = c.relay.shareOf(&h)
+	c.memoryShare = c.relay.requestShare(&h)
 	c.requestID = headerValue(&h, c.relay.cfg.Protocol.RequestID)
 	body := int64(min(max(length, 0), maxBodyBytes)) // the server refuses a longer one
-	if !c.lease.Grow(maxHeaderBytes, c.memoryShare) || !c.lease.Fits(bodyCost*body, c.memoryShare) {
-		c.readErr = errShort
+	if !c.lease.Grow(maxHeaderBytes, c.memoryShare) || !c.lease.Fits(bodyMemoryFactor*body, c.memoryShare) {
+		c.readErr = errMemoryShort
 	}
 }
 
 // readBody reads part of a body that was not buffered with the header.
 func (c *callerConn) readBody(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && !c.lease.Grow(bodyCost*int64(n), c.memoryShare) {
-		c.readErr = errShort
-		return 0, errShort
+	if n > 0 && !c.lease.Grow(bodyMemoryFactor*int64(n), c.memoryShare) {
+		c.readErr = errMemoryShort
+		return 0, errMemoryShort
 	}
 	return n, err
 }
@@ -233,7 +233,7 @@
 // Close implements net.Conn. It releases all memory charged for the connection.
 func (c *callerConn) Close() error {
 	c.lease.Close()
-	if errors.Is(c.readErr, errShort) {
+	if errors.Is(c.readErr, errMemoryShort) {
 		c.drain()
 	}
 	return c.Conn.Close()
--- a/relay/callerwrite.go
+++ b/relay/callerwrite.go
@@ -58,8 +58,8 @@
 // reading.
 func (c *callerConn) writeWhileTaken(p []byte) (int, error) {
 	held := c.lease.Held()
-	if !c.lease.Grow(unreadBytes, wholeShare) {
-		return 0, c.cutOff(len(p), shortReason)
+	if !c.lease.Grow(unreadBytes, fullShare) {
+		return 0, c.cutOff(len(p), memoryShortReason)
 	}
 	defer c.lease.Shrink(held)
 	defer func() { _ = c.SetWriteDeadline(time.Time{}) }()
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -61,10 +61,10 @@
 	moved     bool      // it was moved to another upstream
 	checkedAt time.Time // when checkProgress last ran
 
-	waits       atomic.Pointer[wait] // current wait for bytes from the upstream; nil: not waiting
-	silent      atomic.Bool          // its connection was closed because it delivered nothing
-	eventsBegan atomic.Bool          // events have arrived
-	withheldRun atomic.Bool          // its run was ended because its content is withheld
+	wait        atomic.Pointer[upstreamWait] // current wait for bytes from the upstream; nil: not waiting
+	silent      atomic.Bool                  // its connection was closed because it delivered nothing
+	eventsBegan atomic.Bool                  // events have arrived
+	withheldRun atomic.Bool                  // its run was ended because its content is withheld
 
 	response         *response       // of the last run that got one
 	failure          *failedResponse // the last error response of an upstream
@@ -78,7 +78,7 @@
 // serve runs the request and answers its caller.
 func (x *exchange) serve(ctx *fasthttp.RequestCtx) {
 	r := x.relay
-	r.stats.open.Add(1)
+	r.stats.openRequests.Add(1)
 	r.mu.Lock()
 	r.budgets.ForService(x.service).CountRequest(r.now())
 	r.mu.Unlock()
@@ -136,7 +136,7 @@
 	x.closeTicket(balance.Neutral)
 	x.watch.stop()
 	x.cancel()
-	r.stats.open.Add(-1)
+	r.stats.openRequests.Add(-1)
 	r.stats.count("requests_" + x.outcome)
 	r.stats.latency("first_ms_"+x.route.Name, x.firstEventsAfter)
 	r.cfg.Log.Event("request", x.outcome, x.logFields())
@@ -146,7 +146,7 @@
 func (x *exchange) logFields() Fields {
 	f := Fields{"id": x.request.id, "route": x.route.Name, "upstream": x.upstream.ID, "runs": x.runsSent, "unreachable": x.unreachable,
 		"left_ms": x.timeLeft().Milliseconds(), "urgency": x.urgency, "first_ms": x.firstEventsAfter.Milliseconds(), "total_ms": time.Since(x.arrived).Milliseconds(),
-		"version": x.doc.Version, "age_ms": x.relay.age().Milliseconds(), "kept": x.prefixCached, "fetched": x.fetchOffered, "come_back_ms": x.retryAfter.Milliseconds(),
+		"version": x.doc.Version, "age_ms": x.relay.publishedAge().Milliseconds(), "kept": x.prefixCached, "fetched": x.fetchOffered, "come_back_ms": x.retryAfter.Milliseconds(),
 		"ahead": x.backlog, "loads_age_ms": x.relay.members.loadsAge().Milliseconds()}
 	if x.route.Target > 0 {
 		f["target_ms"] = x.route.Target.Milliseconds()
@@ -168,7 +168,7 @@
 		f["customer"] = x.customer.Name
 	}
 	if x.runsCut > 0 {
-		f["cut_off"], f["content"] = x.runsCut, contentName(x.contentOf())
+		f["cut_off"], f["content"] = x.runsCut, formatContentHash(x.requestHash())
 	}
 	if x.response != nil {
 		f["status"] = x.response.header.StatusCode()
--- a/relay/outcome_test.go
+++ b/relay/outcome_test.go
@@ -43,13 +43,13 @@
 	is := is.New(t)
 	u, v := newStub(t, "u", respondOK("ok")), newStub(t, "v", respondOK("ok"))
 	b := newTestBox(t, u, v)
-	b.listBorn(u, 200, false)
-	b.await("u", 200)
+	b.listIncarnation(u, 200, false)
+	b.awaitIncarnation("u", 200)
 	r := b.relay
-	current, _ := r.listed("u")
+	current, _ := r.listedUpstream("u")
 	c, err := r.conns.get(context.Background(), current, "s")
 	is.NoErr(err)
-	r.conns.keep(c, time.Minute)
+	r.conns.putIdle(c, time.Minute)
 	idleConns := func() int {
 		r.conns.mu.Lock()
 		defer r.conns.mu.Unlock()
--- a/relay/server.go
+++ b/relay/server.go
@@ -39,7 +39,7 @@
 		ErrorHandler:                  f.handleReadError,
 		ExpectHandler:                 f.handleExpect,
 		ReadBufferSize:                maxHeaderBytes,
-		WriteBufferSize:               readBuffer,
+		WriteBufferSize:               readBufferSize,
 		MaxRequestBodySize:            maxBodyBytes,
 		ReadTimeout:                   readTimeout,
 		IdleTimeout:                   idleTimeout,
@@ -65,7 +65,7 @@
 func (noLogger) Printf(string, ...any) {}
 
 func (f *callerServer) serve(l net.Listener) {
-	boundCallers(l)
+	setCallerBuffers(l)
 	_ = f.server.Serve(callerListener{l, f.relay})
 }
 
@@ -100,12 +100,12 @@
 func (f *callerServer) refuseForMemory(ctx *fasthttp.RequestCtx, c *callerConn) {
 	f.relay.logTurnedAway(c.requestID, "request")
 	ctx.SetConnectionClose()
-	f.relay.sendRefusal(ctx, &request{id: c.requestID}, refusal{fasthttp.StatusServiceUnavailable, shortReason, defaultRetryAfter})
+	f.relay.sendRefusal(ctx, &request{id: c.requestID}, refusal{fasthttp.StatusServiceUnavailable, memoryShortReason, defaultRetryAfter})
 }
 
 // handleReadError answers input that could not be read as a request.
 func (f *callerServer) handleReadError(ctx *fasthttp.RequestCtx, err error) {
-	if c := callerOf(ctx); c != nil && errors.Is(c.readErr, errShort) {
+	if c := callerOf(ctx); c != nil && errors.Is(c.readErr, errMemoryShort) {
 		f.refuseForMemory(ctx, c)
 		return
 	}
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -22,7 +22,7 @@
 func (r *Relay) Stop() {
 	r.stopping.Store(true)
 	r.wakeAll()
-	r.cfg.Log.Event("box", "stop", Fields{"open": r.stats.open.Load()})
+	r.cfg.Log.Event("box", "stop", Fields{"open": r.stats.openRequests.Load()})
 	ctx, cancel := context.WithTimeout(context.Background(), r.cfg.StopTimeout-graceMargin)
 	defer cancel()
 	r.members.leave(ctx)
@@ -30,7 +30,7 @@
 	// The server keeps serving its open connections after its shutdown has returned.
 	context.AfterFunc(ctx, func() { r.graceOver.Store(true) })
 	if err := r.callerServer.close(ctx); err != nil {
-		r.cfg.Log.Event("box", "stopped with active requests", Fields{"open": r.stats.open.Load(), "error": err.Error()})
+		r.cfg.Log.Event("box", "stopped with active requests", Fields{"open": r.stats.openRequests.Load(), "error": err.Error()})
 		r.logRequestsCut()
 	}
 	r.cancel()
--- a/relay/suspension_test.go
+++ b/relay/suspension_test.go
@@ -47,7 +47,7 @@
 		long.Routes[i].Timeout = time.Hour
 	}
 	b.publisher.set("document", long, false)
-	b.waitFor(func() bool { return b.relay.version() == 2 })
+	b.waitFor(func() bool { return b.relay.documentVersion() == 2 })
 	got := make(chan callerResponse, 1)
 	go func() { got <- b.do(b.request(http.MethodPost, "/once/x", "", "X-Left", "3600000")) }()
 	<-began
@@ -94,7 +94,7 @@
 	b.publisher.unavailable = true // no read confirms the known state
 	b.publisher.mu.Unlock()
 	clock.suspend(time.Hour)
-	b.waitFor(func() bool { return b.relay.age() >= time.Hour })
+	b.waitFor(func() bool { return b.relay.publishedAge() >= time.Hour })
 	is.True(b.relay.now() >= time.Hour)
 }
 
