--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -167,8 +167,8 @@
 // View is a snapshot of an upstream as the fleet sees it.
 type View struct {
 	Upstream
-	Out   bool // unreachable
-	Tight bool // in the lane for tight streams
+	Unreachable bool // unreachable
+	Tight       bool // in the lane for tight streams
 	// Evacuated reports whether its failure domain is evacuated.
 	Evacuated bool
 	ColdLeft  time.Duration // remaining cold time; 0 if it is not cold
@@ -182,7 +182,7 @@
 	list := make([]View, 0, len(f.byID))
 	for _, m := range f.byID {
 		load := Load{Unread: m.unreadAhead(UrgencyLevels - 1), Requests: m.open(), MemoryTokens: m.held()}
-		list = append(list, View{Upstream: m.Upstream, Out: m.unreachable, Tight: m.tight, Evacuated: m.evacuated,
+		list = append(list, View{Upstream: m.Upstream, Unreachable: m.unreachable, Tight: m.tight, Evacuated: m.evacuated,
 			ColdLeft: max(0, m.coldUntil-now), RTT: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
 	}
 	slices.SortFunc(list, func(a, b View) int {
--- a/relay/caller_test.go
+++ b/relay/caller_test.go
@@ -89,7 +89,7 @@
 	b.relay.mu.Lock()
 	defer b.relay.mu.Unlock()
 	for _, row := range b.relay.fleet.View(b.relay.now()) {
-		is.True(!row.Out)
+		is.True(!row.Unreachable)
 	}
 }
 
--- a/relay/state.go
+++ b/relay/state.go
@@ -42,7 +42,7 @@
 	for _, u := range r.fleet.View(r.now()) {
 		out.Upstreams = append(out.Upstreams, &wire.UpstreamRow{Limit: r.limitRow(u.ID),
 			Id: u.ID, Born: u.StartedAt, Service: u.Service, Address: u.Address, Domain: u.Domain,
-			Leaving: u.Leaving, Out: u.Out, Tight: u.Tight, Evacuated: u.Evacuated, ColdLeft: uint64(u.ColdLeft.Microseconds()),
+			Leaving: u.Leaving, Out: u.Unreachable, Tight: u.Tight, Evacuated: u.Evacuated, ColdLeft: uint64(u.ColdLeft.Microseconds()),
 			Way: uint64(u.RTT.Microseconds()), Open: uint32(u.Load.Requests), Unread: uint32(u.Load.Unread),
 			Held: uint64(u.Load.MemoryTokens), Memory: uint64(u.Memory), PauseLeft: uint64(r.fleet.PausedFor(r.now(), u.Incarnation()).Microseconds())})
 	}
