--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -222,7 +222,7 @@
 	for i := range n {
 		node.Arrive(0, cell.Request{ID: uint64(i + 1), Class: "class-0", Customer: "customer-0"})
 	}
-	node.Take()
+	node.TakeActions()
 	return node
 }
 
--- a/cell/node.go
+++ b/cell/node.go
@@ -153,9 +153,9 @@
 	stateRunning  = requestChart.State("running")
 )
 
-// Take returns the actions since the last call. They are valid until the next
+// TakeActions returns the actions since the last call. They are valid until the next
 // call of any method.
-func (n *Node) Take() []Action {
+func (n *Node) TakeActions() []Action {
 	out := n.actions
 	n.actions = n.actions[:0]
 	return out
--- a/cell/world_test.go
+++ b/cell/world_test.go
@@ -280,7 +280,7 @@
 }
 
 func (w *world) perform(b *testBox) {
-	for _, a := range slices.Clone(b.node.Take()) {
+	for _, a := range slices.Clone(b.node.TakeActions()) {
 		w.act(b, a)
 	}
 }
--- a/core.go
+++ b/core.go
@@ -216,7 +216,7 @@
 // perform does what the node wants done. Messages are gathered for each box, so
 // that those of one round share a datagram.
 func (b *Box) perform() {
-	for _, a := range b.node.Take() {
+	for _, a := range b.node.TakeActions() {
 		switch a.Kind {
 		case cell.SendMessage:
 			b.outgoing(a.To, a.Message)
--- a/experiment/loop.go
+++ b/experiment/loop.go
@@ -207,7 +207,7 @@
 
 // perform does what a node wants done.
 func (l *loop) perform(b *box) {
-	for _, a := range slices.Clone(b.node.Take()) {
+	for _, a := range slices.Clone(b.node.TakeActions()) {
 		switch a.Kind {
 		case cell.SendMessage:
 			b.to[a.To] = append(b.to[a.To], a.Message)
--- a/internal/control/node_fuzz_test.go
+++ b/internal/control/node_fuzz_test.go
@@ -40,6 +40,6 @@
 		for i := range 100 {
 			n.Tick(now+time.Duration(i)*50*time.Millisecond, time.Hour)
 		}
-		n.Take()
+		n.TakeActions()
 	})
 }
