--- a/cell/limit.go
+++ b/cell/limit.go
@@ -118,7 +118,7 @@
 // borrow from.
 func (n *Node) park(l *local, m *limit) {
 	live := n.members.live()
-	if len(live) == 0 || n.cfg.Alone {
+	if len(live) == 0 || n.cfg.Standalone {
 		n.end(l, Final{Reason: m.reason, RetryAfter: m.share.RetryAfter(n.now)})
 		return
 	}
--- a/cell/node.go
+++ b/cell/node.go
@@ -26,9 +26,9 @@
 	Peers  []BoxEntry // known from the settings, until the platform's list comes
 	// Pool configures the pools that this box owns; Learn and Seed are filled in.
 	Pool decide.PoolConfig
-	// Alone makes the box its own owner of everything, as if it were the only
+	// Standalone makes the box its own owner of everything, as if it were the only
 	// one: the baseline of independent boxes.
-	Alone bool
+	Standalone bool
 	// Split gives the box 1/n of each upstream's slots: the baseline of a static
 	// split. It goes with Alone.
 	Split bool
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -41,7 +41,7 @@
 		return
 	}
 	candidates := []string{n.cfg.Box}
-	if !n.cfg.Alone {
+	if !n.cfg.Standalone {
 		candidates = n.members.candidates(n.draining)
 	}
 	if slices.Equal(candidates, n.candidates) && n.table == n.ownedBy {
@@ -83,7 +83,7 @@
 	n.pools[set] = p
 	n.configurePool(set)
 	live := n.members.live()
-	if !n.cfg.Alone && !n.cfg.Unfenced.Learning && len(live) > 0 {
+	if !n.cfg.Standalone && !n.cfg.Unfenced.Learning && len(live) > 0 {
 		p.Learn(n.now, live)
 	}
 	p.Adopt(n.now, n.cfg.Box, n.heldIn(set, n.cfg.Box), nil)
@@ -333,7 +333,7 @@
 
 func (n *Node) decideSet(set string) {
 	p := n.pools[set]
-	if p == nil || !n.joined && !n.cfg.Alone {
+	if p == nil || !n.joined && !n.cfg.Standalone {
 		return
 	}
 	// Handling a verdict may change the pool, so the list is copied first.
--- a/cell/published.go
+++ b/cell/published.go
@@ -122,7 +122,7 @@
 // isReader reports whether this box watches the platform: it is one of the first
 // in the domain that can see it, or it has no table and nobody to ask.
 func (n *Node) isReader() bool {
-	if n.cfg.Alone {
+	if n.cfg.Standalone {
 		return true
 	}
 	able := n.members.candidates(n.draining)
--- a/cell/spare.go
+++ b/cell/spare.go
@@ -31,7 +31,7 @@
 
 // tickSpares tells other domains what is free here.
 func (n *Node) tickSpares() {
-	if n.now < n.nextSpare || n.cfg.Alone {
+	if n.now < n.nextSpare || n.cfg.Standalone {
 		return
 	}
 	n.nextSpare = n.now + n.timing.Spare
--- a/experiment/setup.go
+++ b/experiment/setup.go
@@ -53,9 +53,9 @@
 	case NoPause:
 		cfg.Pool.NoPause = true
 	case Independent:
-		cfg.Alone = true
+		cfg.Standalone = true
 	case Split:
-		cfg.Alone, cfg.Split = true, true
+		cfg.Standalone, cfg.Split = true, true
 	case FIFO, LeastLoad:
 		return nil
 	}
