--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -93,7 +93,7 @@
 
 // While no upstream of a service accepts requests, callers are told to retry after as long as
 // that has lasted.
-func TestLackedFor(t *testing.T) {
+func TestUnavailableFor(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(Config{Domain: "d1", Tuning: DefaultTuning})
 	f.Put(0, entryOf("u", 100, 1))
