--- a/balance/answers.go
+++ b/balance/answers.go
@@ -52,12 +52,12 @@
 }
 
 // remainingEvents estimates how many events of an answer are still to come; 0 if unknown.
-func (a *answerStats) remainingEvents(expected, came int) float64 {
+func (a *answerStats) remainingEvents(expected, received int) float64 {
 	whole := a.events.value() * float64(expected)
 	if whole == 0 {
 		return 0
 	}
-	return max(whole-float64(came), minRestShare*float64(came))
+	return max(whole-float64(received), minRestShare*float64(received))
 }
 
 // movedInterval estimates the time between events of an answer that moves; 0 if unknown. Until
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -49,8 +49,8 @@
 
 // NewBudget returns the budget of a box that starts now. firstStart says that no process ran on
 // this box before, so that none of its slack can have been used.
-func NewBudget(cfg BudgetConfig, now time.Duration, first bool) *Budget {
-	return &Budget{cfg: cfg, start: now, firstStart: first}
+func NewBudget(cfg BudgetConfig, now time.Duration, firstStart bool) *Budget {
+	return &Budget{cfg: cfg, start: now, firstStart: firstStart}
 }
 
 // advance clears the buckets that have expired and returns the number of the newest one.
--- a/balance/budget_replay_test.go
+++ b/balance/budget_replay_test.go
@@ -53,16 +53,16 @@
 	}
 	for range p.Steps {
 		r.now += replayStep
-		taken, spent := 0, 0
+		requests, retries := 0, 0
 		for range p.Rate {
 			b := r.budgets[(p.From+r.random.IntN(p.Boxes))%len(r.budgets)]
 			b.CountRequest(r.now)
-			taken++
+			requests++
 			for tries := 0; tries < 2 && r.random.Float64() < p.Fail && b.Spend(r.now, len(r.budgets)); tries++ {
-				spent++
+				retries++
 			}
 		}
-		r.requests, r.retries = append(r.requests, taken), append(r.retries, spent)
+		r.requests, r.retries = append(r.requests, requests), append(r.retries, retries)
 	}
 }
 
--- a/balance/budgets.go
+++ b/balance/budgets.go
@@ -18,8 +18,8 @@
 }
 
 // NewBudgets returns the budgets of a box that starts now; firstStart is as for NewBudget.
-func NewBudgets(cfg BudgetConfig, now time.Duration, first bool) *Budgets {
-	return &Budgets{cfg: cfg, started: now, firstStart: first, byService: make(map[string]*Budget)}
+func NewBudgets(cfg BudgetConfig, now time.Duration, firstStart bool) *Budgets {
+	return &Budgets{cfg: cfg, started: now, firstStart: firstStart, byService: make(map[string]*Budget)}
 }
 
 // ForService returns the budget of a service and creates it if needed.
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -52,11 +52,11 @@
 	if rank >= owners {
 		return 0
 	}
-	ration := shared / owners
+	quota := shared / owners
 	if rank < shared%owners {
-		ration++
+		quota++
 	}
-	return ration
+	return quota
 }
 
 // rank returns how many boxes precede this one in the rendezvous order for an upstream.
@@ -76,7 +76,7 @@
 // SetCold sets the limit for cold upstreams of a service.
 func (f *Fleet) SetCold(service string, c ColdLimit) {
 	f.serviceOf(service).cold = c
-	f.rationsStale = true
+	f.quotasStale = true
 }
 
 // SetQuotaPeers sets the boxes that the quotas are divided among.
@@ -85,7 +85,7 @@
 		return
 	}
 	f.quotaPeers = s
-	f.rationsStale = true
+	f.quotasStale = true
 }
 
 // markCold marks an upstream as cold for the time left. It stays cold for longer if that is
@@ -101,7 +101,7 @@
 	if now >= m.coldUntil {
 		m.coldRequests = nil
 		f.coldMembers = append(f.coldMembers, m)
-		f.rationsStale = true
+		f.quotasStale = true
 	}
 	m.coldUntil = now + left
 }
@@ -109,8 +109,8 @@
 // refreshQuotas recomputes the quotas of this box if their inputs have changed. Doing so for each
 // request would cost one hash per box and upstream.
 func (f *Fleet) refreshQuotas(now time.Duration) {
-	if f.rationsStale {
-		f.rationsStale = false
+	if f.quotasStale {
+		f.quotasStale = false
 		f.refreshColdQuotas(now)
 		f.refreshLimitQuotas()
 	}
@@ -161,13 +161,13 @@
 // among those that are cold or advertise a limit, or nil if there is none. The few boxes with a
 // quota for it would hardly ever select it by rendezvous rank.
 func (f *Fleet) leastSentLimited(now time.Duration, list []*member) *member {
-	if len(f.coldMembers) == 0 && len(f.limits.byLife) == 0 {
+	if len(f.coldMembers) == 0 && len(f.limits.byIncarnation) == 0 {
 		return nil
 	}
 	var best *member
 	for _, m := range list {
-		isRationed := now < m.coldUntil || f.limitOf(m) != nil
-		if isRationed && (best == nil || m.history.within(now, coldWindow) < best.history.within(now, coldWindow)) {
+		isLimited := now < m.coldUntil || f.limitOf(m) != nil
+		if isLimited && (best == nil || m.history.within(now, coldWindow) < best.history.within(now, coldWindow)) {
 			best = m
 		}
 	}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -41,15 +41,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := boxNames(rapid.IntRange(2, 60).Draw(t, "boxes"))
 		cut := rapid.IntRange(1, len(boxes)-1).Draw(t, "cut")
-		most := rapid.IntRange(0, 40).Draw(t, "most")
+		limit := rapid.IntRange(0, 40).Draw(t, "limit")
 		sum := 0
 		for _, side := range [][]string{boxes[:cut], boxes[cut:]} {
 			for _, box := range side {
-				sum += QuotaPeers{Box: box, Boxes: side}.quota("u", most/coldReserveDivisor)
+				sum += QuotaPeers{Box: box, Boxes: side}.quota("u", limit/coldReserveDivisor)
 			}
 		}
-		if sum > most {
-			t.Fatalf("quotas add up to %d, limit %d", sum, most)
+		if sum > limit {
+			t.Fatalf("quotas add up to %d, limit %d", sum, limit)
 		}
 	})
 }
@@ -60,13 +60,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 30).Draw(t, "domains")
 		with := rapid.IntRange(1, domains).Draw(t, "with upstreams")
-		most := rapid.IntRange(2, 40).Draw(t, "most")
+		limit := rapid.IntRange(2, 40).Draw(t, "limit")
 		sum := 0
 		for d := range domains {
 			boxes := boxNames(rapid.IntRange(1, 8).Draw(t, "boxes"))
 			for _, box := range boxes {
 				f := NewFleet(Config{Domain: fmt.Sprintf("d%d", d), Tuning: DefaultTuning})
-				f.SetCold("s", ColdLimit{Duration: time.Minute, MaxPerSecond: most})
+				f.SetCold("s", ColdLimit{Duration: time.Minute, MaxPerSecond: limit})
 				f.SetQuotaPeers(QuotaPeers{Box: box, Boxes: boxes})
 				for i := range with {
 					f.Put(0, Upstream{ID: fmt.Sprintf("u%d", i), Service: "s", Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: fmt.Sprintf("d%d", i), Slots: 8})
@@ -78,8 +78,8 @@
 				sum += f.byID["u0"].coldRation
 			}
 		}
-		if sum > most/2 || sum == 0 {
-			t.Fatalf("quotas add up to %d, limit %d", sum, most)
+		if sum > limit/2 || sum == 0 {
+			t.Fatalf("quotas add up to %d, limit %d", sum, limit)
 		}
 	})
 }
@@ -91,12 +91,12 @@
 
 // returningFleets returns the fleets of ninety boxes in three domains with ninety upstreams, of
 // which the thirty of one domain have just come back cold.
-func returningFleets(most int) []*Fleet {
+func returningFleets(limit int) []*Fleet {
 	boxes := make([]*Fleet, 90)
 	for i := range boxes {
 		domain := fmt.Sprintf("d%d", i%3)
 		f := NewFleet(Config{Domain: domain, Tuning: DefaultTuning, FirstStart: true})
-		f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: most})
+		f.SetCold("s", ColdLimit{Duration: 3 * time.Second, MaxPerSecond: limit})
 		var names []string
 		for j := range 30 {
 			names = append(names, fmt.Sprintf("box%d", 3*j+i%3))
@@ -135,9 +135,9 @@
 // Ninety boxes in a burst use thirty upstreams that come back together: no cold upstream is sent
 // more than its limit in any second, and the cold upstreams do get requests.
 func TestReturningUpstreamsGetAtMostTheirLimit(t *testing.T) {
-	const most = 12
+	const limit = 12
 	is := is.New(t)
-	boxes := returningFleets(most)
+	boxes := returningFleets(limit)
 	sent := make(map[string][]time.Duration)
 	for i := range 1800 { // 600 per second for 3 s
 		now := time.Duration(i) * time.Second / 600
@@ -158,8 +158,8 @@
 	for j := 0; j < 90; j += 3 {
 		list := sent[fmt.Sprintf("u%d", j)]
 		cold += len(list)
-		for k := most; k < len(list); k++ {
-			is.True(list[k]-list[k-most] >= time.Second)
+		for k := limit; k < len(list); k++ {
+			is.True(list[k]-list[k-limit] >= time.Second)
 		}
 	}
 	is.True(cold >= 300) // of 1800 requests, where 540 are allowed from boxes that know of each other
@@ -169,9 +169,9 @@
 // quota again after the window.
 func TestBoxStaysWithinColdQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(2, 20).Draw(t, "most")
+		limit := rapid.IntRange(2, 20).Draw(t, "limit")
 		f := NewFleet(Config{Domain: "d", Tuning: DefaultTuning})
-		f.SetCold("s", ColdLimit{Duration: time.Hour, MaxPerSecond: most})
+		f.SetCold("s", ColdLimit{Duration: time.Hour, MaxPerSecond: limit})
 		f.SetQuotaPeers(QuotaPeers{Box: "box", Boxes: []string{"box"}})
 		f.Put(0, Upstream{ID: "u", Service: "s", Domain: "d", Slots: 8, ColdFor: time.Hour})
 		var now time.Duration
@@ -183,9 +183,9 @@
 				sent = append(sent, now)
 			}
 		}
-		for i := most / 2; i < len(sent); i++ {
-			if sent[i]-sent[i-most/2] < coldWindow {
-				t.Fatalf("%d requests within %v: %v", most/2+1, sent[i]-sent[i-most/2], sent)
+		for i := limit / 2; i < len(sent); i++ {
+			if sent[i]-sent[i-limit/2] < coldWindow {
+				t.Fatalf("%d requests within %v: %v", limit/2+1, sent[i]-sent[i-limit/2], sent)
 			}
 		}
 	})
--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -170,9 +170,9 @@
 		}
 		lost++
 		ticket.Close(now, Replaced)
-		news := f.TakePartReports()
+		reports := f.TakePartReports()
 		for _, other := range boxes { // as the group reports it
-			other.NotePartReports(now, news)
+			other.NotePartReports(now, reports)
 		}
 	}
 	is.True(lost <= 30)
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -94,7 +94,7 @@
 	lastPutAt        time.Duration              // when an entry was last put
 	services         map[string]*service        // by name
 	parts            partIndex
-	newlyUnreachable []UnreachableUpstream   // became unreachable, and not yet returned by NewlyLost
+	newlyUnreachable []UnreachableUpstream   // became unreachable, and not yet returned by TakeNewlyUnreachable
 	remoteLoadsStale bool                    // an upstream was listed after the last SetRemoteLoads; other boxes may have reported loads for it
 	domains          map[string]*domainReach // by name
 	reportedCutOff   []string                // failure domains that another box reports as cut off
@@ -112,7 +112,7 @@
 	pauses           map[uint32]*pause // that upstreams requested, by incarnation key
 	endedPauses      []uint32          // pauses that ended and were not yet returned by PausesOver
 	coldMembers      []*member         // upstreams that are cold, and some that were
-	rationsStale     bool              // an input of the rations has changed
+	quotasStale      bool              // an input of the quotas has changed
 }
 
 // initialListSpan is the time in which a box that has just started receives the entries of all
--- a/balance/lane.go
+++ b/balance/lane.go
@@ -29,7 +29,7 @@
 	open     Need          // recent requests in progress on each side
 	spare    int           // slots of the upstreams that advertise no limit
 	prefill  Need          // recent share of upstreams that prefill, by lane
-	updated  time.Duration // when open and reading were last updated
+	updated  time.Duration // when open and prefill were last updated
 }
 
 // splitByLane splits a list into the upstreams of the request's lane and the others. If no
--- a/balance/lane_test.go
+++ b/balance/lane_test.go
@@ -43,13 +43,13 @@
 
 // tightUpstreams returns the ids of the upstreams reserved for tight streams.
 func tightUpstreams(f *Fleet) map[string]bool {
-	kept := make(map[string]bool)
+	reserved := make(map[string]bool)
 	for id, m := range f.byID {
 		if f.inLane(time.Hour, m, true) {
-			kept[id] = true
+			reserved[id] = true
 		}
 	}
-	return kept
+	return reserved
 }
 
 func TestLaneSizeFollowsOpenRequests(t *testing.T) {
@@ -195,14 +195,14 @@
 		a, b := newDividedFleet(n), newDividedFleet(n)
 		a.SizeLanes(0, LanePlan{Key("s"): {Reserved: small}})
 		b.SizeLanes(0, LanePlan{Key("s"): {Reserved: great}})
-		kept := tightUpstreams(b)
+		reserved := tightUpstreams(b)
 		for id := range tightUpstreams(a) {
-			if !kept[id] {
+			if !reserved[id] {
 				t.Fatalf("%s is only in the smaller lane", id)
 			}
 		}
-		if len(kept) != great {
-			t.Fatalf("lane has %d upstreams, want %d", len(kept), great)
+		if len(reserved) != great {
+			t.Fatalf("lane has %d upstreams, want %d", len(reserved), great)
 		}
 	})
 }
@@ -229,11 +229,11 @@
 	}
 	now += 10 * time.Second
 	f.SizeLanes(now, LanePlan{Key("s"): {Reserved: 6}})
-	kept := tightUpstreams(f)
+	reserved := tightUpstreams(f)
 	moved := 0
 	for shared, old := range before {
 		c := serve(f, now, prompt(shared))
-		if !kept[old.ID] {
+		if !reserved[old.ID] {
 			is.Equal(c.Upstream.ID, old.ID)
 			is.Equal(c.FetchFrom, "")
 			continue
@@ -265,11 +265,11 @@
 		before[shared] = c.Upstream
 	}
 	f.SizeLanes(now, LanePlan{Key("s"): {Reserved: 6}})
-	kept := tightUpstreams(f)
+	reserved := tightUpstreams(f)
 	for shared, old := range before {
 		c, _ := f.Place(now, prompt(shared), nil)
-		is.Equal(c.Upstream.ID == old.ID, !kept[old.ID])
-		is.Equal(c.FetchFrom == old.Address, kept[old.ID])
+		is.Equal(c.Upstream.ID == old.ID, !reserved[old.ID])
+		is.Equal(c.FetchFrom == old.Address, reserved[old.ID])
 		c, _ = f.Place(now+2*rereportInterval, prompt(shared), nil)
 		is.Equal(c.FetchFrom, "") // it would have been reported by then
 	}
--- a/balance/laneneed.go
+++ b/balance/laneneed.go
@@ -22,11 +22,11 @@
 type Need struct{ Tight, Rest float64 }
 
 // add adds a share of one upstream to the side that it is assigned to.
-func (n *Need) add(tight bool, tightShare float64) {
+func (n *Need) add(tight bool, share float64) {
 	if tight {
-		n.Tight += tightShare
+		n.Tight += share
 	} else {
-		n.Rest += tightShare
+		n.Rest += share
 	}
 }
 
@@ -47,7 +47,7 @@
 
 // tightShare returns the share of the upstreams that tight streams should have; at least the
 // share least remains for either side.
-func (n Need) share(least float64) float64 {
+func (n Need) tightShare(least float64) float64 {
 	if n.sum() == 0 {
 		return least
 	}
@@ -77,11 +77,11 @@
 
 // prefillWeight returns the weight of one side; 1, as for occupied slots, if no latency target is
 // known.
-func (f *Fleet) prefillWeight(readByWait mean) float64 {
-	if readByWait.weight == 0 {
+func (f *Fleet) prefillWeight(relativeTime mean) float64 {
+	if relativeTime.weight == 0 {
 		return 1
 	}
-	return min(f.cfg.Tuning.LaneQueuePrompts*readByWait.value(), maxPrefillWeight)
+	return min(f.cfg.Tuning.LaneQueuePrompts*relativeTime.value(), maxPrefillWeight)
 }
 
 // prefillShare returns the share of the coming prefillHorizon during which an upstream prefills.
@@ -92,10 +92,10 @@
 // laneNeed returns what the two sides of a service need. The greater of the needs for slots and
 // for prefill counts: a side may be short of one while it has enough of the other.
 func (f *Fleet) laneNeed(s *service) Need {
-	reading := s.prefill.weighted(f.prefillWeights(s))
+	prefill := s.prefill.weighted(f.prefillWeights(s))
 	if s.spare == 0 {
-		return reading
+		return prefill
 	}
-	held := s.open.scaled(1 / float64(s.spare))
-	return Need{max(reading.Tight, held.Tight), max(reading.Rest, held.Rest)}
+	occupied := s.open.scaled(1 / float64(s.spare))
+	return Need{max(prefill.Tight, occupied.Tight), max(prefill.Rest, occupied.Rest)}
 }
--- a/balance/lanesize.go
+++ b/balance/lanesize.go
@@ -79,15 +79,15 @@
 	s.classes.chooseDivision()
 	lane, isReported := reported[Key(s.name)]
 	s.classes.assign(lane.Tight)
-	places := lane.Reserved
+	reserved := lane.Reserved
 	if !isReported || f.cfg.Off[Lanes] {
-		places = f.wantedLaneSize(s, len(all))
+		reserved = f.wantedLaneSize(s, len(all))
 	}
-	places = min(places, len(all))
-	if places == s.reserved {
+	reserved = min(reserved, len(all))
+	if reserved == s.reserved {
 		return LaneChange{}, false
 	}
-	s.share = float64(places) / float64(len(all))
+	s.share = float64(reserved) / float64(len(all))
 	f.assignLanes(now, s)
 	return LaneChange{s.name, s.reserved, len(all), int(s.open.Tight), int(s.open.Rest), f.laneNeed(s), isReported}, true
 }
@@ -95,12 +95,12 @@
 // updateLaneLoad updates the open requests and the prefill load of a service.
 func (f *Fleet) updateLaneLoad(now time.Duration, s *service, all []*member) {
 	var sum Load
-	var reading Need
+	var prefill Need
 	for _, m := range s.active {
 		l := m.totalLoad()
 		sum = sum.Plus(l)
 		m.updatePrefillActivity(now-s.updated, l.Unread)
-		reading.add(m.tight, f.prefillShare(l.Unread))
+		prefill.add(m.tight, f.prefillShare(l.Unread))
 	}
 	limited := f.limitedUpstreams(s)
 	unread := sum.Unread
@@ -114,7 +114,7 @@
 	left := math.Exp(-float64(now-s.updated) / float64(f.cfg.Tuning.LaneDecay))
 	s.updated = now
 	s.open = s.open.follow(Need{float64(sum.Tight), float64(sum.Requests - sum.Tight)}, left)
-	s.prefill = s.prefill.follow(reading.scaled(1/float64(len(all))), left)
+	s.prefill = s.prefill.follow(prefill.scaled(1/float64(len(all))), left)
 }
 
 // wantedLaneSize returns how many upstreams tight streams should have: none if no class is
@@ -129,13 +129,13 @@
 	case s.classes.division.limit == 0:
 		return 0
 	}
-	want := f.laneNeed(s).share(f.cfg.Tuning.LaneMinShare) * float64(upstreams)
+	want := f.laneNeed(s).tightShare(f.cfg.Tuning.LaneMinShare) * float64(upstreams)
 	if s.reserved == 0 {
 		return max(1, int(math.Round(want)))
 	}
 	slack := laneSlack + laneSlackShare*float64(min(s.reserved, upstreams-s.reserved))
-	tooFew := s.open.sum() < float64(upstreams)*minOpenPerUpstream // to decide
-	if tooFew || math.Abs(want-float64(s.reserved)) < slack {
+	lowLoad := s.open.sum() < float64(upstreams)*minOpenPerUpstream // too little load to decide
+	if lowLoad || math.Abs(want-float64(s.reserved)) < slack {
 		return s.reserved
 	}
 	return int(math.Round(want))
--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -30,7 +30,7 @@
 	for _, c := range changes {
 		x, m := f.limits.active(c.Life), f.byKey[c.Life]
 		if x != nil {
-			f.rationsStale = true
+			f.quotasStale = true
 			x.mayBind = m == nil || f.mayBind(now, m, x.perSecond)
 		}
 	}
@@ -60,7 +60,7 @@
 // limitOf returns the limit of an upstream, or nil if it advertises none or limits are switched
 // off.
 func (f *Fleet) limitOf(m *member) *limitState {
-	if len(f.limits.byLife) == 0 || f.cfg.Off[Limits] {
+	if len(f.limits.byIncarnation) == 0 || f.cfg.Off[Limits] {
 		return nil
 	}
 	return f.limits.active(m.key)
@@ -105,7 +105,7 @@
 // countLimited returns how many upstreams a request may not go to only because of their limits
 // and pauses.
 func (f *Fleet) countLimited(now time.Duration, r Request, tried []string) int {
-	if len(f.limits.byLife) == 0 && len(f.pauses) == 0 {
+	if len(f.limits.byIncarnation) == 0 && len(f.pauses) == 0 {
 		return 0
 	}
 	n := 0
@@ -175,7 +175,7 @@
 // do, since nothing but their limited capacity exists then.
 func (f *Fleet) limitedUpstreams(s *service) []*member {
 	var list []*member
-	for incarnation := range f.limits.byLife {
+	for incarnation := range f.limits.byIncarnation {
 		if m := f.byKey[incarnation]; m != nil && m.service == s && f.limitOf(m) != nil {
 			list = append(list, m)
 		}
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -85,10 +85,10 @@
 				}
 			}
 		}
-		lets, _ := testLimitBounds.allowance(perSecond)
+		allowed, _ := testLimitBounds.allowance(perSecond)
 		bound := testLimitBounds.Overshoot*perSecond*testLimitBounds.Span.Seconds() + testLimitBounds.Slack
-		if sum < lets || !cut && sum > lets || float64(sum) > bound {
-			t.Fatalf("quotas add up to %d, allowance %d, bound %v", sum, lets, bound)
+		if sum < allowed || !cut && sum > allowed || float64(sum) > bound {
+			t.Fatalf("quotas add up to %d, allowance %d, bound %v", sum, allowed, bound)
 		}
 	})
 }
@@ -151,11 +151,11 @@
 	for i := range 40 { // to the other upstream, so that this box's own requests play no role
 		f.Open(time.Duration(i)*50*time.Millisecond, "u1", Request{Service: "s"}).Close(time.Duration(i)*50*time.Millisecond, Answered)
 	}
-	named, reported := 2*time.Second, 2900*time.Millisecond
-	f.MergeLimits(reported, []LimitReport{{Life: f.keyOf("u0"), PerSecond: 1, Since: reported - named, Read: reported - named}})
-	is.True(f.LimitExhausted(named+4100*time.Millisecond, "u0"))
+	advertised, reported := 2*time.Second, 2900*time.Millisecond
+	f.MergeLimits(reported, []LimitReport{{Life: f.keyOf("u0"), PerSecond: 1, Since: reported - advertised, Read: reported - advertised}})
+	is.True(f.LimitExhausted(advertised+4100*time.Millisecond, "u0"))
 	is.True(f.LimitExhausted(reported+3900*time.Millisecond, "u0"))
-	is.True(!f.LimitExhausted(named+5*time.Second, "u0"))
+	is.True(!f.LimitExhausted(advertised+5*time.Second, "u0"))
 }
 
 // A limit far above the request rate does not hold back requests when it is first advertised.
--- a/balance/limitquota.go
+++ b/balance/limitquota.go
@@ -46,7 +46,7 @@
 
 // refreshLimitQuotas recomputes the quota of this box for each limit.
 func (f *Fleet) refreshLimitQuotas() {
-	for incarnation, x := range f.limits.byLife {
+	for incarnation, x := range f.limits.byIncarnation {
 		if m := f.byKey[incarnation]; m != nil && x.inForce() {
 			requests, _ := f.cfg.Named.allowance(x.perSecond)
 			x.quota = f.quotaPeers.quota(m.ID, f.domainLimitShare(m, requests))
--- a/balance/limitreport.go
+++ b/balance/limitreport.go
@@ -40,7 +40,7 @@
 func (l *limitTable) takeReports(now time.Duration) []LimitReport {
 	var list []LimitReport
 	for _, incarnation := range slices.Sorted(maps.Keys(l.pending)) {
-		if x := l.byLife[incarnation]; x != nil {
+		if x := l.byIncarnation[incarnation]; x != nil {
 			report := x.report(now, incarnation)
 			report.Own = l.pending[incarnation]
 			list = append(list, report)
@@ -53,8 +53,8 @@
 // all returns the reports of all limits sorted by incarnation key, and separately of those in
 // force.
 func (l *limitTable) all(now time.Duration) (known, inForce []LimitReport) {
-	for _, incarnation := range slices.Sorted(maps.Keys(l.byLife)) {
-		x := l.byLife[incarnation]
+	for _, incarnation := range slices.Sorted(maps.Keys(l.byIncarnation)) {
+		x := l.byIncarnation[incarnation]
 		report := x.report(now, incarnation)
 		known = append(known, report)
 		if x.inForce() {
--- a/balance/limitstate.go
+++ b/balance/limitstate.go
@@ -73,14 +73,14 @@
 // limitTable holds the limits of all upstream incarnations by key, as one box knows them; the
 // zero value is empty.
 type limitTable struct {
-	byLife  map[uint32]*limitState
-	pending map[uint32]bool // to report to other boxes; true: observed by this box
-	listed  int             // number of listed upstreams
+	byIncarnation map[uint32]*limitState
+	pending       map[uint32]bool // to report to other boxes; true: observed by this box
+	listed        int             // number of listed upstreams
 }
 
 // active returns the limit of an incarnation if it is in force, or nil.
 func (l *limitTable) active(incarnation uint32) *limitState {
-	if x := l.byLife[incarnation]; x != nil && x.inForce() {
+	if x := l.byIncarnation[incarnation]; x != nil && x.inForce() {
 		return x
 	}
 	return nil
@@ -88,7 +88,7 @@
 
 // observe records what an answer says.
 func (l *limitTable) observe(incarnation uint32, s LimitStatement) (LimitChange, bool) {
-	x := l.byLife[incarnation]
+	x := l.byIncarnation[incarnation]
 	if x == nil && !s.Named {
 		return LimitChange{}, false
 	}
@@ -110,16 +110,16 @@
 
 // update applies do to the state of an incarnation's limit, and returns the resulting change.
 func (l *limitTable) update(incarnation uint32, age time.Duration, reported bool, do func(x *limitState)) (LimitChange, bool) {
-	x := l.byLife[incarnation]
+	x := l.byIncarnation[incarnation]
 	if x == nil {
-		if len(l.byLife) >= max(minLimits, limitsPerUpstream*l.listed) {
+		if len(l.byIncarnation) >= max(minLimits, limitsPerUpstream*l.listed) {
 			return LimitChange{}, false
 		}
-		if l.byLife == nil {
-			l.byLife, l.pending = make(map[uint32]*limitState), make(map[uint32]bool)
+		if l.byIncarnation == nil {
+			l.byIncarnation, l.pending = make(map[uint32]*limitState), make(map[uint32]bool)
 		}
 		x = &limitState{lastRead: longAgo, endedAt: longAgo}
-		l.byLife[incarnation] = x
+		l.byIncarnation[incarnation] = x
 	}
 	held, before := x.inForce(), x.perSecond
 	do(x)
@@ -139,7 +139,7 @@
 
 // expire drops limits that ended long ago, and old limits of incarnations that are not listed.
 func (l *limitTable) expire(now time.Duration, isListed func(incarnation uint32) bool) {
-	maps.DeleteFunc(l.byLife, func(incarnation uint32, x *limitState) bool {
+	maps.DeleteFunc(l.byIncarnation, func(incarnation uint32, x *limitState) bool {
 		if x.inForce() {
 			return !isListed(incarnation) && now-x.lastRead >= limitRetention
 		}
--- a/balance/limitstate_test.go
+++ b/balance/limitstate_test.go
@@ -26,7 +26,7 @@
 	for _, c := range []struct {
 		name    string
 		answers []answerCase
-		holds   bool
+		inForce bool
 		want    float64
 	}{
 		{"no limit", []answerCase{{-1, 0, 10}}, false, 0},
@@ -48,8 +48,8 @@
 				l.observe(1, a.statement())
 			}
 			x := l.active(1)
-			is.Equal(x != nil, c.holds)
-			if c.holds {
+			is.Equal(x != nil, c.inForce)
+			if c.inForce {
 				is.Equal(x.perSecond, c.want)
 			}
 		})
@@ -70,9 +70,9 @@
 	is.Equal(len(l.takeReports(time.Second)), 1)
 	is.Equal(len(l.takeReports(time.Second)), 0)
 	l.expire(time.Minute, func(uint32) bool { return true })
-	is.Equal(len(l.byLife), 1)
+	is.Equal(len(l.byIncarnation), 1)
 	l.expire(2*time.Minute, func(uint32) bool { return true })
-	is.Equal(len(l.byLife), 0) // expired
+	is.Equal(len(l.byIncarnation), 0) // expired
 }
 
 // Boxes converge to the same limits, whatever answers they read and in whatever order they report
@@ -114,7 +114,7 @@
 			is := is.New(t)
 			var l limitTable
 			is.Equal(len(l.mergeReports(time.Minute, []LimitReport{report})), 0)
-			is.Equal(len(l.byLife), 0)
+			is.Equal(len(l.byIncarnation), 0)
 		})
 	}
 	is := is.New(t)
@@ -124,7 +124,7 @@
 	for incarnation := range uint32(2 * minLimits) {
 		l.mergeReports(time.Minute, []LimitReport{{Life: incarnation, PerSecond: 1}})
 	}
-	is.Equal(len(l.byLife), minLimits)
+	is.Equal(len(l.byIncarnation), minLimits)
 }
 
 // If more upstreams than the fixed bound advertise limits, all limits are stored. Limits beyond
@@ -136,5 +136,5 @@
 	for i := range upstreams {
 		f.limits.observe(Key(fmt.Sprintf("u%d", i)), LimitStatement{Named: true, PerSecond: 1, Sent: time.Second, Read: time.Second})
 	}
-	is.Equal(len(f.limits.byLife), upstreams)
+	is.Equal(len(f.limits.byIncarnation), upstreams)
 }
--- a/balance/list.go
+++ b/balance/list.go
@@ -120,7 +120,7 @@
 	s.upstreamCount++
 	s.slotCount += u.Slots
 	f.byService[u.Service] = append(f.byService[u.Service], m)
-	f.rationsStale = true
+	f.quotasStale = true
 }
 
 // Remove unlists an upstream and gives its address to the next upstream that waits for it.
--- a/balance/mechanism.go
+++ b/balance/mechanism.go
@@ -38,24 +38,24 @@
 
 // purposes holds the purpose of each mechanism.
 var purposes = map[Mechanism]string{
-	Lanes:            "keeps long prompts from holding up streams whose events must follow each other closely",
-	LaneExit:         "lets such streams use other upstreams when theirs are overrun",
-	Slots:            "finds upstreams whose slots are free when streams fill them",
-	AdmissionControl: "refuses at once what would come too late, before it makes others late",
-	RefusalOrder:     "keeps the less urgent from taking what the more urgent was refused",
+	Lanes:            "keeps long prompts from delaying streams whose events must follow each other closely",
+	LaneExit:         "lets such streams use other upstreams when theirs are overloaded",
+	Slots:            "finds upstreams with free slots when streams occupy the others",
+	AdmissionControl: "refuses requests at once that would be served too late, before they delay others",
+	RefusalOrder:     "keeps less urgent requests from taking capacity that more urgent ones were refused",
 	Loads:            "avoids upstreams that other boxes keep busy",
-	Parts:            "sends prompts to where their shared parts lie",
-	Fetching:         "spares reading what another upstream keeps",
-	Memory:           "keeps upstreams from falling over, or putting requests back, under the longest requests",
-	DomainCutOff:     "finds out about a cut once, not upstream by upstream",
-	Moving:           "ends long answers whose upstream has come to read all the time",
-	FailureBackoff:   "spares requests the upstreams that fail",
-	Resuming:         "ends streams whose upstream is lost",
+	Parts:            "sends prompts to upstreams that have their shared parts cached",
+	Fetching:         "saves the prefill of parts that another upstream has cached",
+	Memory:           "keeps upstreams from crashing, or preempting requests, under the longest requests",
+	DomainCutOff:     "detects a network partition once, not upstream by upstream",
+	Moving:           "finishes long answers whose upstream has become busy with prefill",
+	FailureBackoff:   "keeps requests away from upstreams that fail",
+	Resuming:         "finishes streams whose upstream is lost",
 	Repeating:        "answers requests whose first run failed",
-	Limits:           "keeps upstreams in need from being sent more, by all boxes together, than they name in their answers",
-	Pauses:           "keeps upstreams that turn requests away, and say for how long, from being sent more meanwhile",
-	Withholding:      "keeps one request from ending one upstream after another, with all that runs there",
-	Distance:         "saves the time that requests spend on the way, and bytes over dear links",
+	Limits:           "keeps all boxes together within the limits that upstreams advertise in their answers",
+	Pauses:           "sends nothing to upstreams that refuse requests and request a pause, until its end",
+	Withholding:      "keeps one request from crashing one upstream after another, with everything that they run",
+	Distance:         "saves network time, and bytes over expensive links",
 }
 
 // Off is the set of mechanisms that are switched off.
@@ -66,7 +66,7 @@
 	off := make(Off)
 	for _, name := range names {
 		if purposes[Mechanism(name)] == "" {
-			return nil, fmt.Errorf("no mechanism is called %q, want one of %s", name, strings.Join(MechanismNames(), ", "))
+			return nil, fmt.Errorf("unknown mechanism %q, want one of %s", name, strings.Join(MechanismNames(), ", "))
 		}
 		off[Mechanism(name)] = true
 	}
--- a/balance/partindex.go
+++ b/balance/partindex.go
@@ -26,9 +26,9 @@
 
 // partHolder is an upstream that was sent a part.
 type partHolder struct {
-	member *member
-	sentAt time.Duration // when it was last sent the part, as far as known
-	toldAt time.Duration // when that was last reported, by any box
+	member     *member
+	sentAt     time.Duration // when it was last sent the part, as far as known
+	reportedAt time.Duration // when that was last reported, by any box
 }
 
 // recent reports whether the part was sent so recently that the upstream still holds it.
@@ -37,7 +37,7 @@
 // partIndex maps prompt parts to the upstreams that hold them.
 type partIndex struct {
 	holders map[uint32][]partHolder // by PartKey; no list is empty
-	news    []PartReport            // not yet reported to other boxes
+	pending []PartReport            // not yet reported to other boxes
 	sweptAt time.Duration           // time of the last scan for expired parts
 }
 
--- a/balance/partreport.go
+++ b/balance/partreport.go
@@ -48,11 +48,11 @@
 		}
 		part := PartKey(p.ID)
 		x := f.parts.note(now, part, m)
-		if x == nil || now-x.toldAt < rereportInterval || len(f.parts.news) >= maxReports {
+		if x == nil || now-x.reportedAt < rereportInterval || len(f.parts.pending) >= maxReports {
 			continue
 		}
-		x.toldAt = now
-		f.parts.news = append(f.parts.news, PartReport{part, m.key})
+		x.reportedAt = now
+		f.parts.pending = append(f.parts.pending, PartReport{part, m.key})
 	}
 }
 
@@ -76,9 +76,9 @@
 // reportFirst queues a report ahead of all others, dropping the last one if the queue is full.
 // Otherwise other boxes would go on sending requests to an upstream that one box knows to have
 // ended.
-func (f *Fleet) reportFirst(news PartReport) {
-	rest := f.parts.news[:min(len(f.parts.news), maxReports-1)]
-	f.parts.news = append([]PartReport{news}, rest...)
+func (f *Fleet) reportFirst(report PartReport) {
+	rest := f.parts.pending[:min(len(f.parts.pending), maxReports-1)]
+	f.parts.pending = append([]PartReport{report}, rest...)
 }
 
 // markEnded stops sending requests to an upstream that has ended. It stays listed until its entry
@@ -104,9 +104,9 @@
 
 // TakePartReports returns the reports queued since the last call.
 func (f *Fleet) TakePartReports() []PartReport {
-	news := f.parts.news
-	f.parts.news = nil
-	return news
+	reports := f.parts.pending
+	f.parts.pending = nil
+	return reports
 }
 
 // NotePartReports applies reports from other boxes.
@@ -125,7 +125,7 @@
 			continue
 		}
 		if x := f.parts.note(now, report.Part, m); x != nil {
-			x.toldAt = now
+			x.reportedAt = now
 		}
 	}
 }
--- a/balance/partreport_test.go
+++ b/balance/partreport_test.go
@@ -47,12 +47,12 @@
 	f := newInformedFleet(0)
 	f.Put(0, entryOf("u", 100, 1))
 	for range maxReports {
-		f.parts.news = append(f.parts.news, PartReport{7, 8})
+		f.parts.pending = append(f.parts.pending, PartReport{7, 8})
 	}
 	key := f.byID["u"].key
 	f.Open(0, "u", prompt(9)).Close(0, Replaced)
 	is.True(f.Get("u").Leaving)
-	news := f.TakePartReports()
-	is.Equal(len(news), maxReports)
-	is.Equal(news[0], PartReport{endedMark, key})
+	reports := f.TakePartReports()
+	is.Equal(len(reports), maxReports)
+	is.Equal(reports[0], PartReport{endedMark, key})
 }
--- a/balance/pause.go
+++ b/balance/pause.go
@@ -34,7 +34,7 @@
 
 // Pause records that an upstream incarnation requests a pause of the given length from now on,
 // and returns when it ends for this box.
-func (f *Fleet) Pause(now time.Duration, l Incarnation, length time.Duration) (till time.Duration) {
+func (f *Fleet) Pause(now time.Duration, l Incarnation, length time.Duration) (until time.Duration) {
 	key := l.Key()
 	p := f.pauses[key]
 	if p == nil {
@@ -177,12 +177,12 @@
 	}
 }
 
-// waiters counts, by urgency, the requests of a service that wait for the end of a pause.
-type waits [UrgencyLevels]int
+// waiterCounts counts, by urgency, the requests of a service that wait for the end of a pause.
+type waiterCounts [UrgencyLevels]int
 
 // precede reports whether waiting requests go before r: more urgent ones, and equally urgent ones
 // if r has not waited.
-func (w *waits) precede(r Request) bool {
+func (w *waiterCounts) precede(r Request) bool {
 	for level := range r.urgencyLevel() {
 		if w[level] > 0 {
 			return true
@@ -200,17 +200,17 @@
 // ReturnCapacity returns how many requests of a service may be sent now after pauses; upstreams
 // that are not paused count with all their slots.
 func (f *Fleet) ReturnCapacity(now time.Duration, service string) int {
-	room := 0
+	capacity := 0
 	for _, m := range f.byService[service] {
 		if m.closed() || m.unreachable {
 			continue
 		}
 		switch p := f.pauseOf(m); {
 		case p == nil:
-			room += m.Slots
+			capacity += m.Slots
 		case now >= p.until:
-			room += max(0, p.window-p.inFlight)
+			capacity += max(0, p.window-p.inFlight)
 		}
 	}
-	return room
+	return capacity
 }
--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -24,7 +24,7 @@
 // applies.
 func TestPauseBelongsToIncarnation(t *testing.T) {
 	put := func(u Upstream) func(*Fleet) { return func(f *Fleet) { f.Put(time.Second, u) } }
-	gone := func(f *Fleet) { f.Remove("u") }
+	remove := func(f *Fleet) { f.Remove("u") }
 	for _, c := range []struct {
 		name  string
 		first Upstream
@@ -33,7 +33,7 @@
 	}{
 		{"no further event", entryOf("u", 100, 1), nil, false},
 		{"entry is written again", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 100, 2))}, false},
-		{"entry lapses and returns", entryOf("u", 0, 1), []func(*Fleet){gone, put(entryOf("u", 0, 3))}, false},
+		{"entry lapses and returns", entryOf("u", 0, 1), []func(*Fleet){remove, put(entryOf("u", 0, 3))}, false},
 		{"shorter pause is requested later", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Incarnation{"u", 100}, time.Second) }}, false},
 		{"earlier incarnation requests a pause", entryOf("u", 100, 1), []func(*Fleet){func(f *Fleet) { f.Pause(0, Incarnation{"u", 50}, time.Hour) }}, false},
 		{"later incarnation", entryOf("u", 100, 1), []func(*Fleet){put(entryOf("u", 200, 2))}, true},
@@ -64,7 +64,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := pauseFleet(2)
 		var now time.Duration
-		till := make(map[string]time.Duration) // end of the requested pause
+		pausedUntil := make(map[string]time.Duration) // end of the requested pause
 		var open []*Ticket
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
@@ -73,7 +73,7 @@
 			case 0:
 				length := time.Duration(rapid.IntRange(1, 3000).Draw(t, "length")) * time.Millisecond
 				f.Pause(now, Incarnation{ID: id}, length)
-				till[id] = max(till[id], now+length)
+				pausedUntil[id] = max(pausedUntil[id], now+length)
 			case 1:
 				if len(open) > 0 {
 					open[0].Close(now, Outcome(rapid.IntRange(int(Answered), int(Neutral)).Draw(t, "outcome")))
@@ -88,8 +88,8 @@
 				if !ok {
 					continue
 				}
-				if now < till[choice.Upstream.ID] {
-					t.Fatalf("%v: %s gets a request during its pause, which ends at %v", now, choice.Upstream.ID, till[choice.Upstream.ID])
+				if now < pausedUntil[choice.Upstream.ID] {
+					t.Fatalf("%v: %s gets a request during its pause, which ends at %v", now, choice.Upstream.ID, pausedUntil[choice.Upstream.ID])
 				}
 				open = append(open, f.Open(now, choice.Upstream.ID, plain))
 				if p := f.pauses[f.byID[choice.Upstream.ID].key]; p != nil && p.inFlight > p.window {
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -24,7 +24,7 @@
 type domainReach struct {
 	consecutive int           // upstreams that became unreachable since the last answer
 	lastFailure time.Duration // time of the last failure
-	inferred    int           // upstreams that are out only because the domain is cut off; 0: it is not cut off
+	inferred    int           // upstreams that are unreachable only because the domain is cut off; 0: it is not
 }
 
 // UnreachableUpstream is an upstream that has become unreachable.
@@ -168,8 +168,8 @@
 	}
 }
 
-// restoreDomain restores the upstreams of a failure domain that were out only because of the
-// domain. Those that failed themselves are probed first.
+// restoreDomain restores the upstreams of a failure domain that were unreachable only because of
+// the domain. Those that failed themselves are probed first.
 func (f *Fleet) restoreDomain(now time.Duration, name string) {
 	for _, m := range f.byID {
 		if m.Domain == name && m.unreachableByDomain {
--- a/balance/reach_test.go
+++ b/balance/reach_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// When one upstream of a cut-off domain answers, those that were out only because of the domain
+// When one upstream of a cut-off domain answers, those that were unreachable only because of the domain
 // are used again, and those that failed themselves are not.
 func TestCutOffDomainIsRestoredAsAWhole(t *testing.T) {
 	is := is.New(t)
--- a/balance/recovery.go
+++ b/balance/recovery.go
@@ -13,16 +13,16 @@
 )
 
 // maxPublishDelay is the longest time from the start of an upstream until its entry is published,
-// while the store is available: an upstream writes the entry at once, and a store call takes 4
-// ms, or about 300 ms if the store is slow.
+// while the store is available: an upstream writes the entry at once, and a store call takes
+// 4 ms, or about 300 ms if the store is slow.
 const maxPublishDelay = 500 * time.Millisecond
 
 // markRecovered notes that an upstream is reachable again. It becomes cold if it was unreachable
 // before.
 func (f *Fleet) markRecovered(now time.Duration, m *member) {
-	wasOut := m.unreachable
+	wasUnreachable := m.unreachable
 	f.markReachable(m)
-	if !wasOut {
+	if !wasUnreachable {
 		return
 	}
 	m.reachableSince = now
@@ -44,11 +44,11 @@
 
 // setReachability notes whether an upstream is unreachable, and whether it recovered and no entry
 // published since is known.
-func (m *member) setReachability(out, unsure bool) {
+func (m *member) setReachability(unreachable, unsure bool) {
 	if m.unreachable || m.assumedCold {
 		m.service.unreachableCount--
 	}
-	m.unreachable, m.assumedCold = out, unsure
+	m.unreachable, m.assumedCold = unreachable, unsure
 	if m.unreachable || m.assumedCold {
 		m.service.unreachableCount++
 	}
@@ -61,7 +61,7 @@
 		if m.assumedCold && published >= m.reachableSince+maxPublishDelay {
 			m.setReachability(m.unreachable, false)
 			m.coldUntil = now
-			f.rationsStale = true
+			f.quotasStale = true
 		}
 	}
 	f.coldMembers = slices.DeleteFunc(f.coldMembers, func(m *member) bool {
--- a/balance/recovery_test.go
+++ b/balance/recovery_test.go
@@ -14,12 +14,12 @@
 	const back = 10 * time.Second
 	bounded := ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 12}
 	for _, c := range []struct {
-		name  string
-		cold  ColdLimit
-		lost  int           // number of nine upstreams that were unreachable
-		known time.Duration // time up to which published entries are known
-		entry time.Duration // remaining cold time in an entry that arrived with it; 0: none arrived
-		cool  time.Duration // how long it gets only its quota
+		name      string
+		cold      ColdLimit
+		lost      int           // number of nine upstreams that were unreachable
+		published time.Duration // time up to which published entries are known
+		entry     time.Duration // remaining cold time in an entry that arrived with it; 0: none arrived
+		coldFor   time.Duration // how long it gets only its quota
 	}{
 		{"entry would have been published", bounded, 1, back + maxPublishDelay, 0, 0},
 		{"entry may still be published", bounded, 1, back + maxPublishDelay - 1, 0, 3 * time.Second},
@@ -43,11 +43,11 @@
 				u.ColdFor = c.entry
 				f.Put(back, u)
 			}
-			f.NotePublished(back, c.known)
+			f.NotePublished(back, c.published)
 			m := f.byID["u0"]
-			is.Equal(max(0, m.coldUntil-back), c.cool)
-			is.Equal(f.coldQuotaLeft(back, m), c.cool == 0 || c.cold.MaxPerSecond == 0) // this box knows no peers yet, so its quota is 0
-			is.True(f.coldQuotaLeft(back+c.cool, m))
+			is.Equal(max(0, m.coldUntil-back), c.coldFor)
+			is.Equal(f.coldQuotaLeft(back, m), c.coldFor == 0 || c.cold.MaxPerSecond == 0) // this box knows no peers yet, so its quota is 0
+			is.True(f.coldQuotaLeft(back+c.coldFor, m))
 		})
 	}
 }
@@ -107,7 +107,8 @@
 	})
 }
 
-// Upstreams that were out only because of their domain recover like those that failed themselves.
+// Upstreams that were unreachable only because of their domain recover like those that failed
+// themselves.
 func TestRecoveredDomainIsCold(t *testing.T) {
 	is := is.New(t)
 	f := newInformedFleet(9)
--- a/balance/service.go
+++ b/balance/service.go
@@ -21,7 +21,7 @@
 	cold             ColdLimit     // limits for its upstreams while they are cold
 	memory           int           // tokens that the memory of each of its upstreams holds; 0 if unknown
 	urgentUntil      urgentHolds   // until when capacity is reserved for requests of each urgency
-	waiters          waits         // requests that wait for the end of a pause
+	waiters          waiterCounts  // requests that wait for the end of a pause
 	unavailableSince time.Duration // when a request first found all listed upstreams leaving; longAgo if they are not
 	meanUnread       float64       // prompt tokens that its upstreams have to read, averaged over them
 }
--- a/balance/suspects_test.go
+++ b/balance/suspects_test.go
@@ -157,7 +157,7 @@
 		random := rand.New(rand.NewPCG(seed, 0))
 		boxes := []*Suspects{new(Suspects), new(Suspects), new(Suspects)}
 		now := time.Duration(0)
-		tell := func(from, to *Suspects) {
+		exchange := func(from, to *Suspects) {
 			list := from.Withheld(now)
 			random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 			to.Take(now, list)
@@ -171,10 +171,10 @@
 			case 2:
 				b.Answered(now, content)
 			default:
-				news := b.News(now)
+				reports := b.News(now)
 				for _, other := range boxes {
 					if other != b && random.IntN(3) > 0 { // some reports are lost
-						other.Take(now, news)
+						other.Take(now, reports)
 					}
 				}
 			}
@@ -183,7 +183,7 @@
 		for range 6 { // exchange of what each withholds, and of the reports in turn
 			for _, a := range boxes {
 				for _, b := range boxes {
-					tell(a, b)
+					exchange(a, b)
 					a.Take(now, b.News(now))
 				}
 			}
