--- a/cell/node.go
+++ b/cell/node.go
@@ -29,9 +29,9 @@
 	// Standalone makes the box its own owner of everything, as if it were the only
 	// one: the baseline of independent boxes.
 	Standalone bool
-	// Split gives the box 1/n of each upstream's slots: the baseline of a static
+	// StaticSplit gives the box 1/n of each upstream's slots: the baseline of a static
 	// split. It goes with Alone.
-	Split bool
+	StaticSplit bool
 	// Unfenced leaves out the care that keeps a promise; tests switch it on to
 	// see the promise broken.
 	Unfenced Unfenced
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -166,7 +166,7 @@
 		}
 		b := decide.Backend{Name: u.Name, Slots: u.Slots, Pausing: u.Kind == table.Engine, Model: u.Model,
 			Leaving: slices.Contains(n.roster.Leaving, u.Name)}
-		if n.cfg.Split {
+		if n.cfg.StaticSplit {
 			b.Slots = n.splitPart(u.Name, u.Slots)
 		}
 		if b.Slots > 0 {
--- a/experiment/setup.go
+++ b/experiment/setup.go
@@ -55,7 +55,7 @@
 	case Independent:
 		cfg.Standalone = true
 	case Split:
-		cfg.Standalone, cfg.Split = true, true
+		cfg.Standalone, cfg.StaticSplit = true, true
 	case FIFO, LeastLoad:
 		return nil
 	}
