--- a/balance/partindex.go
+++ b/balance/partindex.go
@@ -37,7 +37,7 @@
 // partIndex maps prompt parts to the upstreams that hold them.
 type partIndex struct {
 	holders map[uint32][]partHolder // by PartKey; no list is empty
-	news    []PartReport            // not yet reported to other boxes
+	pending []PartReport            // not yet reported to other boxes
 	sweptAt time.Duration           // time of the last scan for expired parts
 }
 
