--- a/relay/conns.go
+++ b/relay/conns.go
@@ -53,7 +53,7 @@
 	return &connPool{maxConns: limit, idle: make(map[string][]*conn), open: make(map[string]int), endedStart: make(map[string]int64)}
 }
 
-// errConnLimit reports that this box has as many connections to the upstream as it may open.
+// errConnLimit reports that this box has reached its limit of connections to the upstream.
 var errConnLimit = &Error{Op: "connect", Kind: KindExhausted}
 
 // get returns a connection that is known to be open, so that a later failure is due to the
@@ -78,8 +78,7 @@
 	p.putIdle(c, time.Until(c.idleUntil)+idleTimeoutMargin)
 }
 
-// openNew opens a connection and closes an idle one, if any, so that their number stays the
-// same.
+// openNew closes an idle connection, if any, and opens a new one in its place.
 func (p *connPool) openNew(ctx context.Context, u balance.Upstream, service string) (*conn, error) {
 	if c := p.popIdle(u.ID); c != nil {
 		p.discard(c)
@@ -87,7 +86,8 @@
 	return p.connect(ctx, u, service)
 }
 
-// connect opens a connection.
+// connect opens a connection. It returns errConnLimit if this box already has as many
+// connections to the upstream as it may open.
 func (p *connPool) connect(ctx context.Context, u balance.Upstream, service string) (*conn, error) {
 	if !p.reserve(u.ID, p.maxConns(service)) {
 		return nil, errConnLimit
