--- a/relay/events.go
+++ b/relay/events.go
@@ -23,7 +23,7 @@
 	total      int   // events returned
 	bodyEvents int   // events returned from the current body
 
-	reserve  func(n int64) error // charges buffer memory beyond freeAnswer; nil: not charged
+	reserve  func(n int64) error // charges buffer memory beyond freeAnswerBytes; nil: not charged
 	reserved int64               // size of the largest buffer charged
 }
 
