--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -94,7 +94,7 @@
 	lastPutAt        time.Duration              // when an entry was last put
 	services         map[string]*service        // by name
 	parts            partIndex
-	newlyUnreachable []UnreachableUpstream   // became unreachable, and not yet returned by NewlyLost
+	newlyUnreachable []UnreachableUpstream   // became unreachable, and not yet returned by TakeNewlyUnreachable
 	remoteLoadsStale bool                    // an upstream was listed after the last SetRemoteLoads; other boxes may have reported loads for it
 	domains          map[string]*domainReach // by name
 	reportedCutOff   []string                // failure domains that another box reports as cut off
@@ -112,7 +112,7 @@
 	pauses           map[uint32]*pause // that upstreams requested, by incarnation key
 	endedPauses      []uint32          // pauses that ended and were not yet returned by PausesOver
 	coldMembers      []*member         // upstreams that are cold, and some that were
-	rationsStale     bool              // an input of the rations has changed
+	quotasStale      bool              // an input of the quotas has changed
 }
 
 // initialListSpan is the time in which a box that has just started receives the entries of all
@@ -167,8 +167,8 @@
 // View is a snapshot of an upstream as the fleet sees it.
 type View struct {
 	Upstream
-	Out   bool // unreachable
-	Tight bool // in the lane for tight streams
+	Unreachable bool // unreachable
+	Tight       bool // in the lane for tight streams
 	// Evacuated reports whether its failure domain is evacuated.
 	Evacuated bool
 	ColdLeft  time.Duration // remaining cold time; 0 if it is not cold
@@ -182,7 +182,7 @@
 	list := make([]View, 0, len(f.byID))
 	for _, m := range f.byID {
 		load := Load{Unread: m.unreadAhead(UrgencyLevels - 1), Requests: m.open(), MemoryTokens: m.held()}
-		list = append(list, View{Upstream: m.Upstream, Out: m.unreachable, Tight: m.tight, Evacuated: m.evacuated,
+		list = append(list, View{Upstream: m.Upstream, Unreachable: m.unreachable, Tight: m.tight, Evacuated: m.evacuated,
 			ColdLeft: max(0, m.coldUntil-now), RTT: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
 	}
 	slices.SortFunc(list, func(a, b View) int {
