--- a/cell/holder.go
+++ b/cell/holder.go
@@ -211,7 +211,7 @@
 		kind = timeline.Fallback
 	}
 	n.record(l.event(kind))
-	n.act(Action{Kind: Dispatch, Request: l.req.ID, Upstream: upstream, Tokens: l.tokens, Again: l.attempts > 1,
+	n.act(Action{Kind: Dispatch, Request: l.req.ID, Upstream: upstream, Tokens: l.tokens, Redispatch: l.attempts > 1,
 		Resume: l.resume == upstream && upstream != "", StartBy: startBy})
 }
 
--- a/cell/types.go
+++ b/cell/types.go
@@ -217,18 +217,18 @@
 
 // Action is what a Node wants done.
 type Action struct {
-	Kind     ActionKind
-	To       string
-	Message  Message
-	Request  uint64
-	Upstream string
-	Tokens   int
-	Resume   bool          // Upstream holds the paused answer
-	Again    bool          // it was sent to an upstream before
-	StartBy  time.Duration // for Dispatch: send no byte after this moment
-	Final    Final
-	Event    timeline.Event
-	Order    decide.EngineOrder
+	Kind       ActionKind
+	To         string
+	Message    Message
+	Request    uint64
+	Upstream   string
+	Tokens     int
+	Resume     bool          // Upstream holds the paused answer
+	Redispatch bool          // it was sent to an upstream before
+	StartBy    time.Duration // for Dispatch: send no byte after this moment
+	Final      Final
+	Event      timeline.Event
+	Order      decide.EngineOrder
 }
 
 // Result is how a run on an upstream ended.
--- a/run.go
+++ b/run.go
@@ -57,7 +57,7 @@
 		Priority: tier,
 		From:     a.Tokens,
 		Resume:   a.Resume,
-		Fresh:    a.Again,
+		Fresh:    a.Redispatch,
 		StartBy:  a.StartBy,
 	}
 	go b.runCall(ctx, c, x, a.Request)
