--- a/balance/lane_test.go
+++ b/balance/lane_test.go
@@ -177,7 +177,7 @@
 	changes := f.SizeLanes(time.Second, LanePlan{Key("s"): {Reserved: 2}, Key("unknown"): {Reserved: 3}})
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Service, "s")
-	is.Equal(changes[0].Places, 2)
+	is.Equal(changes[0].Reserved, 2)
 	is.True(changes[0].Told)
 	is.Equal(len(tightUpstreams(f)), 2)
 	is.Equal(len(f.SizeLanes(2*time.Second, LanePlan{Key("s"): {Reserved: 2}})), 0) // unchanged
--- a/balance/lanesize.go
+++ b/balance/lanesize.go
@@ -45,7 +45,7 @@
 // LaneChange is a change of a lane's size, with the figures that led to it.
 type LaneChange struct {
 	Service   string
-	Places    int  // number of upstreams reserved for tight streams
+	Reserved  int  // number of upstreams reserved for tight streams
 	Upstreams int  // number of upstreams of the service
 	Tight     int  // recent tight streams in progress
 	Rest      int  // recent other requests in progress
