--- a/cell/beat.go
+++ b/cell/beat.go
@@ -126,5 +126,5 @@
 	return true // not listed yet: a new box speaks before the list names it
 }
 
-// Live lists the other boxes of the domain that are alive.
-func (n *Node) Live() []string { return n.members.live() }
+// LivePeers lists the other boxes of the domain that are alive.
+func (n *Node) LivePeers() []string { return n.members.live() }
--- a/operators.go
+++ b/operators.go
@@ -27,7 +27,7 @@
 			out.TableRevision = t.Revision
 		}
 		out.RosterRevision = n.Roster().Revision
-		out.Live = n.Live()
+		out.Live = n.LivePeers()
 		out.OwnedSets = n.Owned()
 	})
 	return out, err
