--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -15,7 +15,7 @@
 
 // Upstream describes an engine or a plain service, as its registry entry states it.
 type Upstream struct {
-	ID        string // after a restart the upstream has either a new ID, or the same ID and a later StartedAt
+	ID        string // a restart changes the ID or increases StartedAt
 	StartedAt int64  // start time, Unix ms; 0 if unknown
 	Service   string
 	Address   string // IP:port
@@ -24,7 +24,7 @@
 	Leaving   bool   // takes no new requests
 	// ColdFor is the remaining time for which the upstream is cold, according to its entry.
 	ColdFor  time.Duration
-	Revision uint64 // revision of the entry; decides between two entries with the same address and no start time
+	Revision uint64 // of the entry; orders entries with the same address and no start time
 	// CommandCount is the number of control commands that the upstream has received since it
 	// started. HasCommandCount reports whether its entry states that number.
 	CommandCount    uint64
@@ -39,7 +39,7 @@
 	successor           *member // the same incarnation, listed again; it now holds the work
 	health              health
 	unreachable         bool          // cannot be reached; used only if no other upstream is left
-	unreachableByDomain bool          // became unreachable only because its failure domain was marked unreachable
+	unreachableByDomain bool          // unreachable only because its failure domain counts as cut off
 	listedAt            time.Duration // when it was first listed
 	key                 uint32        // of its incarnation
 	history             *history
@@ -61,7 +61,7 @@
 	lastBreakAt    time.Duration // when the connection of a run last broke
 	recentBreaks   int           // number of connections that broke around lastBreakAt
 	reachableSince time.Duration // when it last became reachable again
-	assumedCold    bool          // counts as cold, because nothing published describes it since it became reachable again
+	assumedCold    bool          // counts as cold until an entry newer than reachableSince describes it
 	replaced       bool          // another upstream has taken over its address
 	suspect        bool          // there was a sign that it may have restarted
 	distrustUntil  time.Duration // until then, cache news from other boxes may predate the suspected restart
@@ -87,15 +87,15 @@
 	byService        map[string][]*member
 	byKey            map[uint32]*member
 	byAddress        map[string]*member
-	addressWaiters   map[string]*Upstream       // by id: entries whose address another upstream holds
-	incarnations     map[string]lastIncarnation // by id: the latest known incarnation
-	unlisted         map[string]*member         // by id: no longer listed, but this box still has requests open on it
-	documentServices map[string]bool            // services that the configuration document names; nil before the first document
+	addressWaiters   map[string]*Upstream       // by ID: entries whose address another upstream holds
+	incarnations     map[string]lastIncarnation // by ID: the latest known incarnation
+	unlisted         map[string]*member         // by ID: removed while this box had requests open on it
+	documentServices map[string]bool            // named by the configuration document; nil before the first one
 	lastPutAt        time.Duration              // when an entry was last put
 	services         map[string]*service        // by name
 	parts            partIndex
-	newlyUnreachable []UnreachableUpstream   // became unreachable, and not yet returned by NewlyLost
-	remoteLoadsStale bool                    // an upstream was listed after the last SetRemoteLoads; other boxes may have reported loads for it
+	newlyUnreachable []UnreachableUpstream   // not yet returned by TakeNewlyUnreachable
+	remoteLoadsStale bool                    // an upstream was listed since the last SetRemoteLoads
 	domains          map[string]*domainReach // by name
 	reportedCutOff   []string                // failure domains that another box reports as cut off
 	rtts             map[string]*rttEstimate // by failure domain
@@ -103,16 +103,16 @@
 	firstListedAt    time.Duration           // when the first upstream was listed
 
 	histories        map[uint32]*history // by incarnation key
-	historiesSweptAt time.Duration       // when the histories of unlisted incarnations were last checked for expiry
+	historiesSweptAt time.Duration       // when the histories of unlisted incarnations were last swept
 	evacuated        map[string]bool     // failure domains
-	memoryShare      float64             // share of an upstream's memory that this box may fill; 1 while it knows the loads of the other boxes
+	memoryShare      float64             // share of an upstream's memory that this box may fill; 1 if it knows the other boxes' loads
 	boxCount         int                 // number of all boxes, as far as known
-	quotaPeers       QuotaPeers
-	limits           limitTable        // that upstreams state in their answers
-	pauses           map[uint32]*pause // that upstreams requested, by incarnation key
-	endedPauses      []uint32          // pauses that ended and were not yet returned by PausesOver
-	coldMembers      []*member         // upstreams that are cold, and some that were
-	rationsStale     bool              // an input of the rations has changed
+	quotaPeers       QuotaPeers          // boxes that share the rations and rate limits
+	limits           limitTable          // rate limits that upstreams state in their answers
+	pauses           map[uint32]*pause   // that upstreams requested, by incarnation key
+	endedPauses      []uint32            // incarnation keys of pauses that ended, not yet returned by PausesOver
+	coldMembers      []*member           // upstreams that are cold, and some that were
+	rationsStale     bool                // an input of the rations has changed
 }
 
 // initialListSpan is the time in which a box that has just started receives the entries of all
@@ -167,7 +167,7 @@
 // View is a snapshot of an upstream as the fleet sees it.
 type View struct {
 	Upstream
-	Unreachable bool // unreachable
+	Unreachable bool // cannot be reached
 	Tight       bool // in the lane for tight streams
 	// Evacuated reports whether its failure domain is evacuated.
 	Evacuated bool
--- a/balance/place.go
+++ b/balance/place.go
@@ -15,7 +15,7 @@
 // Choice is the result of placing a request.
 type Choice struct {
 	Upstream  *Upstream
-	FetchFrom string // address of an upstream that holds more of the prompt, to fetch it from; may be empty
+	FetchFrom string // address of an upstream that holds more of the prompt, or ""
 	Backlog   int    // prompt tokens that the upstream reads before this request
 	Unread    int    // tokens of this prompt that the upstream has to read
 	Skipped   int    // number of upstreams skipped because they accept no more requests from this box
--- a/balance/service.go
+++ b/balance/service.go
@@ -11,7 +11,7 @@
 	name             string
 	active           []*member     // upstreams that may have work; see active.go
 	upstreamCount    int           // number of its listed upstreams
-	unreachableCount int           // number of them that are unreachable, or reachable again but not yet described by a newer entry
+	unreachableCount int           // of them: unreachable, or reachable again without a newer entry
 	slotCount        int           // sum over its upstreams
 	classes          classes       // statistics of its request classes
 	refusals         refusals      // recent refusals of its requests
@@ -22,7 +22,7 @@
 	memory           int           // tokens that the memory of each of its upstreams holds; 0 if unknown
 	urgentUntil      urgentHolds   // until when capacity is reserved for requests of each urgency
 	waiters          waits         // requests that wait for the end of a pause
-	unavailableSince time.Duration // when a request first found all listed upstreams leaving; longAgo if they are not
+	unavailableSince time.Duration // when a request first found all listed upstreams leaving, else longAgo
 	meanUnread       float64       // prompt tokens that its upstreams have to read, averaged over them
 }
 
