--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -107,12 +107,12 @@
 	evacuated        map[string]bool     // failure domains
 	memoryShare      float64             // share of an upstream's memory that this box may fill; 1 if it knows the other boxes' loads
 	boxCount         int                 // number of all boxes, as far as known
-	quotaPeers       QuotaPeers          // boxes that share the rations and rate limits
+	quotaPeers       QuotaPeers          // boxes that share the quotas
 	limits           limitTable          // rate limits that upstreams state in their answers
 	pauses           map[uint32]*pause   // that upstreams requested, by incarnation key
 	endedPauses      []uint32            // incarnation keys of pauses that ended, not yet returned by PausesOver
 	coldMembers      []*member           // upstreams that are cold, and some that were
-	rationsStale     bool                // an input of the rations has changed
+	quotasStale      bool                // an input of the quotas has changed
 }
 
 // initialListSpan is the time in which a box that has just started receives the entries of all
