--- a/balance/cold.go
+++ b/balance/cold.go
@@ -120,7 +120,7 @@
 func (f *Fleet) refreshColdQuotas(now time.Duration) {
 	f.coldMembers = slices.DeleteFunc(f.coldMembers, func(m *member) bool { return now >= m.coldUntil })
 	for _, m := range f.coldMembers {
-		m.coldRation = f.quotaPeers.quota(m.ID, f.domainColdShare(m))
+		m.coldQuota = f.quotaPeers.quota(m.ID, f.domainColdShare(m))
 	}
 }
 
@@ -154,7 +154,7 @@
 	}
 	f.refreshQuotas(now)
 	m.coldRequests = slices.DeleteFunc(m.coldRequests, func(at time.Duration) bool { return now-at >= coldWindow })
-	return len(m.coldRequests) < m.coldRation
+	return len(m.coldRequests) < m.coldQuota
 }
 
 // leastSentLimited returns the upstream of a list that this box has sent the fewest requests,
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -75,7 +75,7 @@
 				u.ColdFor = time.Minute
 				f.Put(0, u)
 				f.refreshColdQuotas(0)
-				sum += f.byID["u0"].coldRation
+				sum += f.byID["u0"].coldQuota
 			}
 		}
 		if sum > limit/2 || sum == 0 {
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -55,7 +55,7 @@
 	evacuated         bool            // its failure domain is evacuated
 	needsLeavingCheck bool            // its previous incarnation reported leaving, which may have meant this one
 	coldUntil         time.Duration   // end of its cold period
-	coldRation        int             // number of requests that this box may send it within coldWindow while it is cold
+	coldQuota         int             // number of requests that this box may send it within coldWindow while it is cold
 	coldRequests      []time.Duration // when this box sent the requests of the last coldWindow
 
 	lastBreakAt    time.Duration // when the connection of a run last broke
