--- a/balance/lane_test.go
+++ b/balance/lane_test.go
@@ -178,7 +178,7 @@
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Service, "s")
 	is.Equal(changes[0].Reserved, 2)
-	is.True(changes[0].Told)
+	is.True(changes[0].Reported)
 	is.Equal(len(tightUpstreams(f)), 2)
 	is.Equal(len(f.SizeLanes(2*time.Second, LanePlan{Key("s"): {Reserved: 2}})), 0) // unchanged
 	f.SizeLanes(time.Minute, LanePlan{Key("s"): {Reserved: 99}})
--- a/balance/lanesize.go
+++ b/balance/lanesize.go
@@ -50,7 +50,7 @@
 	Tight     int  // recent tight streams in progress
 	Rest      int  // recent other requests in progress
 	Need      Need // share of the upstreams that each side needs
-	Told      bool // the size was reported by another box, not computed by this one
+	Reported  bool // the size was reported by another box, not computed by this one
 }
 
 // SizeLanes updates the lane sizes, to the reported size for the services in reported, and from
--- a/relay/sync.go
+++ b/relay/sync.go
@@ -60,7 +60,7 @@
 	m.node.SetLanes(m.relay.fleet.Lanes())
 	for _, c := range changes {
 		m.relay.cfg.Log.Event("lanes", "sized", Fields{"service": c.Service, "tight_upstreams": c.Reserved, "upstreams": c.Upstreams,
-			"tight_open": c.Tight, "other_open": c.Rest, "tight_need": c.Need.Tight, "other_need": c.Need.Rest, "told": c.Told, "loads_age_ms": m.loadsAge().Milliseconds()})
+			"tight_open": c.Tight, "other_open": c.Rest, "tight_need": c.Need.Tight, "other_need": c.Need.Rest, "told": c.Reported, "loads_age_ms": m.loadsAge().Milliseconds()})
 	}
 }
 
