--- a/balance/limitstate.go
+++ b/balance/limitstate.go
@@ -66,7 +66,7 @@
 	Named     bool   // a limit is in force
 	PerSecond float64
 	Before    float64       // previous value; 0 if there was none
-	Told      bool          // reported by another box
+	Reported  bool          // reported by another box
 	Age       time.Duration // since the answer that the change is based on
 }
 
@@ -127,7 +127,7 @@
 		return LimitChange{}, false
 	}
 	l.pending[incarnation] = l.pending[incarnation] || !reported
-	c := LimitChange{Life: incarnation, Named: x.inForce(), Told: reported, Age: age}
+	c := LimitChange{Life: incarnation, Named: x.inForce(), Reported: reported, Age: age}
 	if held {
 		c.Before = before
 	}
--- a/relay/limit.go
+++ b/relay/limit.go
@@ -103,7 +103,7 @@
 	}
 	fields := Fields{"upstream": u.ID, "born": u.StartedAt, "per_second": c.PerSecond, "before": c.Before, "source": "seen here", "id": request,
 		"sent_lately": sent, "span_ms": sentWindow.Milliseconds(), "ration": limit.Quota, "ration_span_ms": limit.Span.Milliseconds()}
-	if c.Told {
+	if c.Reported {
 		fields["source"], fields["age_ms"] = "told", c.Age.Milliseconds()
 		delete(fields, "id")
 	}
