--- a/balance/classreport.go
+++ b/balance/classreport.go
@@ -16,8 +16,8 @@
 	Class   uint32 // Key of the class name
 }
 
-// ClassSeen holds statistics about a class from one box or several.
-type ClassSeen struct {
+// ClassStats holds statistics about a class from one box or several.
+type ClassStats struct {
 	ClassKey
 	Read  float64       // mean number of prompt tokens prefilled per request
 	Seen  float64       // number of requests observed, with exponential decay
@@ -25,7 +25,7 @@
 }
 
 // Plus combines two sets of statistics about the same class.
-func (c ClassSeen) Plus(o ClassSeen) ClassSeen {
+func (c ClassStats) Plus(o ClassStats) ClassStats {
 	sum := mean{c.Read * c.Seen, c.Seen}
 	sum.add(o.Read, o.Seen)
 	c.Read, c.Seen, c.Pause = sum.value(), sum.weight, max(c.Pause, o.Pause)
@@ -33,12 +33,12 @@
 }
 
 // Classes returns the class statistics of this box, in no particular order.
-func (f *Fleet) Classes() []ClassSeen {
-	var list []ClassSeen
+func (f *Fleet) Classes() []ClassStats {
+	var list []ClassStats
 	for name, s := range f.services {
 		for key, c := range s.classes.byKey {
 			if c.observed.weight >= minReportedWeight {
-				list = append(list, ClassSeen{ClassKey{Key(name), key}, c.observed.value(), c.observed.weight, c.gap})
+				list = append(list, ClassStats{ClassKey{Key(name), key}, c.observed.value(), c.observed.weight, c.gap})
 			}
 		}
 	}
@@ -46,7 +46,7 @@
 }
 
 // NoteClasses replaces the statistics reported by all other boxes.
-func (f *Fleet) NoteClasses(list []ClassSeen) {
+func (f *Fleet) NoteClasses(list []ClassStats) {
 	for name, s := range f.services {
 		key := Key(name)
 		s.classes.clearReported()
@@ -66,7 +66,7 @@
 }
 
 // setReported sets the statistics that other boxes reported about a class.
-func (k *classes) setReported(reported ClassSeen) {
+func (k *classes) setReported(reported ClassStats) {
 	c := k.byKey[reported.Class]
 	if c == nil {
 		if len(k.byKey) >= maxClasses {
--- a/balance/classreport_test.go
+++ b/balance/classreport_test.go
@@ -17,7 +17,7 @@
 	is.True(f.tight(chat(1)) && !f.tight(letter(1)))
 	is.True(len(tightUpstreams(f)) < 20)
 	is.Equal(len(f.Classes()), 0) // reported statistics are not passed on
-	other := ClassSeen{ClassKey: ClassKey{Service: Key("other"), Class: Key("chat")}, Read: 1e6, Seen: 9, Pause: time.Hour}
+	other := ClassStats{ClassKey: ClassKey{Service: Key("other"), Class: Key("chat")}, Read: 1e6, Seen: 9, Pause: time.Hour}
 	f.NoteClasses(append(teller.Classes(), other))
 	f.SizeLanes(0, nil)
 	is.True(f.tight(chat(1))) // the other report is about a different service
@@ -28,7 +28,7 @@
 func TestOwnAndReportedClassesAreWeightedByRequests(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(20)
-	reported := []ClassSeen{{ClassKey: ClassKey{Service: Key("s"), Class: Key("chat")}, Read: 1000, Seen: 5, Pause: time.Second}}
+	reported := []ClassStats{{ClassKey: ClassKey{Service: Key("s"), Class: Key("chat")}, Read: 1000, Seen: 5, Pause: time.Second}}
 	f.NoteClasses(reported)
 	k := &f.serviceOf("s").classes
 	k.observe(chat(1), 400)
@@ -37,7 +37,7 @@
 	is.Equal(c.meanPrefill(), 900.0)
 	is.Equal(c.requests(), 6.0)
 	is.Equal(c.gap, 200*time.Millisecond)
-	is.Equal(f.Classes(), []ClassSeen{{reported[0].ClassKey, 400, 1, 200 * time.Millisecond}})
+	is.Equal(f.Classes(), []ClassStats{{reported[0].ClassKey, 400, 1, 200 * time.Millisecond}})
 	f.NoteClasses(nil)
 	is.Equal(c.meanPrefill(), 400.0)
 	k.decay(time.Hour)
@@ -47,9 +47,9 @@
 // Plus weights both means by their requests.
 func TestClassSeenPlus(t *testing.T) {
 	is := is.New(t)
-	a := ClassSeen{Read: 1000, Seen: 3, Pause: 200 * time.Millisecond}
-	b := ClassSeen{Read: 200, Seen: 1, Pause: time.Second}
-	is.Equal(a.Plus(b), ClassSeen{Read: 800, Seen: 4, Pause: time.Second})
-	is.Equal(a.Plus(ClassSeen{}), a)
-	is.Equal((ClassSeen{}).Plus(ClassSeen{}), ClassSeen{})
+	a := ClassStats{Read: 1000, Seen: 3, Pause: 200 * time.Millisecond}
+	b := ClassStats{Read: 200, Seen: 1, Pause: time.Second}
+	is.Equal(a.Plus(b), ClassStats{Read: 800, Seen: 4, Pause: time.Second})
+	is.Equal(a.Plus(ClassStats{}), a)
+	is.Equal((ClassStats{}).Plus(ClassStats{}), ClassStats{})
 }
--- a/experiment/placing/way.go
+++ b/experiment/placing/way.go
@@ -188,8 +188,8 @@
 }
 
 // classesOfOthers adds up what all deciders but one see of classes.
-func classesOfOthers(list []*decider, but *decider) []balance.ClassSeen {
-	sums := make(map[balance.ClassKey]balance.ClassSeen)
+func classesOfOthers(list []*decider, but *decider) []balance.ClassStats {
+	sums := make(map[balance.ClassKey]balance.ClassStats)
 	for _, o := range list {
 		if o == but {
 			continue
--- a/group/class.go
+++ b/group/class.go
@@ -26,19 +26,19 @@
 )
 
 // SetClasses sets the statistics measured by this box.
-func (n *Node) SetClasses(own []balance.ClassSeen) { n.ownClasses = own }
+func (n *Node) SetClasses(own []balance.ClassStats) { n.ownClasses = own }
 
 // classMeans holds means over several boxes, by class.
-type classMeans map[balance.ClassKey]balance.ClassSeen
+type classMeans map[balance.ClassKey]balance.ClassStats
 
-func (c classMeans) add(list []balance.ClassSeen) {
+func (c classMeans) add(list []balance.ClassStats) {
 	for _, stats := range list {
 		c[stats.ClassKey] = stats.Plus(c[stats.ClassKey])
 	}
 }
 
 // Classes returns the statistics of the other boxes, in no particular order.
-func (n *Node) Classes(now time.Duration) []balance.ClassSeen {
+func (n *Node) Classes(now time.Duration) []balance.ClassStats {
 	means := make(classMeans)
 	for _, p := range n.peers {
 		if n.countsClasses(now, p) {
@@ -68,7 +68,7 @@
 	}
 	p.classes, p.classesAt = nil, now
 	for _, c := range m.Classes[:min(len(m.Classes), maxClasses)] {
-		p.classes = append(p.classes, balance.ClassSeen{
+		p.classes = append(p.classes, balance.ClassStats{
 			ClassKey: balance.ClassKey{Service: c.Service, Class: c.Class},
 			Read:     float64(c.Read),
 			Seen:     float64(c.Seen),
--- a/group/class_test.go
+++ b/group/class_test.go
@@ -9,8 +9,8 @@
 	"github.com/doormast/doormast/balance"
 )
 
-func classStats(class uint32, read, requests float64) balance.ClassSeen {
-	return balance.ClassSeen{ClassKey: balance.ClassKey{Service: 7, Class: class}, Read: read, Seen: requests, Pause: 200 * time.Millisecond}
+func classStats(class uint32, read, requests float64) balance.ClassStats {
+	return balance.ClassStats{ClassKey: balance.ClassKey{Service: 7, Class: class}, Read: read, Seen: requests, Pause: 200 * time.Millisecond}
 }
 
 // knownClasses returns the classes a box has heard of, with the mean tokens read for each.
@@ -31,7 +31,7 @@
 			w := newSimulation(t, 51)
 			w.startFleet(3, 4)
 			w.run(4 * time.Second)
-			w.boxes[sender].node.SetClasses([]balance.ClassSeen{classStats(1, 600, 3), classStats(2, 3500, 1)})
+			w.boxes[sender].node.SetClasses([]balance.ClassStats{classStats(1, 600, 3), classStats(2, 3500, 1)})
 			w.run(3*DefaultTiming.HeartbeatInterval + 500*time.Millisecond)
 			for _, name := range w.names {
 				if name == sender {
@@ -53,7 +53,7 @@
 	is := is.New(t)
 	w := newSimulation(t, 52)
 	w.startFleet(3, 4)
-	w.boxes[boxName(2, 1)].node.SetClasses([]balance.ClassSeen{classStats(1, 600, 3)})
+	w.boxes[boxName(2, 1)].node.SetClasses([]balance.ClassStats{classStats(1, 600, 3)})
 	w.run(4 * time.Second)
 	name := boxName(0, 3)
 	w.start(name, domainName(0), w.boxes[name].self.Strength, false)
@@ -67,9 +67,9 @@
 	w := newSimulation(t, 53)
 	w.startFleet(3, 3)
 	w.run(4 * time.Second)
-	w.boxes[boxName(0, 1)].node.SetClasses([]balance.ClassSeen{classStats(1, 600, 3)})
-	w.boxes[boxName(1, 0)].node.SetClasses([]balance.ClassSeen{classStats(1, 1000, 4)})
-	w.boxes[boxName(1, 1)].node.SetClasses([]balance.ClassSeen{classStats(1, 2000, 1)})
+	w.boxes[boxName(0, 1)].node.SetClasses([]balance.ClassStats{classStats(1, 600, 3)})
+	w.boxes[boxName(1, 0)].node.SetClasses([]balance.ClassStats{classStats(1, 1000, 4)})
+	w.boxes[boxName(1, 1)].node.SetClasses([]balance.ClassStats{classStats(1, 2000, 1)})
 	w.run(3 * time.Second)
 	for _, name := range w.names {
 		if name == boxName(1, 0) { // a leader: its own statistics are not sent to it
@@ -87,7 +87,7 @@
 	w.startFleet(1, 3)
 	w.run(4 * time.Second)
 	for box := range 3 {
-		var many []balance.ClassSeen
+		var many []balance.ClassStats
 		for i := range 5 * maxClasses {
 			many = append(many, classStats(uint32(box*1000+i), 1, 1))
 		}
--- a/group/node.go
+++ b/group/node.go
@@ -120,7 +120,7 @@
 	sentLoads          Loads                    // the loads it holds for this box
 	allLoadsSentAt     time.Duration            // when it was last sent the complete list
 	lastLoadsSentAt    time.Duration            // when it was last sent any loads
-	classes            []balance.ClassSeen      // what it last reported about classes
+	classes            []balance.ClassStats     // what it last reported about classes
 	classesAt          time.Duration            // when that was received
 	lastParts          map[uint32]receivedParts // the last message about prompt parts, by scope
 }
@@ -192,7 +192,7 @@
 	lanes    balance.LanePlan // the division announced by the leader it follows
 	lanesAt  time.Duration    // when that was last received
 
-	ownClasses []balance.ClassSeen // as measured by this box
+	ownClasses []balance.ClassStats // as measured by this box
 
 	quotaPeers map[uint32]time.Duration // by hash of the box name: when a leader last named it
 
