--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -10,7 +10,7 @@
 
 // choiceWithWait returns a choice whose backlog takes the given time to prefill.
 func choiceWithWait(wait time.Duration) Choice {
-	return Choice{Backlog: int(DefaultTuning.ReadRate * float64(wait.Milliseconds()))}
+	return Choice{Backlog: int(DefaultTuning.PrefillRate * float64(wait.Milliseconds()))}
 }
 
 func TestAdmitReturnsRetryDelayForLateRequests(t *testing.T) {
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -140,7 +140,7 @@
 		parts:          partIndex{holders: make(map[uint32][]partHolder)},
 		domains:        make(map[string]*domainReach),
 		rtts:           make(map[string]*rttEstimate),
-		prefillRate:    cfg.Tuning.ReadRate,
+		prefillRate:    cfg.Tuning.PrefillRate,
 		memoryShare:    1,
 	}
 }
--- a/balance/tuning.go
+++ b/balance/tuning.go
@@ -47,9 +47,9 @@
 	// LoadedShare is the mean backlog of the upstreams, as a share of the latency target, from
 	// which on AdmitLoadedShare applies in full.
 	LoadedShare float64
-	// ReadRate is the assumed prefill rate of upstreams, in prompt tokens per ms, until it has
+	// PrefillRate is the assumed prefill rate of upstreams, in prompt tokens per ms, until it has
 	// been measured.
-	ReadRate float64
+	PrefillRate float64
 }
 
 // DefaultTuning is used if a configuration sets none.
@@ -69,5 +69,5 @@
 	AdmitLoadedShare:  0.4,
 	AdmitMinShare:     0.1,
 	LoadedShare:       0.2,
-	ReadRate:          36,
+	PrefillRate:       36,
 }
