--- a/balance/suspectreport.go
+++ b/balance/suspectreport.go
@@ -57,9 +57,9 @@
 	return list
 }
 
-// Take merges the reports of another box, and returns the contents that become withheld. If this
+// Merge merges the reports of another box, and returns the contents that become withheld. If this
 // box knows more about a content, it reports that in turn.
-func (s *Suspects) Take(now time.Duration, reports []Suspect) []uint64 {
+func (s *Suspects) Merge(now time.Duration, reports []Suspect) []uint64 {
 	var withheld []uint64
 	for _, t := range reports {
 		if t.Age >= suspectRetention {
--- a/balance/suspects_test.go
+++ b/balance/suspects_test.go
@@ -100,13 +100,13 @@
 	a, b := new(Suspects), new(Suspects)
 	crashDuring(a, 0, 1, content)
 	crashDuring(a, 0, 2, content)
-	b.Take(time.Second, a.News(time.Second))
+	b.Merge(time.Second, a.News(time.Second))
 	is.True(b.Left(time.Second, content) > 0)
 	b.Alive(incarnationOf(1), 900*time.Millisecond) // a run that began before the report proves nothing
 	is.True(b.Left(time.Second, content) > 0)
 	b.Alive(incarnationOf(1), 1100*time.Millisecond)
 	is.Equal(b.Left(2*time.Second, content), time.Duration(0))
-	a.Take(2*time.Second, b.News(2*time.Second))
+	a.Merge(2*time.Second, b.News(2*time.Second))
 	is.Equal(a.Left(2*time.Second, content), time.Duration(0))
 	is.Equal(a.Count(content), 1)
 }
@@ -160,7 +160,7 @@
 		exchange := func(from, to *Suspects) {
 			list := from.Withheld(now)
 			random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-			to.Take(now, list)
+			to.Merge(now, list)
 		}
 		for range 200 {
 			now += time.Duration(random.IntN(100)) * time.Millisecond
@@ -174,7 +174,7 @@
 				reports := b.News(now)
 				for _, other := range boxes {
 					if other != b && random.IntN(3) > 0 { // some reports are lost
-						other.Take(now, reports)
+						other.Merge(now, reports)
 					}
 				}
 			}
@@ -184,7 +184,7 @@
 			for _, a := range boxes {
 				for _, b := range boxes {
 					exchange(a, b)
-					a.Take(now, b.News(now))
+					a.Merge(now, b.News(now))
 				}
 			}
 		}
--- a/cell/ends.go
+++ b/cell/ends.go
@@ -112,7 +112,7 @@
 
 // onEnds takes in what another box tells, and tells it back what it knows less of.
 func (n *Node) onEnds(from string, m *Ends) {
-	n.ends.Take(n.now, m.Suspects)
+	n.ends.Merge(n.now, m.Suspects)
 	back := slices.DeleteFunc(n.takeEnds(), func(mine balance.Suspect) bool {
 		return slices.ContainsFunc(m.Suspects, func(told balance.Suspect) bool {
 			return told.Content == mine.Content && told.Round == mine.Round && slices.Equal(told.Ended, mine.Ended)
--- a/group/suspects_test.go
+++ b/group/suspects_test.go
@@ -35,7 +35,7 @@
 				h.boxes[name], h.tables[name] = b, new(balance.Suspects)
 			}
 			s := h.tables[name]
-			s.Take(h.sim.now, b.node.DrainSuspects())
+			s.Merge(h.sim.now, b.node.DrainSuspects())
 			b.node.AnnounceSuspects(s.News(h.sim.now))
 			b.node.SetWithheld(s.Withheld(h.sim.now))
 			b.node.FlushSuspects(h.sim.now)
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -173,7 +173,7 @@
 	}
 	now := r.now()
 	r.mu.Lock()
-	withheld := r.crashSuspects.Take(now, received)
+	withheld := r.crashSuspects.Merge(now, received)
 	if own := r.crashSuspects.News(now); len(own) > 0 {
 		m.node.AnnounceSuspects(own)
 		m.node.SetWithheld(r.crashSuspects.Withheld(now))
