--- a/balance/suspectreport.go
+++ b/balance/suspectreport.go
@@ -29,8 +29,8 @@
 	s.pending[content] = struct{}{}
 }
 
-// News returns the queued reports sorted by content, and clears the queue.
-func (s *Suspects) News(now time.Duration) []Suspect {
+// TakeNews returns the queued reports sorted by content, and clears the queue.
+func (s *Suspects) TakeNews(now time.Duration) []Suspect {
 	var list []Suspect
 	for _, content := range slices.Sorted(maps.Keys(s.pending)) {
 		if x := s.contents[content]; x != nil {
--- a/balance/suspects_test.go
+++ b/balance/suspects_test.go
@@ -100,13 +100,13 @@
 	a, b := new(Suspects), new(Suspects)
 	crashDuring(a, 0, 1, content)
 	crashDuring(a, 0, 2, content)
-	b.Merge(time.Second, a.News(time.Second))
+	b.Merge(time.Second, a.TakeNews(time.Second))
 	is.True(b.Left(time.Second, content) > 0)
 	b.Alive(incarnationOf(1), 900*time.Millisecond) // a run that began before the report proves nothing
 	is.True(b.Left(time.Second, content) > 0)
 	b.Alive(incarnationOf(1), 1100*time.Millisecond)
 	is.Equal(b.Left(2*time.Second, content), time.Duration(0))
-	a.Merge(2*time.Second, b.News(2*time.Second))
+	a.Merge(2*time.Second, b.TakeNews(2*time.Second))
 	is.Equal(a.Left(2*time.Second, content), time.Duration(0))
 	is.Equal(a.Count(content), 1)
 }
@@ -171,7 +171,7 @@
 			case 2:
 				b.Answered(now, content)
 			default:
-				reports := b.News(now)
+				reports := b.TakeNews(now)
 				for _, other := range boxes {
 					if other != b && random.IntN(3) > 0 { // some reports are lost
 						other.Merge(now, reports)
@@ -184,7 +184,7 @@
 			for _, a := range boxes {
 				for _, b := range boxes {
 					exchange(a, b)
-					a.Merge(now, b.News(now))
+					a.Merge(now, b.TakeNews(now))
 				}
 			}
 		}
--- a/cell/ends.go
+++ b/cell/ends.go
@@ -85,7 +85,7 @@
 
 // takeEnds takes what is new, and ends the requests that are withheld by now.
 func (n *Node) takeEnds() []balance.Suspect {
-	news := n.ends.News(n.now)
+	news := n.ends.TakeNews(n.now)
 	if len(news) == 0 {
 		return nil
 	}
--- a/group/suspects_test.go
+++ b/group/suspects_test.go
@@ -36,7 +36,7 @@
 			}
 			s := h.tables[name]
 			s.Merge(h.sim.now, b.node.DrainSuspects())
-			b.node.AnnounceSuspects(s.News(h.sim.now))
+			b.node.AnnounceSuspects(s.TakeNews(h.sim.now))
 			b.node.SetWithheld(s.Withheld(h.sim.now))
 			b.node.FlushSuspects(h.sim.now)
 			h.sim.sendOutgoing(b)
--- a/relay/withhold.go
+++ b/relay/withhold.go
@@ -174,7 +174,7 @@
 	now := r.now()
 	r.mu.Lock()
 	withheld := r.crashSuspects.Merge(now, received)
-	if own := r.crashSuspects.News(now); len(own) > 0 {
+	if own := r.crashSuspects.TakeNews(now); len(own) > 0 {
 		m.node.AnnounceSuspects(own)
 		m.node.SetWithheld(r.crashSuspects.Withheld(now))
 	}
