--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -71,10 +71,10 @@
 type Config struct {
 	Domain string // failure domain of this box
 	// Regions maps failure domains to regions, as far as they belong to one.
-	Regions map[string]string
-	Tuning  Tuning
-	Named   LimitBounds // bounds for the limits that upstreams state in their answers
-	Off     Off         // mechanisms that are switched off
+	Regions     map[string]string
+	Tuning      Tuning
+	LimitBounds LimitBounds // bounds for the limits that upstreams state in their answers
+	Off         Off         // mechanisms that are switched off
 	// FirstStart says that no box of this deployment ran before. A prompt part that no box is
 	// known to have sent to an upstream has then been sent to none.
 	FirstStart bool
--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -74,7 +74,7 @@
 	}
 	f.refreshQuotas(now)
 	x := f.limitOf(m)
-	_, span := f.cfg.Named.allowance(x.perSecond)
+	_, span := f.cfg.LimitBounds.allowance(x.perSecond)
 	return LimitQuota{PerSecond: x.perSecond, Age: now - x.lastRead, Quota: x.quota, Span: span}, true
 }
 
@@ -123,9 +123,9 @@
 	f.refreshQuotas(now)
 	var left time.Duration
 	if x.mayBind { // boxes that had no report of the limit yet have sent more meanwhile
-		left = max(0, x.droppedAt+f.cfg.Named.Span+maxTransit-now)
+		left = max(0, x.droppedAt+f.cfg.LimitBounds.Span+maxTransit-now)
 	}
-	_, span := f.cfg.Named.allowance(x.perSecond)
+	_, span := f.cfg.LimitBounds.allowance(x.perSecond)
 	switch over := m.history.within(now, span) - x.quota; {
 	case x.quota == 0:
 		return max(left, span) // the whole allowance belongs to other boxes
@@ -162,7 +162,7 @@
 // become available and the refused caller may have retried, the little there is is withheld from
 // less urgent requests.
 func (f *Fleet) reserveForUrgent(now time.Duration, r Request) {
-	f.serviceOf(r.Service).urgentUntil[r.urgencyLevel()] = now + f.cfg.Named.Span + 2*maxTransit
+	f.serviceOf(r.Service).urgentUntil[r.urgencyLevel()] = now + f.cfg.LimitBounds.Span + 2*maxTransit
 }
 
 // reservedFrom reports whether capacity is withheld from requests of a level in favor of more
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -14,7 +14,7 @@
 
 // limitedFleet is the fleet of one box, with upstreams in two domains.
 func limitedFleet(boxes int, upstreams int) *Fleet {
-	f := NewFleet(Config{Domain: "d0", Tuning: DefaultTuning, Named: testLimitBounds, FirstStart: true})
+	f := NewFleet(Config{Domain: "d0", Tuning: DefaultTuning, LimitBounds: testLimitBounds, FirstStart: true})
 	f.SetQuotaPeers(QuotaPeers{Box: "box0", Boxes: boxNames(boxes)})
 	f.SetBoxes(2*boxes, true)
 	for i := range upstreams {
@@ -76,7 +76,7 @@
 			}
 			for _, side := range sides {
 				for _, box := range side {
-					f := NewFleet(Config{Domain: fmt.Sprint("d", d), Regions: regions, Tuning: DefaultTuning, Named: testLimitBounds})
+					f := NewFleet(Config{Domain: fmt.Sprint("d", d), Regions: regions, Tuning: DefaultTuning, LimitBounds: testLimitBounds})
 					f.SetQuotaPeers(QuotaPeers{Box: box, Boxes: side})
 					f.Put(0, Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", Domain: "d0", Slots: 8})
 					f.advertiseLimit(time.Second, "u", perSecond)
--- a/balance/limitquota.go
+++ b/balance/limitquota.go
@@ -48,7 +48,7 @@
 func (f *Fleet) refreshLimitQuotas() {
 	for incarnation, x := range f.limits.byIncarnation {
 		if m := f.byKey[incarnation]; m != nil && x.inForce() {
-			requests, _ := f.cfg.Named.allowance(x.perSecond)
+			requests, _ := f.cfg.LimitBounds.allowance(x.perSecond)
 			x.quota = f.quotaPeers.quota(m.ID, f.domainLimitShare(m, requests))
 		}
 	}
@@ -77,7 +77,7 @@
 // by what this box sent recently to all upstreams of the service. Only in that case do earlier
 // requests exceed the limit.
 func (f *Fleet) mayBind(now time.Duration, m *member, perSecond float64) bool {
-	requests, span := f.cfg.Named.allowance(perSecond)
+	requests, span := f.cfg.LimitBounds.allowance(perSecond)
 	sum := 0
 	for _, other := range f.byService[m.Service] {
 		sum += other.history.within(now, span)
--- a/group/limit_replay_test.go
+++ b/group/limit_replay_test.go
@@ -99,7 +99,7 @@
 		regions[u.Domain] = "r"
 	}
 	off := balance.Off{balance.Limits: d.cfg.limitsDisabled}
-	f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Regions: regions, Tuning: balance.DefaultTuning, Named: limitBounds, Off: off})
+	f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Regions: regions, Tuning: balance.DefaultTuning, LimitBounds: limitBounds, Off: off})
 	for _, u := range d.upstreams {
 		f.Put(d.sim.now, u.Upstream)
 	}
--- a/group/quotapeers_test.go
+++ b/group/quotapeers_test.go
@@ -143,7 +143,7 @@
 		if b.dead {
 			continue
 		}
-		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning, Named: limitBounds,
+		f := balance.NewFleet(balance.Config{Domain: b.self.Domain, Tuning: balance.DefaultTuning, LimitBounds: limitBounds,
 			Regions: map[string]string{domainName(0): "r", domainName(1): "r"}})
 		f.SetQuotaPeers(b.node.QuotaPeers(w.now))
 		f.Put(0, balance.Upstream{ID: upstream, Service: "s", Domain: domainName(0), Slots: 8})
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -127,7 +127,7 @@
 		stats:       newStats(),
 	}
 	r.startWall.Store(r.startedAt.UnixNano())
-	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, Named: cfg.Limits, Off: cfg.Disabled, FirstStart: cfg.FirstStart})
+	r.fleet = balance.NewFleet(balance.Config{Domain: cfg.Domain, Regions: cfg.Regions, Tuning: cfg.Tuning, LimitBounds: cfg.Limits, Off: cfg.Disabled, FirstStart: cfg.FirstStart})
 	r.budgets = balance.NewBudgets(cfg.Budget, r.now(), cfg.FirstStart)
 	r.conns = newConnPool(r.connectionCap)
 	r.conns.onConnect = r.recordConnectTime
