--- a/cell/said.go
+++ b/cell/said.go
@@ -14,7 +14,7 @@
 const quietWhenLeaving = 10 * time.Second
 
 // noteSaid notes what the upstream of a request said.
-func (n *Node) noteSaid(l *local, s decide.Said) {
+func (n *Node) noteSaid(l *local, s decide.AnswerNotice) {
 	if !s.Any() {
 		return
 	}
--- a/cell/types.go
+++ b/cell/types.go
@@ -95,10 +95,10 @@
 	Upstream string
 	Tokens   int
 	Outcome  decide.Outcome
-	Pace     time.Duration // for one token; 0 if unknown
-	First    time.Duration // from sending to the first token; 0 if unknown
-	Attempt  uint32        // of the bid that the slot was granted for
-	Said     decide.Said   // by the upstream, in its answer
+	Pace     time.Duration       // for one token; 0 if unknown
+	First    time.Duration       // from sending to the first token; 0 if unknown
+	Attempt  uint32              // of the bid that the slot was granted for
+	Said     decide.AnswerNotice // by the upstream, in its answer
 }
 
 // Holding sums up all that the sender holds and waits for in a set; with Full,
@@ -234,13 +234,13 @@
 // Result is how a run on an upstream ended.
 type Result struct {
 	Outcome decide.Outcome
-	Ran     bool          // a byte may have left for the upstream
-	Tokens  int           // generated in all, earlier runs included
-	Pace    time.Duration // for one token; 0 if unknown
-	First   time.Duration // from sending to the first token; 0 if unknown
-	Refused bool          // the upstream itself said that it did not run it
-	Said    decide.Said   // by the upstream, in its answer or in one before for which nothing was sent
-	Ended   bool          // the upstream cut it off, and nobody listens at its address any more
+	Ran     bool                // a byte may have left for the upstream
+	Tokens  int                 // generated in all, earlier runs included
+	Pace    time.Duration       // for one token; 0 if unknown
+	First   time.Duration       // from sending to the first token; 0 if unknown
+	Refused bool                // the upstream itself said that it did not run it
+	Said    decide.AnswerNotice // by the upstream, in its answer or in one before for which nothing was sent
+	Ended   bool                // the upstream cut it off, and nobody listens at its address any more
 }
 
 // BoxEntry is a box on the platform's list.
--- a/cell/world_test.go
+++ b/cell/world_test.go
@@ -380,7 +380,7 @@
 		return
 	}
 	if e.leaving {
-		w.finish(b, boot, a.Request, Result{Outcome: decide.Failed, Refused: true, Tokens: r.tokens, Said: decide.Said{Leaving: true}})
+		w.finish(b, boot, a.Request, Result{Outcome: decide.Failed, Refused: true, Tokens: r.tokens, Said: decide.AnswerNotice{Leaving: true}})
 		return
 	}
 	b.node.Sending(w.now, a.Request)
@@ -416,7 +416,7 @@
 		w.endRun(r)
 		w.on(b, boot, func() {
 			w.answered++
-			w.finish(b, boot, id, Result{Outcome: decide.Answered, Ran: true, Tokens: r.total, Pace: r.engine.pace, Said: decide.Said{Leaving: r.engine.announces}})
+			w.finish(b, boot, id, Result{Outcome: decide.Answered, Ran: true, Tokens: r.total, Pace: r.engine.pace, Said: decide.AnswerNotice{Leaving: r.engine.announces}})
 		})
 		return
 	}
--- a/decide/said.go
+++ b/decide/said.go
@@ -6,18 +6,18 @@
 
 import "time"
 
-// Said is what an upstream said in an answer to a box, or to several since.
-type Said struct {
+// AnswerNotice is what an upstream said in an answer to a box, or to several since.
+type AnswerNotice struct {
 	Leaving bool
 	Pause   time.Duration // for so long from now it wants no requests; 0: it asked for none
 	Age     time.Duration // since the answer
 }
 
 // Any reports whether it said anything.
-func (s Said) Any() bool { return s.Leaving || s.Pause > 0 }
+func (s AnswerNotice) Any() bool { return s.Leaving || s.Pause > 0 }
 
 // Said takes in what an upstream said in an answer.
-func (p *Pool) Said(now Time, upstream string, s Said) {
+func (p *Pool) Said(now Time, upstream string, s AnswerNotice) {
 	b := p.byName[upstream]
 	if b == nil || !s.Any() {
 		return
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -120,7 +120,7 @@
 			return nil
 		}
 		return &cell.Release{Set: w.Set, ID: w.Id, Upstream: w.Upstream, Tokens: int(w.Tokens), Outcome: decide.Outcome(w.Outcome), Pace: span(w.Pace), First: span(w.First), Attempt: w.Attempt,
-			Said: decide.Said{Leaving: w.Leaving, Pause: span(w.Pause), Age: span(w.SaidAge)}}
+			Said: decide.AnswerNotice{Leaving: w.Leaving, Pause: span(w.Pause), Age: span(w.SaidAge)}}
 	case *wire.Message_Holding:
 		return holdingFromWire(b.Holding)
 	case *wire.Message_HoldingAsk:
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -151,11 +151,11 @@
 	call   Call
 	sink   Sink
 	tokens int
-	sent   time.Duration // when the first byte left
-	first  time.Duration // when the first token came
-	whole  bool          // the end mark was seen
-	clean  bool          // the connection can be used again
-	said   decide.Said   // by the upstream, in its answer
+	sent   time.Duration       // when the first byte left
+	first  time.Duration       // when the first token came
+	whole  bool                // the end mark was seen
+	clean  bool                // the connection can be used again
+	said   decide.AnswerNotice // by the upstream, in its answer
 }
 
 // pace is the mean time for one token.
--- a/internal/upstream/said.go
+++ b/internal/upstream/said.go
@@ -28,8 +28,8 @@
 }
 
 // saidIn reads what an answer says of its upstream.
-func saidIn(resp *fasthttp.Response, now time.Time) decide.Said {
-	s := decide.Said{Leaving: len(resp.Header.Peek(HeaderLeaving)) > 0}
+func saidIn(resp *fasthttp.Response, now time.Time) decide.AnswerNotice {
+	s := decide.AnswerNotice{Leaving: len(resp.Header.Peek(HeaderLeaving)) > 0}
 	value := resp.Header.Peek(fasthttp.HeaderRetryAfter)
 	if resp.StatusCode() != fasthttp.StatusServiceUnavailable || len(value) == 0 {
 		return s
@@ -42,7 +42,7 @@
 }
 
 // note notes what an answer says, and returns it.
-func (h *HTTP) note(address string, resp *fasthttp.Response) decide.Said {
+func (h *HTTP) note(address string, resp *fasthttp.Response) decide.AnswerNotice {
 	s := saidIn(resp, time.Now())
 	if !s.Any() {
 		return s
@@ -60,15 +60,15 @@
 }
 
 // quiet is what an upstream said for which nothing is sent to it now; nothing where it may be sent to.
-func (h *HTTP) quiet(address string) decide.Said {
+func (h *HTTP) quiet(address string) decide.AnswerNotice {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	x, known := h.said[address]
 	if !known {
-		return decide.Said{}
+		return decide.AnswerNotice{}
 	}
 	now := h.cfg.Clock.Boot()
-	s := decide.Said{Leaving: x.leavingAt > 0 && now-x.leavingAt < leavingFor, Pause: max(0, x.pauseTill-now)}
+	s := decide.AnswerNotice{Leaving: x.leavingAt > 0 && now-x.leavingAt < leavingFor, Pause: max(0, x.pauseTill-now)}
 	if s.Leaving {
 		s.Age = now - x.leavingAt
 	}
--- a/internal/upstream/said_test.go
+++ b/internal/upstream/said_test.go
@@ -72,8 +72,8 @@
 	h.said["a"] = heard{leavingAt: time.Second}
 	h.said["b"] = heard{pauseTill: 3 * time.Second}
 	clock.now = 2 * time.Second
-	is.Equal(h.quiet("a"), decide.Said{Leaving: true, Age: time.Second})
-	is.Equal(h.quiet("b"), decide.Said{Pause: time.Second})
+	is.Equal(h.quiet("a"), decide.AnswerNotice{Leaving: true, Age: time.Second})
+	is.Equal(h.quiet("b"), decide.AnswerNotice{Pause: time.Second})
 	clock.now = 10 * time.Second
 	is.True(!h.quiet("a").Any())
 	is.True(!h.quiet("b").Any())
