--- a/decide/said.go
+++ b/decide/said.go
@@ -16,8 +16,8 @@
 // Any reports whether it said anything.
 func (s AnswerNotice) Any() bool { return s.Leaving || s.Pause > 0 }
 
-// Said takes in what an upstream said in an answer.
-func (p *Pool) Said(now Time, upstream string, s AnswerNotice) {
+// ApplyNotice takes in what an upstream said in an answer.
+func (p *Pool) ApplyNotice(now Time, upstream string, s AnswerNotice) {
 	b := p.byName[upstream]
 	if b == nil || !s.Any() {
 		return
--- a/decide/said_test.go
+++ b/decide/said_test.go
@@ -26,7 +26,7 @@
 func TestAnEarlierReportDoesNotTakeBackThatAnUpstreamIsLeaving(t *testing.T) {
 	is := is.New(t)
 	p := testPool(4, rule("c", 1, false))
-	p.Said(10*time.Second, "a", AnswerNotice{Leaving: true, Age: 100 * time.Millisecond})
+	p.ApplyNotice(10*time.Second, "a", AnswerNotice{Leaving: true, Age: 100 * time.Millisecond})
 	is.Equal(granted(p, 10*time.Second, 1, 4)["a"], 0)
 	p.Report(10500*time.Millisecond, Report{Upstream: "a", Age: time.Second})
 	is.Equal(granted(p, 10500*time.Millisecond, 11, 4)["a"], 0)
@@ -42,7 +42,7 @@
 func TestAnUpstreamThatWasLeavingIsUsedAgain(t *testing.T) {
 	is := is.New(t)
 	p := testPool(4, rule("c", 1, false))
-	p.Said(0, "a", AnswerNotice{Leaving: true})
+	p.ApplyNotice(0, "a", AnswerNotice{Leaving: true})
 	p.Report(leavesWithin-time.Second, Report{Upstream: "a"})
 	is.Equal(granted(p, leavesWithin-time.Second, 1, 8)["a"], 0)
 	p.Report(leavesWithin, Report{Upstream: "a"})
@@ -53,8 +53,8 @@
 func TestAnUpstreamThatAsksForAPauseGetsNoSlots(t *testing.T) {
 	is := is.New(t)
 	p := testPool(8, rule("c", 1, false))
-	p.Said(0, "a", AnswerNotice{Pause: 3 * time.Second})
-	p.Said(0, "a", AnswerNotice{Pause: time.Second})
+	p.ApplyNotice(0, "a", AnswerNotice{Pause: 3 * time.Second})
+	p.ApplyNotice(0, "a", AnswerNotice{Pause: time.Second})
 	is.Equal(granted(p, 0, 1, 8)["a"], 0)
 	is.Equal(granted(p, 2900*time.Millisecond, 11, 8)["a"], 0)
 	just := granted(p, 3100*time.Millisecond, 21, 16)
@@ -68,8 +68,8 @@
 func TestWhereAllUpstreamsPauseCallersAreToldUntilWhen(t *testing.T) {
 	is := is.New(t)
 	p := testPool(4, rule("c", 1, true))
-	p.Said(0, "a", AnswerNotice{Pause: 30 * time.Second})
-	p.Said(0, "b", AnswerNotice{Pause: 20 * time.Second})
+	p.ApplyNotice(0, "a", AnswerNotice{Pause: 30 * time.Second})
+	p.ApplyNotice(0, "b", AnswerNotice{Pause: 20 * time.Second})
 	p.Offer(0, bid(1, "c"))
 	p.Decide(0)
 	var told time.Duration
