--- a/cell/holder.go
+++ b/cell/holder.go
@@ -149,16 +149,16 @@
 
 func (n *Node) sendBid(l *local) {
 	b := &Bid{Set: l.set, Bid: decide.Bid{
-		ID:       l.req.ID,
-		Box:      n.cfg.Box,
-		Class:    l.req.Class,
-		Customer: l.req.Customer,
-		Waited:   n.now - l.arrived,
-		Work:     l.work,
-		Prefix:   l.req.Prefix,
-		Visitor:  l.visiting,
-		Resume:   l.resume,
-		Attempt:  l.attempt,
+		ID:              l.req.ID,
+		Box:             n.cfg.Box,
+		Class:           l.req.Class,
+		Customer:        l.req.Customer,
+		Waited:          n.now - l.arrived,
+		Work:            l.work,
+		Prefix:          l.req.Prefix,
+		FromOtherDomain: l.visiting,
+		Resume:          l.resume,
+		Attempt:         l.attempt,
 	}}
 	if l.req.Deadline > 0 {
 		b.Bid.Remaining = max(l.arrived+l.req.Deadline-n.now, time.Microsecond)
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -83,8 +83,8 @@
 }
 
 func before(now Time, a, b *waiter) bool {
-	if a.bid.Visitor != b.bid.Visitor {
-		return b.bid.Visitor
+	if a.bid.FromOtherDomain != b.bid.FromOtherDomain {
+		return b.bid.FromOtherDomain
 	}
 	lateA, lateB := now >= a.target, now >= b.target
 	if lateA != lateB {
@@ -159,7 +159,7 @@
 	var out []Bid
 	for {
 		w := p.next(now)
-		if w == nil || w.bid.Visitor || w.bid.Resume != "" || now-w.offered < patience || !room(w.class.rule.Tier) {
+		if w == nil || w.bid.FromOtherDomain || w.bid.Resume != "" || now-w.offered < patience || !room(w.class.rule.Tier) {
 			break
 		}
 		out = append(out, w.bid)
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -29,17 +29,17 @@
 
 // Bid is a request's wish for a slot in a pool.
 type Bid struct {
-	ID        uint64
-	Box       string // the box that holds the request
-	Class     string
-	Customer  string
-	Waited    time.Duration // since the request arrived
-	Remaining time.Duration // until the caller's own deadline; 0 is none
-	Work      float64       // expected tokens
-	Prefix    uint64        // hash of the prompt's prefix; 0 is none
-	Visitor   bool          // comes from another failure domain
-	Attempt   uint32        // counts the bids of the request; a newer one voids what the older got
-	Resume    string        // the upstream that holds its paused answer, if any
+	ID              uint64
+	Box             string // the box that holds the request
+	Class           string
+	Customer        string
+	Waited          time.Duration // since the request arrived
+	Remaining       time.Duration // until the caller's own deadline; 0 is none
+	Work            float64       // expected tokens
+	Prefix          uint64        // hash of the prompt's prefix; 0 is none
+	FromOtherDomain bool          // comes from another failure domain
+	Attempt         uint32        // counts the bids of the request; a newer one voids what the older got
+	Resume          string        // the upstream that holds its paused answer, if any
 }
 
 // Reason says why a request was refused. The order is part of the wire format.
--- a/decide/pool.go
+++ b/decide/pool.go
@@ -229,7 +229,7 @@
 	if class.waiting == 1 {
 		class.vtime = max(class.vtime, p.leastVtime(class))
 	}
-	if bid.Visitor {
+	if bid.FromOtherDomain {
 		class.visitors++
 	}
 	p.schedule(w)
@@ -274,7 +274,7 @@
 	if w.index >= 0 {
 		heap.Remove(&p.expiry, w.index)
 	}
-	if w.bid.Visitor {
+	if w.bid.FromOtherDomain {
 		w.class.visitors--
 	}
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -31,7 +31,7 @@
 	return []cell.Message{
 		&cell.Heartbeat{Counter: 1, Table: 2, Digest: 3, Roster: 4, Leaving: true, Blind: true, Probe: true, Joining: true, Announce: true, Full: true, Withheld: 9,
 			Sightings: []cell.Sighting{{Box: "x", Boot: 1, Counter: 2, Roster: 3, Leaving: true, State: 2}}},
-		&cell.Bid{Set: "s", Bid: decide.Bid{ID: 1, Class: "c", Customer: "u", Waited: time.Second, Remaining: time.Minute, Work: 7, Prefix: 8, Visitor: true, Resume: "e", Attempt: 3}},
+		&cell.Bid{Set: "s", Bid: decide.Bid{ID: 1, Class: "c", Customer: "u", Waited: time.Second, Remaining: time.Minute, Work: 7, Prefix: 8, FromOtherDomain: true, Resume: "e", Attempt: 3}},
 		&cell.Withdraw{Set: "s", ID: 1},
 		&cell.Ends{All: true, Suspects: []balance.Suspect{{Content: 1, Ended: []uint32{2, 3}, Round: 4, Age: time.Second}}},
 		&cell.Grant{Set: "s", ID: 1, Upstream: "e", StartBy: time.Second, Keep: time.Second, Attempt: 3},
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -32,7 +32,7 @@
 		return &wire.Message{Body: &wire.Message_Bid{Bid: &wire.Bid{
 			Id: m.Bid.ID, Set: m.Set, Class: m.Bid.Class, Customer: m.Bid.Customer, Waited: micros(m.Bid.Waited),
 			Remaining: micros(m.Bid.Remaining), Work: uint32(m.Bid.Work), Prefix: m.Bid.Prefix,
-			Visitor: m.Bid.Visitor, Resume: m.Bid.Resume, Attempt: m.Bid.Attempt}}}
+			Visitor: m.Bid.FromOtherDomain, Resume: m.Bid.Resume, Attempt: m.Bid.Attempt}}}
 	case *cell.Withdraw:
 		return &wire.Message{Body: &wire.Message_Withdraw{Withdraw: &wire.Withdraw{Id: m.ID, Set: m.Set}}}
 	case *cell.Grant:
@@ -101,7 +101,7 @@
 	case *wire.Message_Bid:
 		w := b.Bid
 		return &cell.Bid{Set: w.Set, Bid: decide.Bid{ID: w.Id, Class: w.Class, Customer: w.Customer, Waited: span(w.Waited),
-			Remaining: span(w.Remaining), Work: float64(max(1, w.Work)), Prefix: w.Prefix, Visitor: w.Visitor, Resume: w.Resume, Attempt: w.Attempt}}
+			Remaining: span(w.Remaining), Work: float64(max(1, w.Work)), Prefix: w.Prefix, FromOtherDomain: w.Visitor, Resume: w.Resume, Attempt: w.Attempt}}
 	case *wire.Message_Withdraw:
 		return &cell.Withdraw{Set: b.Withdraw.Set, ID: b.Withdraw.Id}
 	case *wire.Message_Grant:
