--- a/decide/renew.go
+++ b/decide/renew.go
@@ -80,8 +80,8 @@
 	Attempt  uint32
 }
 
-// Sum is a holder's own account of its leases and bids in a pool.
-type Sum struct {
+// LeaseSummary is a holder's own account of its leases and bids in a pool.
+type LeaseSummary struct {
 	Count         int
 	Digest        uint64 // exclusive-or of the ids
 	WaitingCount  int
@@ -91,13 +91,13 @@
 // Compare renews a holder's leases and reports whether it should send the full
 // list, because its account differs from the pool's. One difference may be a
 // message on its way; two are not.
-func (p *Pool) Compare(now Time, box string, sum Sum) bool {
+func (p *Pool) Compare(now Time, box string, sum LeaseSummary) bool {
 	g := p.ledger(box)
 	g.heard = now
 	if p.unheard[box] {
 		return true
 	}
-	if (Sum{g.count, g.digest, g.waiting, g.waitingDigest}) == sum {
+	if (LeaseSummary{g.count, g.digest, g.waiting, g.waitingDigest}) == sum {
 		g.mismatch = 0
 		return false
 	}
