--- a/cell/kept.go
+++ b/cell/kept.go
@@ -138,10 +138,10 @@
 }
 
 // keptIn lists the kept slots of a set for a full list.
-func (n *Node) keptIn(set string) []decide.Held {
-	var out []decide.Held
+func (n *Node) keptIn(set string) []decide.HeldLease {
+	var out []decide.HeldLease
 	for _, s := range n.kept[set] {
-		out = append(out, decide.Held{ID: s.id, Upstream: s.upstream, Class: s.class, Customer: s.customer, Work: 1, Attempt: s.attempt})
+		out = append(out, decide.HeldLease{ID: s.id, Upstream: s.upstream, Class: s.class, Customer: s.customer, Work: 1, Attempt: s.attempt})
 	}
 	return out
 }
--- a/cell/renew.go
+++ b/cell/renew.go
@@ -94,8 +94,8 @@
 }
 
 // heldIn lists the slots that this box holds in a set at an owner.
-func (n *Node) heldIn(set, owner string) []decide.Held {
-	var out []decide.Held
+func (n *Node) heldIn(set, owner string) []decide.HeldLease {
+	var out []decide.HeldLease
 	for _, l := range n.sorted(func(l *local) bool { return l.set == set && l.upstream != "" && !l.visiting }) {
 		if l.owner == owner || owner == n.cfg.Box {
 			out = append(out, l.held())
@@ -105,8 +105,8 @@
 }
 
 // held describes the request's lease to an owner.
-func (l *local) held() decide.Held {
-	return decide.Held{ID: l.slot, Upstream: l.upstream, Class: l.req.Class, Customer: l.req.Customer, Work: l.work, Attempt: l.slotAttempt}
+func (l *local) held() decide.HeldLease {
+	return decide.HeldLease{ID: l.slot, Upstream: l.upstream, Class: l.req.Class, Customer: l.req.Customer, Work: l.work, Attempt: l.slotAttempt}
 }
 
 func (n *Node) onHoldingAsk(from string, m *HoldingAsk) {
--- a/cell/types.go
+++ b/cell/types.go
@@ -110,7 +110,7 @@
 	WaitingCount  int
 	WaitingDigest uint64
 	Full          bool
-	Held          []decide.Held
+	Held          []decide.HeldLease
 	Waiting       []uint64
 }
 
--- a/decide/pool_test.go
+++ b/decide/pool_test.go
@@ -434,7 +434,7 @@
 	is.Equal(len(p.Decide(0)), 1)
 	p.Offer(0, bid(2, "c"))
 	is.Equal(len(p.Decide(0)), 0) // the one free slot is gone
-	p.Adopt(0, "other", []Held{{ID: 50, Upstream: "a", Class: "c", Customer: "x", Work: 5}}, nil)
+	p.Adopt(0, "other", []HeldLease{{ID: 50, Upstream: "a", Class: "c", Customer: "x", Work: 5}}, nil)
 	is.Equal(len(p.Decide(0)), 1)
 	is.Equal(p.byName["a"].held+p.byName["b"].held, 3)
 }
--- a/decide/renew.go
+++ b/decide/renew.go
@@ -70,8 +70,8 @@
 	g.digest ^= id
 }
 
-// Held is a lease as its holder lists it.
-type Held struct {
+// HeldLease is a lease as its holder lists it.
+type HeldLease struct {
 	ID       uint64
 	Upstream string
 	Class    string
@@ -106,7 +106,7 @@
 }
 
 // Adopt takes a holder's full list as the truth about its leases.
-func (p *Pool) Adopt(now Time, box string, list []Held, waiting []uint64) {
+func (p *Pool) Adopt(now Time, box string, list []HeldLease, waiting []uint64) {
 	listed := make(map[uint64]bool, len(list))
 	for _, h := range list {
 		listed[h.ID] = true
@@ -132,7 +132,7 @@
 	delete(p.unheard, box)
 }
 
-func (p *Pool) adoptOne(now Time, box string, h Held) {
+func (p *Pool) adoptOne(now Time, box string, h HeldLease) {
 	class, b := p.byClass[h.Class], p.byName[h.Upstream]
 	if l := p.leases[h.ID]; l != nil && h.Attempt > l.attempt {
 		p.end(l)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -40,7 +40,7 @@
 		&cell.Preempt{Set: "s", ID: 1},
 		&cell.Release{Set: "s", ID: 1, Upstream: "e", Tokens: 3, Outcome: decide.Failed, Pace: time.Millisecond, First: time.Millisecond, Attempt: 3},
 		&cell.Holding{Set: "s", Count: 1, Digest: 2, WaitingCount: 3, WaitingDigest: 4, Full: true, Waiting: []uint64{9},
-			Held: []decide.Held{{ID: 1, Upstream: "e", Class: "c", Customer: "u", Work: 2, Attempt: 3}}},
+			Held: []decide.HeldLease{{ID: 1, Upstream: "e", Class: "c", Customer: "u", Work: 2, Attempt: 3}}},
 		&cell.HoldingAsk{Set: "s"},
 		&cell.Claim{Key: "k", ID: 1, GiveBack: true},
 		&cell.ClaimReply{Key: "k", ID: 1, Verdict: decide.ClaimDuplicate},
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -197,7 +197,7 @@
 	h := &cell.Holding{Set: w.Set, Count: int(w.Count), Digest: w.Digest, WaitingCount: int(w.WaitingCount),
 		WaitingDigest: w.WaitingDigest, Full: w.Full, Waiting: w.Waiting}
 	for _, l := range w.Held {
-		h.Held = append(h.Held, decide.Held{ID: l.GetId(), Upstream: l.GetUpstream(), Class: l.GetClass(), Customer: l.GetCustomer(), Work: float64(max(1, l.GetWork())), Attempt: l.GetAttempt()})
+		h.Held = append(h.Held, decide.HeldLease{ID: l.GetId(), Upstream: l.GetUpstream(), Class: l.GetClass(), Customer: l.GetCustomer(), Work: float64(max(1, l.GetWork())), Attempt: l.GetAttempt()})
 	}
 	return h
 }
