--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -19,9 +19,9 @@
 	a := Admission{Target: 2 * time.Second}
 	_, ok := f.Admit(0, prompt(1), a, choiceWithWait(900*time.Millisecond))
 	is.True(ok)
-	after, ok := f.Admit(0, prompt(1), a, choiceWithWait(1500*time.Millisecond))
+	retryAfter, ok := f.Admit(0, prompt(1), a, choiceWithWait(1500*time.Millisecond))
 	is.True(!ok)
-	is.Equal(after, time.Second) // when half of the bound is left
+	is.Equal(retryAfter, time.Second) // when half of the bound is left
 	a.Retried = true
 	_, ok = f.Admit(0, prompt(1), a, choiceWithWait(1500*time.Millisecond))
 	is.True(ok)
@@ -37,11 +37,11 @@
 func TestAdmissionBoundShrinksWithLoadAndPrefillTime(t *testing.T) {
 	const target = 2 * time.Second
 	tests := []struct {
-		name     string
-		mean     time.Duration // mean prefill time of the upstreams' backlog
-		own      time.Duration // prefill time of the request
-		again    bool
-		mostWait time.Duration
+		name        string
+		meanBacklog time.Duration // mean prefill time of the upstreams' backlog
+		own         time.Duration // prefill time of the request
+		retried     bool
+		maxWait     time.Duration
 	}{
 		{"calm", 0, time.Second, false, time.Second},
 		{"calm, retry", 0, time.Second, true, 2 * time.Second},
@@ -55,13 +55,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newTestFleet(1)
-			f.serviceOf("s").meanUnread = float64(choiceWithWait(tt.mean).Backlog)
-			a := Admission{Target: target, Retried: tt.again}
+			f.serviceOf("s").meanUnread = float64(choiceWithWait(tt.meanBacklog).Backlog)
+			a := Admission{Target: target, Retried: tt.retried}
 			for _, x := range []struct {
 				more time.Duration
 				ok   bool
 			}{{-2 * time.Millisecond, true}, {2 * time.Millisecond, false}} {
-				c := choiceWithWait(tt.mostWait + x.more)
+				c := choiceWithWait(tt.maxWait + x.more)
 				c.Unread = choiceWithWait(tt.own).Backlog
 				_, ok := f.Admit(0, prompt(1), a, c)
 				is.Equal(ok, x.ok)
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -86,12 +86,12 @@
 // Use returns the requests and retries of the window that ends now.
 func (b *Budget) Use(now time.Duration, boxes int) BudgetUsage {
 	n := b.advance(now)
-	use := BudgetUsage{Boxes: boxes}
+	usage := BudgetUsage{Boxes: boxes}
 	for i := n - bucketsPerWindow; i <= n; i++ {
-		use.Taken += countAt(&b.requests, i)
-		use.Spent += countAt(&b.retries, i)
+		usage.Taken += countAt(&b.requests, i)
+		usage.Spent += countAt(&b.retries, i)
 	}
-	return use
+	return usage
 }
 
 // idle reports whether all buckets are empty.
@@ -104,18 +104,18 @@
 // include the present moment.
 func (b *Budget) Remaining(now time.Duration, boxes int) int {
 	n := b.advance(now)
-	left := math.Inf(1)
-	spent, since, before := 0, 0, 0
+	remaining := math.Inf(1)
+	retries, requestsSince, requestsBefore := 0, 0, 0
 	for i := n - bucketsPerWindow + 1; i < n; i++ {
-		before += countAt(&b.requests, i)
+		requestsBefore += countAt(&b.requests, i)
 	}
 	for begin := n; begin >= n-bucketsPerWindow; begin-- {
-		spent += countAt(&b.retries, begin)
-		left = min(left, b.allowance(begin, boxes, since, before)-float64(spent))
-		since += countAt(&b.requests, begin)
-		before += countAt(&b.requests, begin-bucketsPerWindow) - countAt(&b.requests, begin-1)
+		retries += countAt(&b.retries, begin)
+		remaining = min(remaining, b.allowance(begin, boxes, requestsSince, requestsBefore)-float64(retries))
+		requestsSince += countAt(&b.requests, begin)
+		requestsBefore += countAt(&b.requests, begin-bucketsPerWindow) - countAt(&b.requests, begin-1)
 	}
-	return max(0, int(left))
+	return max(0, int(remaining))
 }
 
 // allowance returns how many retries are allowed in a window that begins within bucket begin,
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -164,8 +164,8 @@
 		loads[LoadKey{Key(fmt.Sprintf("u%d", j)), 0}] = Load{Unread: 20000, Requests: 2}
 	}
 	f.SetRemoteLoads(loads)
-	for came := 1; now < whole; came++ {
-		if came == events {
+	for received := 1; now < whole; received++ {
+		if received == events {
 			return true, moved
 		}
 		between := 30 * time.Millisecond
@@ -173,7 +173,7 @@
 			between = 400 * time.Millisecond
 		}
 		now += between
-		m, ok := f.MoveTo(now, r, at, Progress{Events: came, EventInterval: between, TimeLeft: whole - now})
+		m, ok := f.MoveTo(now, r, at, Progress{Events: received, EventInterval: between, TimeLeft: whole - now})
 		if ok {
 			at, moved = m.To.ID, true
 			now += 100 * time.Millisecond
--- a/balance/separation_test.go
+++ b/balance/separation_test.go
@@ -59,7 +59,7 @@
 func TestDivisionIsKeptWhileNearlyBest(t *testing.T) {
 	is := is.New(t)
 	k := classes{byKey: make(map[uint32]*class)}
-	see := func(class string, read int) {
+	record := func(class string, read int) {
 		if c := k.byKey[Key(class)]; c != nil {
 			c.observed = mean{} // as if the earlier requests were long ago
 		}
@@ -68,17 +68,17 @@
 		}
 		k.chooseDivision()
 	}
-	see("a", 1000)
-	see("c", 40000)
-	see("b", 9000) // b to c is a factor of 4.4, a to b one of 9
+	record("a", 1000)
+	record("c", 40000)
+	record("b", 9000) // b to c is a factor of 4.4, a to b one of 9
 	is.True(k.tight("a") && !k.tight("b"))
-	see("b", 6000) // both factors are about the same now
+	record("b", 6000) // both factors are about the same now
 	is.True(k.tight("a") && !k.tight("b"))
-	see("b", 4000) // b to c is a factor of 10 now, a to b one of 4
+	record("b", 4000) // b to c is a factor of 10 now, a to b one of 4
 	is.True(k.tight("a") && k.tight("b"))
-	see("b", 20000)
-	see("c", 20000)
-	see("a", 20000)
+	record("b", 20000)
+	record("c", 20000)
+	record("a", 20000)
 	is.True(!k.tight("a") && !k.tight("b") && !k.tight("c"))
 }
 
