--- a/cell/owner.go
+++ b/cell/owner.go
@@ -289,7 +289,7 @@
 		n.dirty[m.Set] = true
 		return
 	}
-	if p.Compare(n.now, from, decide.LeaseSummary{Count: m.Count, Digest: m.Digest, WaitingCount: m.WaitingCount, WaitingDigest: m.WaitingDigest}) {
+	if p.Renew(n.now, from, decide.LeaseSummary{Count: m.Count, Digest: m.Digest, WaitingCount: m.WaitingCount, WaitingDigest: m.WaitingDigest}) {
 		n.send(from, &HoldingAsk{Set: m.Set})
 	}
 }
--- a/cell/renew.go
+++ b/cell/renew.go
@@ -66,7 +66,7 @@
 	}
 	if key.owner == n.cfg.Box {
 		if p := n.pools[key.set]; p != nil {
-			p.Compare(n.now, key.owner, decide.LeaseSummary{Count: h.Count, Digest: h.Digest, WaitingCount: h.WaitingCount, WaitingDigest: h.WaitingDigest})
+			p.Renew(n.now, key.owner, decide.LeaseSummary{Count: h.Count, Digest: h.Digest, WaitingCount: h.WaitingCount, WaitingDigest: h.WaitingDigest})
 		}
 		return
 	}
--- a/decide/renew.go
+++ b/decide/renew.go
@@ -88,10 +88,10 @@
 	WaitingDigest uint64
 }
 
-// Compare renews a holder's leases and reports whether it should send the full
+// Renew renews a holder's leases and reports whether it should send the full
 // list, because its account differs from the pool's. One difference may be a
 // message on its way; two are not.
-func (p *Pool) Compare(now Time, box string, sum LeaseSummary) bool {
+func (p *Pool) Renew(now Time, box string, sum LeaseSummary) bool {
 	g := p.ledger(box)
 	g.heard = now
 	if p.unheard[box] {
