--- a/cell/beat.go
+++ b/cell/beat.go
@@ -27,7 +27,7 @@
 	if !p.alive {
 		kind = timeline.BoxDead
 		for set, pool := range n.pools {
-			pool.BoxGone(p.name)
+			pool.RemoveBox(p.name)
 			n.dirty[set] = true
 		}
 	}
@@ -96,7 +96,7 @@
 	if p != nil && p.boot != 0 && boot > p.boot {
 		// A new incarnation: what the old one held died with it.
 		for _, pool := range n.pools {
-			pool.BoxGone(from)
+			pool.RemoveBox(from)
 		}
 	}
 	n.members.hear(n.now, from, boot, h)
--- a/decide/renew.go
+++ b/decide/renew.go
@@ -55,7 +55,7 @@
 	}
 	slices.Sort(gone)
 	for _, box := range gone {
-		p.BoxGone(box)
+		p.RemoveBox(box)
 	}
 	return gone
 }
@@ -153,9 +153,9 @@
 	p.hold(now, l)
 }
 
-// BoxGone drops what a dead box held and waited for. Its connections to the
+// RemoveBox drops what a dead box held and waited for. Its connections to the
 // upstreams died with it.
-func (p *Pool) BoxGone(box string) {
+func (p *Pool) RemoveBox(box string) {
 	for _, l := range p.sortedLeases(box) {
 		p.end(l)
 	}
