--- a/cell/holder.go
+++ b/cell/holder.go
@@ -197,7 +197,7 @@
 		n.bid(l)
 		return
 	}
-	l.slot, l.slotAttempt, l.keep, l.slotEnd = l.req.ID, m.Attempt, m.Keep, n.now+decide.KeptLife
+	l.slot, l.slotAttempt, l.keep, l.slotEnd = l.req.ID, m.Attempt, m.Keep, n.now+decide.RetainedSlotLifetime
 	n.lease(l, m.Upstream, l.firstBid+m.StartBy)
 }
 
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -127,7 +127,7 @@
 	p.hold(now, l)
 	p.cache(b, w.bid.Prefix)
 	if l.keep = p.keep(w.class); l.keep > 0 {
-		p.keptUntil = now + KeptLife
+		p.keptUntil = now + RetainedSlotLifetime
 	}
 	p.emitGrant(l)
 }
--- a/decide/keep.go
+++ b/decide/keep.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// KeptLife is how long a slot may be used again before it goes back, so that the
+// RetainedSlotLifetime is how long a slot may be used again before it goes back, so that the
 // owner's view of the upstreams, and not the past, decides where requests run.
-const KeptLife = time.Minute
+const RetainedSlotLifetime = time.Minute
 
 // keep is how long a slot granted now may be kept after its answer. In a large
 // pool asking for each costs more than the slots that lie idle; but
