--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -149,7 +149,7 @@
 
 func (p *Pool) emitGrant(l *lease) {
 	p.verdicts = append(p.verdicts, Verdict{Kind: GrantSlot, ID: l.id, Box: l.box,
-		Class: l.class.rule.Class, Tier: l.class.rule.Tier, Upstream: l.backend.Name, Queued: l.queued, Keep: l.keep, Attempt: l.attempt})
+		Class: l.class.rule.Class, Tier: l.class.rule.Tier, Upstream: l.backend.Name, Queued: l.queued, RetainFor: l.keep, Attempt: l.attempt})
 }
 
 // TakeSurplus takes out the requests that are next, have waited for at least
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -114,8 +114,8 @@
 	// RetryAfter is when the caller should come back, for a refusal.
 	RetryAfter time.Duration
 	Attempt    uint32
-	// Keep is how long the holder may keep the slot after the answer.
-	Keep time.Duration
+	// RetainFor is how long the holder may keep the slot after the answer.
+	RetainFor time.Duration
 	// Queued is how long the bid had been with the pool when the slot was granted.
 	Queued time.Duration
 	// LowerWaiting and LowerRunning count what of a lower tier could have given
