--- a/cell/owner.go
+++ b/cell/owner.go
@@ -343,7 +343,7 @@
 		n.route(set, n.routed[i])
 	}
 	n.routed = n.routed[:start]
-	if p.Recall(n.now) {
+	if p.ShouldRecall(n.now) {
 		for _, box := range p.Holders() {
 			n.deliver(box, &Recall{Set: set})
 		}
--- a/decide/keep.go
+++ b/decide/keep.go
@@ -24,9 +24,9 @@
 	return keepTime
 }
 
-// Recall reports whether kept slots are wanted back: something waits and no slot
+// ShouldRecall reports whether kept slots are wanted back: something waits and no slot
 // is free, or an upstream is leaving. It says so at most every recallEvery.
-func (p *Pool) Recall(now Time) bool {
+func (p *Pool) ShouldRecall(now Time) bool {
 	short := len(p.waiting) > 0 && now-p.recalled >= recallEvery
 	if now > p.keptUntil || !short && !p.recallNow {
 		return false // nothing can be kept, or nothing is wanted
