--- a/balance/answers.go
+++ b/balance/answers.go
@@ -81,8 +81,8 @@
 
 // updatePrefillActivity updates the share of time during which an upstream has prompts to
 // prefill.
-func (m *member) updatePrefillActivity(past time.Duration, unread int) {
-	left := math.Exp(-float64(past) / float64(prefillWindow))
+func (m *member) updatePrefillActivity(elapsed time.Duration, unread int) {
+	left := math.Exp(-float64(elapsed) / float64(prefillWindow))
 	m.prefillShare *= left
 	if unread > 0 {
 		m.prefillShare += 1 - left
--- a/balance/evacuate_test.go
+++ b/balance/evacuate_test.go
@@ -156,7 +156,7 @@
 	for i := range 30 {
 		returned[fmt.Sprintf("u%d", 3*i)] = true
 	}
-	lost := 0
+	unanswered := 0
 	for i := range uint64(2000) {
 		f := boxes[i%90]
 		now := time.Second + time.Duration(i)*5*time.Millisecond
@@ -168,13 +168,13 @@
 			ticket.Close(now, Answered)
 			continue
 		}
-		lost++
+		unanswered++
 		ticket.Close(now, Replaced)
 		reports := f.TakePartReports()
 		for _, other := range boxes { // as the group reports it
 			other.NotePartReports(now, reports)
 		}
 	}
-	is.True(lost <= 30)
-	is.True(lost > 0)
+	is.True(unanswered <= 30)
+	is.True(unanswered > 0)
 }
--- a/balance/lane.go
+++ b/balance/lane.go
@@ -34,20 +34,20 @@
 
 // splitByLane splits a list into the upstreams of the request's lane and the others. If no
 // upstream would be in the lane, all are returned as within it.
-func (f *Fleet) splitByLane(now time.Duration, r Request, list []*member) (within, beyond []*member) {
+func (f *Fleet) splitByLane(now time.Duration, r Request, list []*member) (inside, outside []*member) {
 	tight := f.tight(r)
-	within = make([]*member, 0, len(list))
+	inside = make([]*member, 0, len(list))
 	for _, m := range list {
 		if f.inLane(now, m, tight) {
-			within = append(within, m)
+			inside = append(inside, m)
 		} else {
-			beyond = append(beyond, m)
+			outside = append(outside, m)
 		}
 	}
-	if len(within) == 0 {
+	if len(inside) == 0 {
 		return list, nil
 	}
-	return within, beyond
+	return inside, outside
 }
 
 // tight reports whether a request belongs in the lane for tight streams.
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -242,12 +242,12 @@
 		f.placeAndSend(time.Duration(i)*50*time.Millisecond, 0)
 	}
 	r := Request{Service: "s"}
-	waits, goes := f.Open(2*time.Second, "u0", r), f.Open(2*time.Second, "u1", r)
+	limited, unlimited := f.Open(2*time.Second, "u0", r), f.Open(2*time.Second, "u1", r)
 	before := f.Sent(2*time.Second, Incarnation{ID: "u0"}, time.Minute)
 	f.advertiseLimit(2100*time.Millisecond, "u0", 1)
-	is.True(!waits.MaySend(2200 * time.Millisecond))
+	is.True(!limited.MaySend(2200 * time.Millisecond))
 	is.Equal(f.Sent(2200*time.Millisecond, Incarnation{ID: "u0"}, time.Minute), before-1) // no longer counted as sent
-	is.True(goes.MaySend(2200 * time.Millisecond))
+	is.True(unlimited.MaySend(2200 * time.Millisecond))
 }
 
 // A request placed at an upstream that has since been removed is not counted, and may be sent.
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -168,12 +168,12 @@
 		if received == events {
 			return true, moved
 		}
-		between := 30 * time.Millisecond
+		interval := 30 * time.Millisecond
 		if f.byID[at].unreadAhead(0) > 0 {
-			between = 400 * time.Millisecond
+			interval = 400 * time.Millisecond
 		}
-		now += between
-		m, ok := f.MoveTo(now, r, at, Progress{Events: received, EventInterval: between, TimeLeft: whole - now})
+		now += interval
+		m, ok := f.MoveTo(now, r, at, Progress{Events: received, EventInterval: interval, TimeLeft: whole - now})
 		if ok {
 			at, moved = m.To.ID, true
 			now += 100 * time.Millisecond
--- a/balance/pause_test.go
+++ b/balance/pause_test.go
@@ -208,9 +208,9 @@
 	for box := range 50 {
 		f := pauseFleet(1)
 		f.SetQuotaPeers(QuotaPeers{Box: fmt.Sprint(box)})
-		till := f.Pause(0, Incarnation{ID: "u0"}, 2*time.Second)
-		is.True(till >= 2*time.Second && till < 2200*time.Millisecond)
-		ends[till] = true
+		pausedUntil := f.Pause(0, Incarnation{ID: "u0"}, 2*time.Second)
+		is.True(pausedUntil >= 2*time.Second && pausedUntil < 2200*time.Millisecond)
+		ends[pausedUntil] = true
 	}
 	is.Equal(len(ends), 50)
 }
--- a/balance/recovery_test.go
+++ b/balance/recovery_test.go
@@ -11,20 +11,20 @@
 
 // An upstream that was unreachable may have restarted, and be cold before its entry says so.
 func TestRecoveredUpstreamIsCold(t *testing.T) {
-	const back = 10 * time.Second
+	const recoveredAt = 10 * time.Second
 	bounded := ColdLimit{Duration: 3 * time.Second, MaxPerSecond: 12}
 	for _, c := range []struct {
-		name      string
-		cold      ColdLimit
-		lost      int           // number of nine upstreams that were unreachable
-		published time.Duration // time up to which published entries are known
-		entry     time.Duration // remaining cold time in an entry that arrived with it; 0: none arrived
-		coldFor   time.Duration // how long it gets only its quota
+		name        string
+		cold        ColdLimit
+		unreachable int           // number of nine upstreams that were unreachable
+		published   time.Duration // time up to which published entries are known
+		entry       time.Duration // remaining cold time in an entry that arrived with it; 0: none arrived
+		coldFor     time.Duration // how long it gets only its quota
 	}{
-		{"entry would have been published", bounded, 1, back + maxPublishDelay, 0, 0},
-		{"entry may still be published", bounded, 1, back + maxPublishDelay - 1, 0, 3 * time.Second},
-		{"entry says cold", bounded, 1, back + maxPublishDelay, 2 * time.Second, 3 * time.Second},
-		{"entry says cold for longer", bounded, 1, back + maxPublishDelay, 5 * time.Second, 5 * time.Second},
+		{"entry would have been published", bounded, 1, recoveredAt + maxPublishDelay, 0, 0},
+		{"entry may still be published", bounded, 1, recoveredAt + maxPublishDelay - 1, 0, 3 * time.Second},
+		{"entry says cold", bounded, 1, recoveredAt + maxPublishDelay, 2 * time.Second, 3 * time.Second},
+		{"entry says cold for longer", bounded, 1, recoveredAt + maxPublishDelay, 5 * time.Second, 5 * time.Second},
 		{"service without a limit", ColdLimit{Duration: 3 * time.Second}, 1, 0, 0, 0},
 		{"service whose upstreams are never cold", ColdLimit{MaxPerSecond: 12}, 1, 0, 0, 0},
 		{"a third was unreachable", bounded, 3, 0, 0, 3 * time.Second},
@@ -34,20 +34,20 @@
 			is := is.New(t)
 			f := newInformedFleet(9)
 			f.SetCold("s", c.cold)
-			for i := range c.lost {
+			for i := range c.unreachable {
 				f.Open(time.Second, fmt.Sprint("u", i), prompt(1)).Close(time.Second, Unreachable)
 			}
-			is.True(f.NoteReachable(back, Incarnation{ID: "u0"}))
+			is.True(f.NoteReachable(recoveredAt, Incarnation{ID: "u0"}))
 			if c.entry > 0 {
 				u := *f.Get("u0")
 				u.ColdFor = c.entry
-				f.Put(back, u)
+				f.Put(recoveredAt, u)
 			}
-			f.NotePublished(back, c.published)
+			f.NotePublished(recoveredAt, c.published)
 			m := f.byID["u0"]
-			is.Equal(max(0, m.coldUntil-back), c.coldFor)
-			is.Equal(f.coldQuotaLeft(back, m), c.coldFor == 0 || c.cold.MaxPerSecond == 0) // this box knows no peers yet, so its quota is 0
-			is.True(f.coldQuotaLeft(back+c.coldFor, m))
+			is.Equal(max(0, m.coldUntil-recoveredAt), c.coldFor)
+			is.Equal(f.coldQuotaLeft(recoveredAt, m), c.coldFor == 0 || c.cold.MaxPerSecond == 0) // this box knows no peers yet, so its quota is 0
+			is.True(f.coldQuotaLeft(recoveredAt+c.coldFor, m))
 		})
 	}
 }
@@ -134,7 +134,7 @@
 // second, where it would be 19 without the quota.
 func TestRestartedUpstreamsGetAtMostTheirLimit(t *testing.T) {
 	const most = 12
-	const down, back = 10 * time.Second, 11 * time.Second
+	const down, recoveredAt = 10 * time.Second, 11 * time.Second
 	is := is.New(t)
 	boxes := returningFleets(most) // by then all of them are warm
 	for _, f := range boxes {
@@ -149,13 +149,13 @@
 	reached := make(map[int]bool)
 	var open []*Ticket
 	for i := range 900 { // 600 per second for 1.5 s
-		now := back + time.Duration(i)*time.Second/600
+		now := recoveredAt + time.Duration(i)*time.Second/600
 		if i%60 == 0 {
 			exchangeLoads(boxes)
 		}
 		n := (i * 37) % 90
 		f := boxes[n]
-		if trial := back + time.Duration(n%5)*100*time.Millisecond; now >= trial && !reached[n] {
+		if probeAt := recoveredAt + time.Duration(n%5)*100*time.Millisecond; now >= probeAt && !reached[n] {
 			reached[n] = true
 			for j := 0; j < 90; j += 3 {
 				f.NoteReachable(now, Incarnation{ID: fmt.Sprint("u", j)})
--- a/balance/separation.go
+++ b/balance/separation.go
@@ -91,8 +91,8 @@
 }
 
 // decay reduces the weight of earlier requests by the time elapsed.
-func (k *classes) decay(past time.Duration) {
-	left := math.Exp(-float64(past) / float64(classWindow))
+func (k *classes) decay(elapsed time.Duration) {
+	left := math.Exp(-float64(elapsed) / float64(classWindow))
 	for _, c := range k.byKey {
 		c.observed.sum *= left
 		c.observed.weight *= left
--- a/balance/suspects.go
+++ b/balance/suspects.go
@@ -237,11 +237,11 @@
 
 // withheldFor returns how long a content is withheld after the last crash.
 func (x *suspect) withheldFor() time.Duration {
-	beyond := len(x.crashed) - withholdThreshold
-	if beyond < 0 {
+	extra := len(x.crashed) - withholdThreshold
+	if extra < 0 {
 		return 0
 	}
-	return min(withholdBase<<beyond, maxWithhold)
+	return min(withholdBase<<extra, maxWithhold)
 }
 
 // Count returns the number of upstreams known to have crashed under a content, at most
