--- a/cell/limit.go
+++ b/cell/limit.go
@@ -95,7 +95,7 @@
 // exhausted.
 func (n *Node) takeLimits(l *local) *limit {
 	for _, m := range n.limitsOf(l) {
-		if !m.share.Take(n.now) {
+		if !m.share.Acquire(n.now) {
 			for _, t := range l.taken {
 				t.share.Undo()
 			}
--- a/decide/limit.go
+++ b/decide/limit.go
@@ -111,8 +111,8 @@
 	s.use *= math.Exp(-seconds / useMemory)
 }
 
-// Take uses the limit for one request and reports whether it allowed that.
-func (s *Share) Take(now Time) bool {
+// Acquire uses the limit for one request and reports whether it allowed that.
+func (s *Share) Acquire(now Time) bool {
 	s.fill(now)
 	if s.kind == ConcurrencyLimit {
 		if float64(s.inUse+1) > s.effective(now) {
--- a/decide/small_test.go
+++ b/decide/small_test.go
@@ -33,7 +33,7 @@
 					shares[to].Borrow(late, asked, amount, LoanLife)
 				}
 			case 1:
-				shares[from].Take(now)
+				shares[from].Acquire(now)
 			case 2:
 				if shares[from].inUse > 0 {
 					shares[from].Give()
@@ -64,7 +64,7 @@
 		for range 300 {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(rt, "ms")) * time.Millisecond
 			i := rapid.IntRange(0, boxes-1).Draw(rt, "box")
-			if shares[i].Take(now) {
+			if shares[i].Acquire(now) {
 				admitted++
 			}
 			if most := limit*now.Seconds() + limit*burstSeconds + float64(boxes); float64(admitted) > most {
