--- a/relay/incarnation.go
+++ b/relay/incarnation.go
@@ -138,7 +138,7 @@
 	r.mu.Lock()
 	r.fleet.NoteIdentity(r.now(), intended, actual)
 	r.mu.Unlock()
-	r.cfg.Log.Event("upstream", "identified itself as another", Fields{"upstream": intended.ID, "born": intended.StartedAt, "said": actual})
+	r.cfg.Log.Event("upstream", "is another", Fields{"upstream": intended.ID, "born": intended.StartedAt, "said": actual})
 }
 
 // maxRejected bounds the number of keys in members.rejected.
@@ -163,5 +163,5 @@
 		fields["field"] = invalid.BadField()
 	}
 	m.relay.stats.count("published_not_taken")
-	m.relay.cfg.Log.Event("published", "item rejected", fields)
+	m.relay.cfg.Log.Event("published", "not taken", fields)
 }
--- a/relay/probe.go
+++ b/relay/probe.go
@@ -76,7 +76,7 @@
 	isListed := r.fleet.NoteReachable(r.now(), inc)
 	r.mu.Unlock()
 	if isListed {
-		r.cfg.Log.Event("upstream", "reachable again", Fields{"upstream": id, "born": inc.StartedAt})
+		r.cfg.Log.Event("upstream", "reached again", Fields{"upstream": id, "born": inc.StartedAt})
 	}
 }
 
--- a/relay/pull.go
+++ b/relay/pull.go
@@ -60,7 +60,7 @@
 		return
 	}
 	if left := p.response.BusyLeft; left > 0 {
-		m.relay.cfg.Log.Event("group", "pull refused", Fields{"from": p.from, "busy_ms": left / microsPerMilli, "elsewhere": p.response.Elsewhere})
+		m.relay.cfg.Log.Event("group", "pull turned away", Fields{"from": p.from, "busy_ms": left / microsPerMilli, "elsewhere": p.response.Elsewhere})
 	}
 	m.node.HandlePullResponse(now, p.requestedAt, p.response)
 }
--- a/relay/update.go
+++ b/relay/update.go
@@ -89,7 +89,7 @@
 func (r *Relay) applyUpstream(u balance.Upstream) {
 	c := r.putUpstream(u)
 	if !c.isListed || u.StartedAt != 0 && u.StartedAt < c.current.StartedAt {
-		r.cfg.Log.Event("upstream", "entry ignored", Fields{"upstream": u.ID, "born": u.StartedAt, "address": u.Address, "revision": u.Revision,
+		r.cfg.Log.Event("upstream", "entry passed over", Fields{"upstream": u.ID, "born": u.StartedAt, "address": u.Address, "revision": u.Revision,
 			"listed": c.isListed, "present": c.current.StartedAt})
 		return // another upstream has its address, or the entry is of an earlier incarnation
 	}
@@ -135,7 +135,7 @@
 	isNew := r.fleet.EndEvacuation(r.now(), domain)
 	r.mu.Unlock()
 	if isNew {
-		r.cfg.Log.Event("domain", "restored", Fields{"domain": domain, "age_ms": r.publishedAge().Milliseconds()})
+		r.cfg.Log.Event("domain", "taken back", Fields{"domain": domain, "age_ms": r.publishedAge().Milliseconds()})
 		r.wakeProbeLoop()
 	}
 }
