--- a/cell/limit.go
+++ b/cell/limit.go
@@ -109,7 +109,7 @@
 
 func (n *Node) giveLimits(l *local) {
 	for _, m := range l.taken {
-		m.share.Give()
+		m.share.Release()
 	}
 	l.taken = nil
 }
--- a/decide/limit.go
+++ b/decide/limit.go
@@ -129,9 +129,9 @@
 	return true
 }
 
-// Give returns what Take used, when the request has ended. A rate is not given
+// Release returns what Take used, when the request has ended. A rate is not given
 // back.
-func (s *Share) Give() {
+func (s *Share) Release() {
 	if s.kind == ConcurrencyLimit {
 		s.inUse--
 	}
--- a/decide/small_test.go
+++ b/decide/small_test.go
@@ -36,7 +36,7 @@
 				shares[from].Acquire(now)
 			case 2:
 				if shares[from].inUse > 0 {
-					shares[from].Give()
+					shares[from].Release()
 				}
 			}
 			sum := 0.0
