--- a/group/items.go
+++ b/group/items.go
@@ -34,7 +34,7 @@
 	size := 0
 	out := make([]*wire.GroupItem, 0, len(list))
 	for _, it := range list {
-		w := &wire.GroupItem{Key: it.Key, Value: it.Value, Revision: it.Revision, Gone: it.Gone}
+		w := &wire.GroupItem{Key: it.Key, Value: it.Value, Revision: it.Revision, Gone: it.Deleted}
 		if len(w.Value) >= minCompressedBytes {
 			w.Value, w.Packed = deflate(w.Value), true
 		}
@@ -49,7 +49,7 @@
 func unpackItems(list []*wire.GroupItem) ([]mirror.Item, bool) {
 	out := make([]mirror.Item, 0, len(list))
 	for _, w := range list {
-		it := mirror.Item{Key: w.Key, Value: w.Value, Revision: w.Revision, Gone: w.Gone}
+		it := mirror.Item{Key: w.Key, Value: w.Value, Revision: w.Revision, Deleted: w.Gone}
 		if w.Packed {
 			var err error
 			if it.Value, err = inflate(w.Value, maxValueBytes); err != nil {
--- a/group/published_test.go
+++ b/group/published_test.go
@@ -49,7 +49,7 @@
 		for i := range 4 {
 			w.start(boxName(1, i), domainName(1), uint32(100-i), false)
 		}
-		w.published.Apply(add, add+1, []mirror.Item{{Key: "wish", Revision: add + 1, Gone: true}})
+		w.published.Apply(add, add+1, []mirror.Item{{Key: "wish", Revision: add + 1, Deleted: true}})
 		w.run(2 * time.Second)
 		for _, name := range w.names {
 			copied := w.boxes[name].mirror
--- a/group/quotapeers_test.go
+++ b/group/quotapeers_test.go
@@ -14,7 +14,7 @@
 
 // publishedItem returns a published item, or its deletion.
 func publishedItem(key string, revision uint64, gone bool) []mirror.Item {
-	return []mirror.Item{{Key: key, Revision: revision, Gone: gone}}
+	return []mirror.Item{{Key: key, Revision: revision, Deleted: gone}}
 }
 
 func TestBoxesShareOnceTheyKnowEachOther(t *testing.T) {
--- a/group/snapshot.go
+++ b/group/snapshot.go
@@ -50,7 +50,7 @@
 func compressItems(list []mirror.Item) []byte {
 	all := new(wire.MirrorItems)
 	for _, it := range list {
-		all.Items = append(all.Items, &wire.GroupItem{Key: it.Key, Value: it.Value, Revision: it.Revision, Gone: it.Gone})
+		all.Items = append(all.Items, &wire.GroupItem{Key: it.Key, Value: it.Value, Revision: it.Revision, Gone: it.Deleted})
 	}
 	b, err := proto.Marshal(all)
 	if err != nil {
--- a/group/snapshot_test.go
+++ b/group/snapshot_test.go
@@ -30,7 +30,7 @@
 	first, second := n.Snapshot(time.Second, true), n.Snapshot(time.Second, true)
 	is.True(&first.Packed[0] == &second.Packed[0])
 	is.Equal(len(first.Items), 0)
-	n.cfg.Mirror.Apply(1000, 1001, []mirror.Item{{Key: "upstream/0000", Gone: true, Revision: 1001}})
+	n.cfg.Mirror.Apply(1000, 1001, []mirror.Item{{Key: "upstream/0000", Deleted: true, Revision: 1001}})
 	third := n.Snapshot(time.Second, true)
 	is.True(&first.Packed[0] != &third.Packed[0])
 	is.Equal(third.Revision, uint64(1001))
@@ -92,7 +92,7 @@
 	second := n.Snapshot(2*time.Second, true)
 	is.True(&first.Packed[0] == &second.Packed[0])
 	is.Equal(second.Revision, first.Revision)
-	n.cfg.Mirror.Apply(1000, 1001, []mirror.Item{{Key: "upstream/0000", Gone: true, Revision: 1001}})
+	n.cfg.Mirror.Apply(1000, 1001, []mirror.Item{{Key: "upstream/0000", Deleted: true, Revision: 1001}})
 	items, ok := decompressItems(n.Snapshot(3*time.Second, true).Packed)
 	is.True(ok)
 	is.Equal(len(items), 999) // not the snapshot from before the change
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -59,7 +59,7 @@
 	}
 	for key, old := range m.items {
 		if !present[key] && old.Revision <= revision {
-			it := Item{Key: key, Revision: revision, Gone: true}
+			it := Item{Key: key, Revision: revision, Deleted: true}
 			m.put(it)
 			changes = append(changes, it)
 		}
@@ -99,7 +99,7 @@
 	if m.gone[it.Key] >= it.Revision {
 		return false
 	}
-	if !it.Gone {
+	if !it.Deleted {
 		delete(m.gone, it.Key)
 		m.items[it.Key] = it
 		return true
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -20,7 +20,7 @@
 	is := is.New(t)
 	m := New()
 	m.Load([]Item{{Key: "a", Revision: 5}}, 5)
-	_, ok := m.Apply(5, 8, []Item{{Key: "a", Revision: 8, Gone: true}})
+	_, ok := m.Apply(5, 8, []Item{{Key: "a", Revision: 8, Deleted: true}})
 	is.True(ok)
 	changes, ok := m.Apply(3, 6, []Item{{Key: "a", Revision: 6}}) // late, and gone since
 	is.True(ok)
@@ -47,7 +47,7 @@
 	m.Load([]Item{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, 2)
 	changes := m.Load([]Item{{Key: "b", Revision: 4}}, 5)
 	is.Equal(keys(changes), []string{"b@4", "a@5"})
-	is.True(changes[1].Gone)
+	is.True(changes[1].Deleted)
 	since, ok := m.Since(2)
 	is.True(ok)
 	is.Equal(len(since), 2)
@@ -82,7 +82,7 @@
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "changes") {
 			from := source.Revision()
-			it := Item{Key: fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "key")), Revision: from + 1, Gone: rapid.Bool().Draw(t, "gone")}
+			it := Item{Key: fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "key")), Revision: from + 1, Deleted: rapid.Bool().Draw(t, "gone")}
 			source.Apply(from, from+1, []Item{it})
 			states[from+1] = keys(source.Items())
 			since := uint64(rapid.IntRange(1, int(from)).Draw(t, "since"))
@@ -133,7 +133,7 @@
 	m.Load(list, items)
 	var gone []Item
 	for i := range goneKept + 1 {
-		gone = append(gone, Item{Key: fmt.Sprint(i), Revision: items + uint64(i) + 1, Gone: true})
+		gone = append(gone, Item{Key: fmt.Sprint(i), Revision: items + uint64(i) + 1, Deleted: true})
 	}
 	m.Apply(items, items+goneKept+1, gone)
 	m.Apply(m.Revision(), m.Revision(), []Item{{Key: "0", Revision: 1}})
--- a/mirror/publisher.go
+++ b/mirror/publisher.go
@@ -14,7 +14,7 @@
 	Key      string
 	Value    []byte // as it was published; empty where it is gone
 	Revision uint64 // of its last change
-	Gone     bool
+	Deleted  bool
 }
 
 // Publisher is where items are published. Both calls return the publisher's own
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -165,7 +165,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.mirror.Revision()
-	b.mirror.Apply(r, r+1, []mirror.Item{{Key: key, Value: value, Revision: r + 1, Gone: gone}})
+	b.mirror.Apply(r, r+1, []mirror.Item{{Key: key, Value: value, Revision: r + 1, Deleted: gone}})
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
@@ -216,12 +216,12 @@
 		return Update{Document: doc}, err
 	}
 	if domain, ok := strings.CutPrefix(it.Key, "evacuate/"); ok {
-		if it.Gone {
+		if it.Deleted {
 			return Update{Restored: domain}, nil
 		}
 		return Update{Evacuated: domain}, nil
 	}
-	if it.Gone {
+	if it.Deleted {
 		return Update{Removed: it.Key}, nil
 	}
 	u := new(balance.Upstream)
