--- a/cell/owner.go
+++ b/cell/owner.go
@@ -149,7 +149,7 @@
 		}
 	}
 	rank := decide.Rank(key, n.cfg.Domain, domains)
-	part := int(decide.PartOf(decide.ConcurrencyLimit, float64(limit), len(domains), rank))
+	part := int(decide.ShareSize(decide.ConcurrencyLimit, float64(limit), len(domains), rank))
 	if part == 0 {
 		return -1
 	}
@@ -180,7 +180,7 @@
 func (n *Node) splitPart(upstream string, slots int) int {
 	boxes := n.listed()
 	rank := decide.Rank("split/"+upstream, n.cfg.Box, boxes)
-	return int(decide.PartOf(decide.ConcurrencyLimit, float64(slots), len(boxes), rank))
+	return int(decide.ShareSize(decide.ConcurrencyLimit, float64(slots), len(boxes), rank))
 }
 
 // Owned lists the sets that this box owns, sorted.
--- a/decide/limit.go
+++ b/decide/limit.go
@@ -52,14 +52,14 @@
 // in the limit's rendezvous order, which hands out what does not divide.
 func NewShare(now Time, kind LimitKind, limit float64, boxes, rank int) *Share {
 	s := &Share{kind: kind, filled: now}
-	s.own = PartOf(kind, limit, boxes, rank)
+	s.own = ShareSize(kind, limit, boxes, rank)
 	s.tokens = min(1, s.own)
 	return s
 }
 
-// PartOf is what a box of the given rank owns of a limit. A concurrency is
+// ShareSize is what a box of the given rank owns of a limit. A concurrency is
 // divided into whole slots.
-func PartOf(kind LimitKind, limit float64, boxes, rank int) float64 {
+func ShareSize(kind LimitKind, limit float64, boxes, rank int) float64 {
 	if boxes < 1 {
 		return 0
 	}
@@ -77,7 +77,7 @@
 // Resize puts a new limit or number of boxes in force. Loans keep running.
 func (s *Share) Resize(now Time, limit float64, boxes, rank int) {
 	s.fill(now)
-	s.own = PartOf(s.kind, limit, boxes, rank)
+	s.own = ShareSize(s.kind, limit, boxes, rank)
 }
 
 // effective is what the box may use now.
--- a/decide/small_test.go
+++ b/decide/small_test.go
@@ -79,7 +79,7 @@
 		for limit := 0; limit <= 30; limit++ {
 			sum := 0.0
 			for rank := range boxes {
-				sum += PartOf(ConcurrencyLimit, float64(limit), boxes, rank)
+				sum += ShareSize(ConcurrencyLimit, float64(limit), boxes, rank)
 			}
 			if sum != float64(limit) {
 				t.Errorf("parts of %d among %d add up to %g", limit, boxes, sum)
