--- a/mirror/publisher.go
+++ b/mirror/publisher.go
@@ -20,10 +20,10 @@
 // Publisher is where items are published. Both calls return the publisher's own
 // revision, from which the next call goes on.
 type Publisher interface {
-	// Everything reads all items. It may go on where a call before it failed: what it
+	// ReadAll reads all items. It may go on where a call before it failed: what it
 	// returns was then the newest no later than when the first of them began. Where ctx is
 	// ended with the cause ErrNotNeeded, it stops after the page under way.
-	Everything(ctx context.Context) ([]Item, uint64, error)
+	ReadAll(ctx context.Context) ([]Item, uint64, error)
 	// Changes waits for changes behind a revision. An error that is ErrForgotten
 	// says that they are no longer known, so that everything has to be read.
 	Changes(ctx context.Context, after uint64, wait time.Duration) ([]Item, uint64, error)
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -90,7 +90,7 @@
 		ctx, cancel = m.untilFilled(ctx)
 		defer cancel(nil)
 	}
-	r.items, r.revision, r.err = m.relay.cfg.Publisher.Everything(ctx)
+	r.items, r.revision, r.err = m.relay.cfg.Publisher.ReadAll(ctx)
 	m.resumesRead = r.err != nil
 	if r.err != nil && errors.Is(context.Cause(ctx), mirror.ErrNotNeeded) {
 		r.err = mirror.ErrNotNeeded // however the current page ended: a box that has the data has not failed to read
--- a/relay/reader_test.go
+++ b/relay/reader_test.go
@@ -16,8 +16,8 @@
 
 var _ mirror.Publisher = (*flakyPublisher)(nil)
 
-// Everything implements mirror.Publisher.
-func (f *flakyPublisher) Everything(context.Context) ([]mirror.Item, uint64, error) {
+// ReadAll implements mirror.Publisher.
+func (f *flakyPublisher) ReadAll(context.Context) ([]mirror.Item, uint64, error) {
 	if f.fails--; f.fails >= 0 {
 		return nil, 0, errors.New("a page failed")
 	}
@@ -51,8 +51,8 @@
 // needed.
 type hangingPublisher struct{ flakyPublisher }
 
-// Everything implements mirror.Publisher.
-func (h *hangingPublisher) Everything(ctx context.Context) ([]mirror.Item, uint64, error) {
+// ReadAll implements mirror.Publisher.
+func (h *hangingPublisher) ReadAll(ctx context.Context) ([]mirror.Item, uint64, error) {
 	<-ctx.Done()
 	return nil, 0, errors.New("time-out")
 }
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -170,7 +170,7 @@
 	b.changed = make(chan struct{})
 }
 
-func (b *fakePublisher) Everything(context.Context) ([]mirror.Item, uint64, error) {
+func (b *fakePublisher) ReadAll(context.Context) ([]mirror.Item, uint64, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.unavailable {
