--- a/cell/spare.go
+++ b/cell/spare.go
@@ -51,7 +51,7 @@
 // spareSlots is what each other domain is offered of a pool, by tier.
 func (n *Node) spareSlots(p *decide.Pool, others int) []int {
 	var out []int
-	for tier := 1; tier <= p.Tiers(); tier++ {
+	for tier := 1; tier <= p.LowestTier(); tier++ {
 		spare := spareShare * float64(p.SpareFor(n.now, tier)) / float64(max(1, others))
 		out = append(out, int(math.Ceil(spare)))
 	}
--- a/decide/counts.go
+++ b/decide/counts.go
@@ -32,8 +32,8 @@
 	return max(0, n)
 }
 
-// Tiers is the number of the lowest tier of the pool's classes.
-func (p *Pool) Tiers() int {
+// LowestTier is the number of the lowest tier of the pool's classes.
+func (p *Pool) LowestTier() int {
 	if len(p.classes) == 0 {
 		return 0
 	}
