--- a/balance/lanesize.go
+++ b/balance/lanesize.go
@@ -45,12 +45,12 @@
 // LaneChange is a change of a lane's size, with the figures that led to it.
 type LaneChange struct {
 	Service   string
-	Places    int  // number of upstreams reserved for tight streams
+	Reserved  int  // number of upstreams reserved for tight streams
 	Upstreams int  // number of upstreams of the service
 	Tight     int  // recent tight streams in progress
 	Rest      int  // recent other requests in progress
 	Need      Need // share of the upstreams that each side needs
-	Told      bool // the size was reported by another box, not computed by this one
+	Reported  bool // the size was reported by another box, not computed by this one
 }
 
 // SizeLanes updates the lane sizes, to the reported size for the services in reported, and from
--- a/cell/beat.go
+++ b/cell/beat.go
@@ -27,7 +27,7 @@
 	if !p.alive {
 		kind = timeline.BoxDead
 		for set, pool := range n.pools {
-			pool.BoxGone(p.name)
+			pool.RemoveBox(p.name)
 			n.dirty[set] = true
 		}
 	}
@@ -96,7 +96,7 @@
 	if p != nil && p.boot != 0 && boot > p.boot {
 		// A new incarnation: what the old one held died with it.
 		for _, pool := range n.pools {
-			pool.BoxGone(from)
+			pool.RemoveBox(from)
 		}
 	}
 	n.members.hear(n.now, from, boot, h)
@@ -126,5 +126,5 @@
 	return true // not listed yet: a new box speaks before the list names it
 }
 
-// Live lists the other boxes of the domain that are alive.
-func (n *Node) Live() []string { return n.members.live() }
+// LivePeers lists the other boxes of the domain that are alive.
+func (n *Node) LivePeers() []string { return n.members.live() }
--- a/cell/holder.go
+++ b/cell/holder.go
@@ -149,16 +149,16 @@
 
 func (n *Node) sendBid(l *local) {
 	b := &Bid{Set: l.set, Bid: decide.Bid{
-		ID:       l.req.ID,
-		Box:      n.cfg.Box,
-		Class:    l.req.Class,
-		Customer: l.req.Customer,
-		Waited:   n.now - l.arrived,
-		Work:     l.work,
-		Prefix:   l.req.Prefix,
-		Visitor:  l.visiting,
-		Resume:   l.resume,
-		Attempt:  l.attempt,
+		ID:              l.req.ID,
+		Box:             n.cfg.Box,
+		Class:           l.req.Class,
+		Customer:        l.req.Customer,
+		Waited:          n.now - l.arrived,
+		Work:            l.work,
+		Prefix:          l.req.Prefix,
+		FromOtherDomain: l.visiting,
+		Resume:          l.resume,
+		Attempt:         l.attempt,
 	}}
 	if l.req.Deadline > 0 {
 		b.Bid.Remaining = max(l.arrived+l.req.Deadline-n.now, time.Microsecond)
@@ -197,7 +197,7 @@
 		n.bid(l)
 		return
 	}
-	l.slot, l.slotAttempt, l.keep, l.slotEnd = l.req.ID, m.Attempt, m.Keep, n.now+decide.KeptLife
+	l.slot, l.slotAttempt, l.keep, l.slotEnd = l.req.ID, m.Attempt, m.Keep, n.now+decide.RetainedSlotLifetime
 	n.lease(l, m.Upstream, l.firstBid+m.StartBy)
 }
 
@@ -211,7 +211,7 @@
 		kind = timeline.Fallback
 	}
 	n.record(l.event(kind))
-	n.act(Action{Kind: Dispatch, Request: l.req.ID, Upstream: upstream, Tokens: l.tokens, Again: l.attempts > 1,
+	n.act(Action{Kind: Dispatch, Request: l.req.ID, Upstream: upstream, Tokens: l.tokens, Redispatch: l.attempts > 1,
 		Resume: l.resume == upstream && upstream != "", StartBy: startBy})
 }
 
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -149,7 +149,7 @@
 		}
 	}
 	rank := decide.Rank(key, n.cfg.Domain, domains)
-	part := int(decide.PartOf(decide.ConcurrencyLimit, float64(limit), len(domains), rank))
+	part := int(decide.ShareSize(decide.ConcurrencyLimit, float64(limit), len(domains), rank))
 	if part == 0 {
 		return -1
 	}
@@ -180,7 +180,7 @@
 func (n *Node) splitPart(upstream string, slots int) int {
 	boxes := n.listed()
 	rank := decide.Rank("split/"+upstream, n.cfg.Box, boxes)
-	return int(decide.PartOf(decide.ConcurrencyLimit, float64(slots), len(boxes), rank))
+	return int(decide.ShareSize(decide.ConcurrencyLimit, float64(slots), len(boxes), rank))
 }
 
 // Owned lists the sets that this box owns, sorted.
@@ -270,7 +270,7 @@
 
 func (n *Node) onRelease(m *Release) {
 	if p := n.pools[m.Set]; p != nil {
-		p.Said(n.now, m.Upstream, m.Said)
+		p.ApplyNotice(n.now, m.Upstream, m.Said)
 		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, Pace: m.Pace, First: m.First, Attempt: m.Attempt})
 		n.dirty[m.Set] = true
 	}
@@ -289,7 +289,7 @@
 		n.dirty[m.Set] = true
 		return
 	}
-	if p.Compare(n.now, from, decide.Sum{Count: m.Count, Digest: m.Digest, WaitingCount: m.WaitingCount, WaitingDigest: m.WaitingDigest}) {
+	if p.Renew(n.now, from, decide.LeaseSummary{Count: m.Count, Digest: m.Digest, WaitingCount: m.WaitingCount, WaitingDigest: m.WaitingDigest}) {
 		n.send(from, &HoldingAsk{Set: m.Set})
 	}
 }
@@ -343,7 +343,7 @@
 		n.route(set, n.routed[i])
 	}
 	n.routed = n.routed[:start]
-	if p.Recall(n.now) {
+	if p.ShouldRecall(n.now) {
 		for _, box := range p.Holders() {
 			n.deliver(box, &Recall{Set: set})
 		}
@@ -355,7 +355,7 @@
 	switch v.Kind {
 	case decide.GrantSlot:
 		n.record(timeline.Event{Kind: timeline.Granted, Request: v.ID, Class: v.Class, Tier: v.Tier, Upstream: v.Upstream, Set: set})
-		n.deliver(v.Box, &Grant{Set: set, ID: v.ID, Upstream: v.Upstream, StartBy: v.Queued + n.timing.StartBy, Keep: v.Keep, Attempt: v.Attempt})
+		n.deliver(v.Box, &Grant{Set: set, ID: v.ID, Upstream: v.Upstream, StartBy: v.Queued + n.timing.StartBy, Keep: v.RetainFor, Attempt: v.Attempt})
 	case decide.RefuseBid:
 		r := &Refusal{Set: set, ID: v.ID, Reason: v.Reason, RetryAfter: v.RetryAfter,
 			LowerWaiting: v.LowerWaiting, LowerRunning: v.LowerRunning}
--- a/decide/renew.go
+++ b/decide/renew.go
@@ -55,7 +55,7 @@
 	}
 	slices.Sort(gone)
 	for _, box := range gone {
-		p.BoxGone(box)
+		p.RemoveBox(box)
 	}
 	return gone
 }
@@ -70,8 +70,8 @@
 	g.digest ^= id
 }
 
-// Held is a lease as its holder lists it.
-type Held struct {
+// HeldLease is a lease as its holder lists it.
+type HeldLease struct {
 	ID       uint64
 	Upstream string
 	Class    string
@@ -80,24 +80,24 @@
 	Attempt  uint32
 }
 
-// Sum is a holder's own account of its leases and bids in a pool.
-type Sum struct {
+// LeaseSummary is a holder's own account of its leases and bids in a pool.
+type LeaseSummary struct {
 	Count         int
 	Digest        uint64 // exclusive-or of the ids
 	WaitingCount  int
 	WaitingDigest uint64
 }
 
-// Compare renews a holder's leases and reports whether it should send the full
+// Renew renews a holder's leases and reports whether it should send the full
 // list, because its account differs from the pool's. One difference may be a
 // message on its way; two are not.
-func (p *Pool) Compare(now Time, box string, sum Sum) bool {
+func (p *Pool) Renew(now Time, box string, sum LeaseSummary) bool {
 	g := p.ledger(box)
 	g.heard = now
 	if p.unheard[box] {
 		return true
 	}
-	if (Sum{g.count, g.digest, g.waiting, g.waitingDigest}) == sum {
+	if (LeaseSummary{g.count, g.digest, g.waiting, g.waitingDigest}) == sum {
 		g.mismatch = 0
 		return false
 	}
@@ -106,7 +106,7 @@
 }
 
 // Adopt takes a holder's full list as the truth about its leases.
-func (p *Pool) Adopt(now Time, box string, list []Held, waiting []uint64) {
+func (p *Pool) Adopt(now Time, box string, list []HeldLease, waiting []uint64) {
 	listed := make(map[uint64]bool, len(list))
 	for _, h := range list {
 		listed[h.ID] = true
@@ -132,7 +132,7 @@
 	delete(p.unheard, box)
 }
 
-func (p *Pool) adoptOne(now Time, box string, h Held) {
+func (p *Pool) adoptOne(now Time, box string, h HeldLease) {
 	class, b := p.byClass[h.Class], p.byName[h.Upstream]
 	if l := p.leases[h.ID]; l != nil && h.Attempt > l.attempt {
 		p.end(l)
@@ -153,9 +153,9 @@
 	p.hold(now, l)
 }
 
-// BoxGone drops what a dead box held and waited for. Its connections to the
+// RemoveBox drops what a dead box held and waited for. Its connections to the
 // upstreams died with it.
-func (p *Pool) BoxGone(box string) {
+func (p *Pool) RemoveBox(box string) {
 	for _, l := range p.sortedLeases(box) {
 		p.end(l)
 	}
--- a/group/suspects_test.go
+++ b/group/suspects_test.go
@@ -35,8 +35,8 @@
 				h.boxes[name], h.tables[name] = b, new(balance.Suspects)
 			}
 			s := h.tables[name]
-			s.Take(h.sim.now, b.node.DrainSuspects())
-			b.node.AnnounceSuspects(s.News(h.sim.now))
+			s.Merge(h.sim.now, b.node.DrainSuspects())
+			b.node.AnnounceSuspects(s.TakeNews(h.sim.now))
 			b.node.SetWithheld(s.Withheld(h.sim.now))
 			b.node.FlushSuspects(h.sim.now)
 			h.sim.sendOutgoing(b)
