--- a/cell/chart.go
+++ b/cell/chart.go
@@ -1,6 +1,6 @@
 package cell
 
-import _ "embed" // the chart of a request's states
+import _ "embed" // for the embedded chart of request states
 
 //go:embed request.chart.json
 var requestChartFile []byte
--- a/cell/claim.go
+++ b/cell/claim.go
@@ -1,20 +1,22 @@
 package cell
 
-// This file defines how the right to run an idempotency key is asked for. The
-// invariant: a request with a key is sent to an upstream only after the key's
-// home has granted it, and the grant is given back only when the request
-// certainly did not run.
+// This file defines how a box claims the right to run a request with an
+// idempotency key. Invariant: a request with a key is sent to an upstream
+// only after the key's home box has granted the claim, and the claim is
+// given back only when the request certainly did not run.
 
 import (
 	"github.com/doormast/doormast/decide"
 )
 
-// Mint makes an idempotency key that only this incarnation of the box grants.
+// Mint creates an idempotency key that only this incarnation of the box
+// grants.
 func (n *Node) Mint() string { return n.claims.Mint(n.now) }
 
-// claimOrBid goes on with a request that has passed its limits.
-func (n *Node) claimOrBid(l *local) {
-	if l.req.Key == "" || n.cfg.Unfenced.Claims {
+// claimOrBid continues with a request that has passed its limits: it claims
+// the request's key, or bids if there is no key.
+func (n *Node) claimOrBid(l *localRequest) {
+	if l.req.Key == "" || n.cfg.Disabled.Claims {
 		n.bid(l)
 		return
 	}
@@ -29,19 +31,19 @@
 		return
 	}
 	l.step(eventClaim)
-	l.claimFirst = n.now
+	l.claimStarted = n.now
 	n.claim(l)
 }
 
-// claim asks the key's home.
-func (n *Node) claim(l *local) {
+// claim asks the key's home box for the right to run the request.
+func (n *Node) claim(l *localRequest) {
 	l.claimSent = n.now
-	l.home = n.claims.Home(l.key)
+	l.keyHome = n.claims.Home(l.key)
 	switch {
-	case l.home == n.cfg.Box:
-		n.claimed(l, n.claims.Claim(n.now, n.wall, l.key, n.cfg.Box, l.req.ID, n.agreed()))
-	case l.home != "":
-		n.send(l.home, &Claim{Key: l.key.Text, ID: l.req.ID})
+	case l.keyHome == n.cfg.Box:
+		n.onClaimVerdict(l, n.claims.Claim(n.now, n.wall, l.key, n.cfg.Box, l.req.ID, n.membershipAgreed()))
+	case l.keyHome != "":
+		n.send(l.keyHome, &Claim{Key: l.key.Text, ID: l.req.ID})
 	}
 }
 
@@ -55,18 +57,18 @@
 		return
 	}
 	n.observe()
-	v := n.claims.Claim(n.now, n.wall, key, from, m.ID, n.agreed())
+	v := n.claims.Claim(n.now, n.wall, key, from, m.ID, n.membershipAgreed())
 	n.send(from, &ClaimReply{Key: m.Key, ID: m.ID, Verdict: v})
 }
 
 func (n *Node) onClaimReply(m *ClaimReply) {
-	if l := n.locals[m.ID]; l != nil && l.state == stateClaiming && l.key.Text == m.Key {
-		n.claimed(l, m.Verdict)
+	if l := n.requests[m.ID]; l != nil && l.state == stateClaiming && l.key.Text == m.Key {
+		n.onClaimVerdict(l, m.Verdict)
 	}
 }
 
-// claimed acts on the verdict of the key's home.
-func (n *Node) claimed(l *local, v decide.ClaimVerdict) {
+// onClaimVerdict acts on the verdict of the key's home box.
+func (n *Node) onClaimVerdict(l *localRequest, v decide.ClaimVerdict) {
 	switch v {
 	case decide.ClaimGranted:
 		l.hasClaim = true
@@ -78,25 +80,25 @@
 	}
 }
 
-// giveBackClaim frees the key of a request that did not run.
-func (n *Node) giveBackClaim(l *local) {
+// giveBackClaim gives back the claim of a request that did not run.
+func (n *Node) giveBackClaim(l *localRequest) {
 	if !l.hasClaim {
 		return
 	}
-	if l.home == n.cfg.Box {
+	if l.keyHome == n.cfg.Box {
 		n.claims.GiveBack(l.key, n.cfg.Box, l.req.ID)
 		return
 	}
-	n.send(l.home, &Claim{Key: l.key.Text, ID: l.req.ID, GiveBack: true})
+	n.send(l.keyHome, &Claim{Key: l.key.Text, ID: l.req.ID, GiveBack: true})
 }
 
-// tickClaims asks again for keys whose home has not answered, and gives up in
-// the end. An earlier request with the key may have run, so the caller is told
-// that it is not known.
+// tickClaims repeats claims that the key's home box has not answered, and
+// gives up after ClaimGiveUp. An earlier request with the same key may have
+// run, so the caller is told that the outcome is unknown.
 func (n *Node) tickClaims() {
-	for _, l := range n.sorted(func(l *local) bool { return l.state == stateClaiming }) {
+	for _, l := range n.sortedRequests(func(l *localRequest) bool { return l.state == stateClaiming }) {
 		switch {
-		case n.now-l.claimFirst >= n.timing.ClaimGiveUp:
+		case n.now-l.claimStarted >= n.timing.ClaimGiveUp:
 			n.end(l, Final{Reason: decide.KeyNotVouched, Ran: true, RetryAfter: n.timing.Dead})
 		case n.now-l.claimSent >= n.timing.ClaimRetry:
 			n.claim(l)
--- a/cell/drain.go
+++ b/cell/drain.go
@@ -1,6 +1,7 @@
 package cell
 
-// This file defines the planned stop of a box. The invariant: it owns nothing from then on, and carries what it has to its end.
+// This file defines the planned stop of a box. Invariant: from its start the
+// box owns nothing, and it carries its requests to their end.
 
 import (
 	"time"
@@ -8,18 +9,18 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// Drain begins a planned stop: the box gives up what it owns and tells the
-// others, but goes on with what it carries.
+// Drain starts a planned stop: the box gives up its sets and tells the other
+// boxes, but continues with the requests that it carries.
 func (n *Node) Drain(now time.Duration) {
-	n.at(now)
+	n.advanceTo(now)
 	if n.draining {
 		return
 	}
 	n.draining = true
-	n.record(timeline.Event{Kind: timeline.Draining, Value: int64(len(n.locals))})
+	n.record(timeline.Event{Kind: timeline.Draining, Value: int64(len(n.requests))})
 	n.members.announce()
 	n.sendHeartbeat(n.members.live())
-	n.reown()
+	n.updateOwners()
 	n.flush()
 }
 
--- a/cell/finish.go
+++ b/cell/finish.go
@@ -1,7 +1,8 @@
 package cell
 
-// This file defines how a request ends, or goes on after a run has. The invariant:
-// each request ends once, and as not run only if no byte of it has left.
+// This file defines how a request ends, or continues after a run has ended.
+// Invariant: each request ends once, and is reported as not run only if no
+// byte of it was sent.
 
 import (
 	"time"
@@ -10,19 +11,20 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// CallerLeft tells the node that a caller went away or was given up on.
+// CallerLeft tells the node that a caller has disconnected or was given up
+// on.
 func (n *Node) CallerLeft(now time.Duration, id uint64) {
-	n.at(now)
-	l := n.locals[id]
-	if l == nil || l.left {
+	n.advanceTo(now)
+	l := n.requests[id]
+	if l == nil || l.callerLeft {
 		return
 	}
-	l.left = true
+	l.callerLeft = true
 	n.record(l.event(timeline.Left))
 	switch l.state {
 	case stateLeased, stateSending, stateRunning:
-		l.stopping = true
-		n.act(Action{Kind: CancelRun, Request: id})
+		l.cancelling = true
+		n.addAction(Action{Kind: CancelRun, Request: id})
 	default:
 		n.withdraw(l)
 		l.step(eventLeave)
@@ -34,7 +36,7 @@
 	n.flush()
 }
 
-func (n *Node) withdraw(l *local) {
+func (n *Node) withdraw(l *localRequest) {
 	if l.state == stateWaiting && l.owner != "" {
 		n.deliver(l.owner, &Withdraw{Set: l.set, ID: l.req.ID})
 	}
@@ -42,8 +44,8 @@
 
 // Finished tells the node how a run ended.
 func (n *Node) Finished(now time.Duration, id uint64, r Result) {
-	n.at(now)
-	l := n.locals[id]
+	n.advanceTo(now)
+	l := n.requests[id]
 	if l == nil || l.state == stateWaiting {
 		return
 	}
@@ -53,18 +55,18 @@
 	n.release(l, r)
 	l.tokens = max(l.tokens, r.Tokens)
 	if r.Ended {
-		n.noteEnd(l)
+		n.noteUpstreamCrash(l)
 	}
 	if r.Refused {
-		// The upstream itself says that it did not run this one.
+		// The upstream itself reported that it did not run this request.
 		l.ran = l.ranBefore
 		n.record(l.event(timeline.Disclaimed))
 	} else {
 		l.ran = l.ran || r.Ran
 	}
 	switch {
-	case l.left:
-		n.finishLeft(l)
+	case l.callerLeft:
+		n.finishCallerLeft(l)
 	case r.Outcome == decide.Answered:
 		n.finishAnswered(l, r)
 	case r.Outcome == decide.Paused:
@@ -81,8 +83,8 @@
 	n.flush()
 }
 
-// release gives the slot back to its owner.
-func (n *Node) release(l *local, r Result) {
+// release returns the slot to its owner, unless this box keeps it.
+func (n *Node) release(l *localRequest, r Result) {
 	if r.Outcome == decide.Answered && !r.Said.Any() && n.keepSlot(l) {
 		return
 	}
@@ -90,7 +92,7 @@
 	if r.Said.Leaving && r.Refused {
 		outcome = decide.Draining
 	}
-	n.noteSaid(l, r.Said)
+	n.noteUpstreamNotice(l, r.Said)
 	m := &Release{Said: r.Said, Set: l.set, ID: l.slot, Upstream: l.upstream, Tokens: r.Tokens, Outcome: outcome, Pace: r.Pace, First: r.First, Attempt: l.slotAttempt}
 	if l.owner != "" {
 		n.deliver(l.owner, m)
@@ -100,7 +102,7 @@
 	}
 }
 
-func (n *Node) finishLeft(l *local) {
+func (n *Node) finishCallerLeft(l *localRequest) {
 	l.step(eventLeave)
 	if !l.ran {
 		n.giveBackClaim(l)
@@ -108,7 +110,7 @@
 	n.forget(l)
 }
 
-func (n *Node) finishAnswered(l *local, r Result) {
+func (n *Node) finishAnswered(l *localRequest, r Result) {
 	n.Lengths(l.req.Class).Add(max(1, r.Tokens))
 	n.noteAnswer(l)
 	l.step(eventAnswer)
@@ -118,9 +120,9 @@
 	n.forget(l)
 }
 
-func (n *Node) finishFailed(l *local, r Result) {
+func (n *Node) finishFailed(l *localRequest, r Result) {
 	l.resume = ""
-	if n.withheld(l) > 0 {
+	if n.withheldFor(l) > 0 {
 		n.endWithheld(l)
 		return
 	}
@@ -142,10 +144,10 @@
 	n.bid(l)
 }
 
-// end gives a request its final answer.
-func (n *Node) end(l *local, f Final) { n.endWith(l, f, 0, 0) }
+// end ends a request with a final answer.
+func (n *Node) end(l *localRequest, f Final) { n.endWithCounts(l, f, 0, 0) }
 
-func (n *Node) endWith(l *local, f Final, lowerWaiting, lowerRunning int) {
+func (n *Node) endWithCounts(l *localRequest, f Final, lowerWaiting, lowerRunning int) {
 	f.Ran = f.Ran || l.ran
 	kind := timeline.Refused
 	if f.Ran {
@@ -158,33 +160,34 @@
 	e := l.event(kind)
 	e.Reason, e.LowerWaiting, e.LowerRunning = f.Reason.String(), lowerWaiting, lowerRunning
 	n.record(e)
-	n.act(Action{Kind: End, Request: l.req.ID, Final: f})
+	n.addAction(Action{Kind: End, Request: l.req.ID, Final: f})
 	n.forget(l)
 }
 
-func (n *Node) forget(l *local) {
-	n.giveLimits(l)
-	delete(n.locals, l.req.ID)
+func (n *Node) forget(l *localRequest) {
+	n.releaseLimits(l)
+	delete(n.requests, l.req.ID)
 }
 
-// tickDeadlines ends what has passed its caller's deadline while it runs; what
-// waits is ended by the owner.
+// tickDeadlines ends requests that pass the caller's deadline while they
+// run. The owner ends those that wait.
 func (n *Node) tickDeadlines() {
-	for _, l := range n.sorted(func(l *local) bool {
-		return l.req.Deadline > 0 && !l.left && n.now >= l.arrived+l.req.Deadline
+	for _, l := range n.sortedRequests(func(l *localRequest) bool {
+		return l.req.Deadline > 0 && !l.callerLeft && n.now >= l.arrived+l.req.Deadline
 	}) {
 		switch l.state {
 		case stateLeased:
-			// Whether a byte has left is about to be told; the run's end decides.
-			if !l.stopping {
-				l.stopping = true
-				n.act(Action{Kind: CancelRun, Request: l.req.ID})
+			// The result of the run will tell whether a byte was sent, and
+			// decides how the request ends.
+			if !l.cancelling {
+				l.cancelling = true
+				n.addAction(Action{Kind: CancelRun, Request: l.req.ID})
 			}
 		case stateSending, stateRunning:
 			n.record(timeline.Event{Kind: timeline.Unknown, Request: l.req.ID, Class: l.rule.Class, Reason: decide.Late.String()})
-			n.act(Action{Kind: End, Request: l.req.ID, Final: Final{Reason: decide.Late, Ran: true}})
-			l.left, l.stopping = true, true
-			n.act(Action{Kind: CancelRun, Request: l.req.ID})
+			n.addAction(Action{Kind: End, Request: l.req.ID, Final: Final{Reason: decide.Late, Ran: true}})
+			l.callerLeft, l.cancelling = true, true
+			n.addAction(Action{Kind: CancelRun, Request: l.req.ID})
 		case stateWaiting:
 			if l.owner == "" {
 				n.end(l, Final{Reason: decide.Late})
--- a/cell/handle.go
+++ b/cell/handle.go
@@ -1,8 +1,10 @@
 package cell
 
-// This file defines which part of a box a message goes to. The invariant: each kind of message has one.
+// This file defines the dispatch of messages to their handlers. Invariant:
+// each kind of message has exactly one handler.
 
-// handle acts on a message of another box, or of this one to itself.
+// handle calls the handler of a message from another box, or from this box
+// to itself.
 func (n *Node) handle(from string, m Message) {
 	switch m := m.(type) {
 	case *TableOffer:
--- a/cell/holder.go
+++ b/cell/holder.go
@@ -1,9 +1,10 @@
 package cell
 
-// This file defines the holder's side: what becomes of a request on the box that
-// its caller is connected to. The invariants: a request is in one state of the
-// chart; it is sent only with a slot lease that has not run out; it ends once;
-// and it is refused as not run only if no byte of it has left.
+// This file defines the holder's side of slot leases: the progress of a
+// request on the box that its caller is connected to. Invariants: a request
+// is in one state of the chart; it is sent only with a slot lease that has
+// not expired; it ends once; and it is refused as not run only if no byte of
+// it was sent.
 
 import (
 	"time"
@@ -13,69 +14,69 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// local is a request that this box carries.
-type local struct {
-	req     Request
-	rule    decide.Rule
-	set     string
-	work    float64
-	state   chart.State
-	order   uint64 // of arrival
-	arrived time.Duration
+// localRequest is a request that this box carries.
+type localRequest struct {
+	req          Request
+	rule         decide.Rule
+	set          string
+	work         float64
+	state        chart.State
+	arrivalOrder uint64 // position in the order of arrival
+	arrived      time.Duration
 
-	slot        uint64        // id of its lease: its own, or that of the request it was granted for
-	slotAttempt uint32        // attempt that its lease was granted for
-	attempt     uint32        // counts its bids
-	keep        time.Duration // how long its slot may be kept after the answer
-	slotEnd     time.Duration // when its slot must go back to be placed anew
-	owner       string        // box that it bids to
-	firstBid    time.Duration // before the bid was first sent to that owner
-	upstream    string        // that it holds a slot of
-	startBy     time.Duration
-	resume      string // upstream that holds its paused answer
-	tokens      int    // delivered to the caller
-	attempts    int
-	visiting    bool // it bids or runs in another failure domain
-	hopped      bool // it has been to another one, once is all
-	fallback    bool // its slot is from this box's own share
-	ran         bool // a byte has left for an upstream at some time
-	ranBefore   bool // the same, before the present run
-	stopping    bool // its run is being cancelled
-	left        bool // its caller went away
+	slot          uint64        // ID of its lease: its own, or that of the request that the slot was granted for
+	slotAttempt   uint32        // attempt that its lease was granted for
+	attempt       uint32        // number of its bids
+	keepFor       time.Duration // how long its slot may be kept after the answer
+	slotExpires   time.Duration // when its slot must return to the owner, to be assigned again
+	owner         string        // box that it bids to
+	firstBid      time.Duration // time before the bid was first sent to that owner
+	upstream      string        // whose slot it holds
+	startBy       time.Duration
+	resume        string // upstream that holds its paused answer
+	tokens        int    // delivered to the caller
+	attempts      int
+	inOtherDomain bool // it bids or runs in another failure domain
+	redirected    bool // it has bid in another domain, which is allowed once
+	fallback      bool // its slot is from this box's own share
+	ran           bool // a byte has been sent to an upstream in this or an earlier run
+	ranBefore     bool // value of ran before the present run
+	cancelling    bool // its run is being cancelled
+	callerLeft    bool // its caller has disconnected
 
-	taken       []*limit
+	limitsTaken []*limit
 	parkedUntil time.Duration
 	parkedFor   *limit
 
-	key        decide.Key
-	home       string
-	claimFirst time.Duration
-	claimSent  time.Duration
-	hasClaim   bool
+	key          decide.Key
+	keyHome      string
+	claimStarted time.Duration
+	claimSent    time.Duration
+	hasClaim     bool
 }
 
-// step moves the request along the chart. An event that the chart does not
-// allow is a fault of this package.
-func (l *local) step(event int) {
+// step applies an event of the chart to the request's state. An event that
+// the chart does not allow is a bug in this package.
+func (l *localRequest) step(event int) {
 	next, ok := requestChart.Step(l.state, event)
 	if !ok {
-		panic("cell: request " + timeline.RequestText(l.req.ID) + " in state " + requestChart.StateName(l.state) + " cannot take the step")
+		panic("cell: request " + timeline.RequestText(l.req.ID) + " in state " + requestChart.StateName(l.state) + " got an event that the state chart does not allow")
 	}
 	l.state = next
 }
 
-func (l *local) event(kind timeline.Kind) timeline.Event {
+func (l *localRequest) event(kind timeline.Kind) timeline.Event {
 	return timeline.Event{Kind: kind, Request: l.req.ID, Class: l.rule.Class, Tier: l.rule.Tier,
 		Customer: l.req.Customer, Upstream: l.upstream, Set: l.set}
 }
 
-// Arrive takes in a request from a caller.
+// Arrive accepts a request from a caller.
 func (n *Node) Arrive(now time.Duration, req Request) {
-	n.at(now)
+	n.advanceTo(now)
 	n.arrivals++
-	l := &local{req: req, arrived: now, order: n.arrivals}
+	l := &localRequest{req: req, arrived: now, arrivalOrder: n.arrivals}
 	l.rule.Class = req.Class
-	n.locals[req.ID] = l
+	n.requests[req.ID] = l
 	if n.table != nil {
 		if c := n.table.Class(req.Class); c != nil {
 			l.rule, l.set = n.rule(c), c.Set
@@ -87,10 +88,10 @@
 		n.end(l, Final{Reason: decide.NoTable, RetryAfter: time.Second})
 	case l.set == "":
 		n.end(l, Final{Reason: decide.NoUpstream, RetryAfter: time.Minute})
-	case n.withheld(l) > 0:
+	case n.withheldFor(l) > 0:
 		n.endWithheld(l)
 	default:
-		n.budget(req.Class).Attempt(len(n.listed()))
+		n.budget(req.Class).Attempt(len(n.listedBoxes()))
 		if m := n.takeLimits(l); m != nil {
 			n.park(l, m)
 		} else {
@@ -109,7 +110,7 @@
 	return b
 }
 
-// Lengths returns what is known of a class's answer lengths.
+// Lengths returns the statistics of a class's answer lengths.
 func (n *Node) Lengths(class string) *decide.Lengths {
 	l := n.lengths[class]
 	if l == nil {
@@ -119,25 +120,25 @@
 	return l
 }
 
-// bid asks the owner of the request's set for a slot. Without an owner in sight
-// the request waits for one.
-func (n *Node) bid(l *local) {
-	if n.withheld(l) > 0 {
+// bid asks the owner of the request's set for a slot. Without a known owner
+// the request waits until there is one.
+func (n *Node) bid(l *localRequest) {
+	if n.withheldFor(l) > 0 {
 		n.endWithheld(l)
 		return
 	}
-	if n.useKept(l) {
+	if n.useKeptSlot(l) {
 		return
 	}
-	n.bidAt(l, n.owners[l.set])
+	n.bidTo(l, n.owners[l.set])
 }
 
-func (n *Node) bidAt(l *local, owner string) {
+func (n *Node) bidTo(l *localRequest, owner string) {
 	l.step(eventBid)
 	l.owner, l.firstBid = owner, n.now
 	l.attempt++
-	l.upstream, l.fallback, l.stopping = "", false, false
-	l.work = n.expected(l)
+	l.upstream, l.fallback, l.cancelling = "", false, false
+	l.work = n.expectedTokens(l)
 	if owner == "" {
 		return
 	}
@@ -147,7 +148,7 @@
 	n.sendBid(l)
 }
 
-func (n *Node) sendBid(l *local) {
+func (n *Node) sendBid(l *localRequest) {
 	b := &Bid{Set: l.set, Bid: decide.Bid{
 		ID:       l.req.ID,
 		Box:      n.cfg.Box,
@@ -156,7 +157,7 @@
 		Waited:   n.now - l.arrived,
 		Work:     l.work,
 		Prefix:   l.req.Prefix,
-		Visitor:  l.visiting,
+		Visitor:  l.inOtherDomain,
 		Resume:   l.resume,
 		Attempt:  l.attempt,
 	}}
@@ -169,9 +170,9 @@
 	}
 }
 
-// expected is the number of tokens still to come, as far as the class's past
-// tells.
-func (n *Node) expected(l *local) float64 {
+// expectedTokens estimates the number of tokens still to be generated from
+// the earlier answers of the class.
+func (n *Node) expectedTokens(l *localRequest) float64 {
 	lengths := n.Lengths(l.req.Class)
 	expected := lengths.Mean()
 	if l.tokens > 0 {
@@ -184,25 +185,25 @@
 }
 
 func (n *Node) onGrant(from string, m *Grant) {
-	l := n.locals[m.ID]
-	if l != nil && l.owner == from && l.state != stateWaiting && l.upstream == m.Upstream && l.attempt == m.Attempt && !l.left {
-		return // it came twice
+	l := n.requests[m.ID]
+	if l != nil && l.owner == from && l.state != stateWaiting && l.upstream == m.Upstream && l.attempt == m.Attempt && !l.callerLeft {
+		return // a duplicate
 	}
 	if l == nil || l.owner != from || l.state != stateWaiting || l.attempt != m.Attempt {
 		n.deliver(from, &Release{Set: m.Set, ID: m.ID, Upstream: m.Upstream, Outcome: decide.Unused, Attempt: m.Attempt})
 		return
 	}
-	if n.now > l.firstBid+m.StartBy && !n.cfg.Unfenced.StartBy {
+	if n.now > l.firstBid+m.StartBy && !n.cfg.Disabled.StartByCheck {
 		n.deliver(from, &Release{Set: m.Set, ID: m.ID, Upstream: m.Upstream, Outcome: decide.Unused, Attempt: m.Attempt})
 		n.bid(l)
 		return
 	}
-	l.slot, l.slotAttempt, l.keep, l.slotEnd = l.req.ID, m.Attempt, m.Keep, n.now+decide.KeptLife
+	l.slot, l.slotAttempt, l.keepFor, l.slotExpires = l.req.ID, m.Attempt, m.Keep, n.now+decide.KeptLife
 	n.lease(l, m.Upstream, l.firstBid+m.StartBy)
 }
 
-// lease uses a slot.
-func (n *Node) lease(l *local, upstream string, startBy time.Duration) {
+// lease starts a run in a slot.
+func (n *Node) lease(l *localRequest, upstream string, startBy time.Duration) {
 	l.step(eventGrant)
 	l.upstream, l.startBy = upstream, startBy
 	l.attempts++
@@ -211,39 +212,40 @@
 		kind = timeline.Fallback
 	}
 	n.record(l.event(kind))
-	n.act(Action{Kind: Dispatch, Request: l.req.ID, Upstream: upstream, Tokens: l.tokens, Redispatch: l.attempts > 1,
+	n.addAction(Action{Kind: Dispatch, Request: l.req.ID, Upstream: upstream, Tokens: l.tokens, Redispatch: l.attempts > 1,
 		Resume: l.resume == upstream && upstream != "", StartBy: startBy})
 }
 
 func (n *Node) onRefusal(from string, m *Refusal) {
-	l := n.locals[m.ID]
+	l := n.requests[m.ID]
 	if l == nil || l.owner != from || l.state != stateWaiting {
 		return
 	}
-	if m.Redirect != "" && !l.hopped {
+	if m.Redirect != "" && !l.redirected {
 		n.redirect(l, m.Redirect)
 		return
 	}
-	if l.visiting {
-		n.comeHome(l)
+	if l.inOtherDomain {
+		n.bidInOwnDomain(l)
 		return
 	}
-	n.endWith(l, Final{Reason: m.Reason, RetryAfter: m.RetryAfter}, m.LowerWaiting, m.LowerRunning)
+	n.endWithCounts(l, Final{Reason: m.Reason, RetryAfter: m.RetryAfter}, m.LowerWaiting, m.LowerRunning)
 }
 
 func (n *Node) onPreempt(from string, m *Preempt) {
-	l := n.bySlot(m.ID)
-	if l == nil || l.owner != from || l.stopping || l.state != stateRunning && l.state != stateSending {
+	l := n.requestInSlot(m.ID)
+	if l == nil || l.owner != from || l.cancelling || l.state != stateRunning && l.state != stateSending {
 		return
 	}
-	l.stopping = true
-	n.act(Action{Kind: PauseRun, Request: l.req.ID})
+	l.cancelling = true
+	n.addAction(Action{Kind: PauseRun, Request: l.req.ID})
 }
 
-// Sending tells the node that a byte of the request is about to leave.
+// Sending tells the node that the first byte of the request is about to be
+// sent.
 func (n *Node) Sending(now time.Duration, id uint64) {
-	n.at(now)
-	l := n.locals[id]
+	n.advanceTo(now)
+	l := n.requests[id]
 	if l == nil || l.state != stateLeased {
 		return
 	}
@@ -256,8 +258,8 @@
 
 // FirstToken tells the node that the answer has begun.
 func (n *Node) FirstToken(now time.Duration, id uint64) {
-	n.at(now)
-	l := n.locals[id]
+	n.advanceTo(now)
+	l := n.requests[id]
 	if l == nil || l.state != stateSending {
 		return
 	}
@@ -265,10 +267,11 @@
 	n.record(l.event(timeline.Running))
 }
 
-// recheckLocals puts a changed table in force for requests that wait here: a
-// class that is gone is refused, one that moved to another set bids there.
-func (n *Node) recheckLocals() {
-	for _, l := range n.sorted(func(l *local) bool { return true }) {
+// recheckRequests applies a changed table to the requests of this box: those
+// that wait are refused if their class is gone, and bid again if it has
+// moved to another set.
+func (n *Node) recheckRequests() {
+	for _, l := range n.sortedRequests(func(l *localRequest) bool { return true }) {
 		c := n.table.Class(l.req.Class)
 		switch {
 		case c != nil && c.Set == l.set:
@@ -285,18 +288,19 @@
 	}
 }
 
-// rebidAll turns to a set's new owner with all that waits for or holds a slot.
-func (n *Node) rebidAll(set string) {
+// rebidSet directs the requests that wait for or hold a slot of a set to its
+// new owner.
+func (n *Node) rebidSet(set string) {
 	owner := n.owners[set]
-	for _, l := range n.sorted(func(l *local) bool { return l.set == set && !l.visiting }) {
+	for _, l := range n.sortedRequests(func(l *localRequest) bool { return l.set == set && !l.inOtherDomain }) {
 		switch l.state {
 		case stateWaiting:
-			n.bidAt(l, owner)
+			n.bidTo(l, owner)
 		case stateLeased, stateSending, stateRunning:
 			l.owner = owner
 		}
 	}
 	if owner != n.cfg.Box {
-		n.sendFull(set, owner)
+		n.sendFullHolding(set, owner)
 	}
 }
--- a/cell/limit.go
+++ b/cell/limit.go
@@ -1,8 +1,8 @@
 package cell
 
-// This file defines how a box keeps the limits of classes and customers: by its
-// own share, and by what others lend it. See package decide for why the shares
-// never add up to more than the limit.
+// This file defines how a box enforces the limits of classes and customers:
+// with its own share and with what other boxes lend it. Package decide
+// explains why the shares never add up to more than the limit.
 
 import (
 	"slices"
@@ -12,27 +12,27 @@
 	"github.com/doormast/doormast/table"
 )
 
-// limit is one limit as this box holds it.
+// limit is this box's share of a limit.
 type limit struct {
-	share  *decide.Share
-	kind   decide.LimitKind
-	total  float64
-	scope  table.Scope
-	reason decide.Reason
-	asked  map[string]time.Duration // when each peer was last asked
-	next   int                      // peer to ask next
+	share    *decide.Share
+	kind     decide.LimitKind
+	total    float64
+	scope    table.Scope
+	reason   decide.Reason
+	askedAt  map[string]time.Duration // by peer: when it was last asked for a loan
+	nextPeer int                      // index of the next peer to ask
 }
 
-// limitKey names a limit between boxes.
+// limitKey returns the name of a limit in messages between boxes.
 func limitKey(what, name, kind string) string { return what + "/" + name + "/" + kind }
 
-// limitsOf lists the limits that a request must pass. A concurrency comes before
-// a rate, since it can be given back.
-func (n *Node) limitsOf(l *local) []*limit {
+// limitsOf returns the limits that a request must pass. A concurrency limit
+// comes before a rate limit, since it can be given back.
+func (n *Node) limitsOf(l *localRequest) []*limit {
 	var out []*limit
 	add := func(what, name, kind string, lk decide.LimitKind, total float64, scope table.Scope, reason decide.Reason) {
 		if total > 0 {
-			out = append(out, n.limit(limitKey(what, name, kind), lk, total, scope, reason))
+			out = append(out, n.limitFor(limitKey(what, name, kind), lk, total, scope, reason))
 		}
 	}
 	if c := n.customer(l.req.Customer); c != nil {
@@ -54,12 +54,12 @@
 	return nil
 }
 
-func (n *Node) limit(key string, kind decide.LimitKind, total float64, scope table.Scope, reason decide.Reason) *limit {
+func (n *Node) limitFor(key string, kind decide.LimitKind, total float64, scope table.Scope, reason decide.Reason) *limit {
 	m := n.limits[key]
 	if m == nil {
 		boxes, rank := n.division(key, scope)
 		m = &limit{share: decide.NewShare(n.now, kind, total, boxes, rank), kind: kind, total: total,
-			scope: scope, reason: reason, asked: make(map[string]time.Duration)}
+			scope: scope, reason: reason, askedAt: make(map[string]time.Duration)}
 		n.limits[key] = m
 	}
 	if m.total != total || m.scope != scope {
@@ -70,9 +70,10 @@
 	return m
 }
 
-// division says among how many boxes a limit is divided, and this box's place.
+// division returns the number of boxes that share a limit, and this box's
+// rank among them.
 func (n *Node) division(key string, scope table.Scope) (boxes, rank int) {
-	names := slices.Clone(n.listed())
+	names := slices.Clone(n.listedBoxes())
 	if scope == table.ScopeAll {
 		for _, b := range n.roster.Boxes {
 			if !slices.Contains(names, b.Name) {
@@ -83,7 +84,8 @@
 	return len(names), decide.Rank(key, n.cfg.Box, names)
 }
 
-// resizeLimits divides all limits anew, after a change of the table or list.
+// resizeLimits divides all limits again, after a change of the table or the
+// list.
 func (n *Node) resizeLimits() {
 	for key, m := range n.limits {
 		boxes, rank := n.division(key, m.scope)
@@ -91,32 +93,32 @@
 	}
 }
 
-// takeLimits uses every limit of a request, or none and returns the one that is
-// exhausted.
-func (n *Node) takeLimits(l *local) *limit {
+// takeLimits takes from every limit of a request. If one is exhausted, it
+// takes from none and returns that one.
+func (n *Node) takeLimits(l *localRequest) *limit {
 	for _, m := range n.limitsOf(l) {
 		if !m.share.Take(n.now) {
-			for _, t := range l.taken {
+			for _, t := range l.limitsTaken {
 				t.share.Undo()
 			}
-			l.taken = l.taken[:0]
+			l.limitsTaken = l.limitsTaken[:0]
 			return m
 		}
-		l.taken = append(l.taken, m)
+		l.limitsTaken = append(l.limitsTaken, m)
 	}
 	return nil
 }
 
-func (n *Node) giveLimits(l *local) {
-	for _, m := range l.taken {
+func (n *Node) releaseLimits(l *localRequest) {
+	for _, m := range l.limitsTaken {
 		m.share.Give()
 	}
-	l.taken = nil
+	l.limitsTaken = nil
 }
 
-// park lets a request wait a moment for a borrowed share, if there is anybody to
-// borrow from.
-func (n *Node) park(l *local, m *limit) {
+// park makes a request wait briefly for a borrowed share, if there is a box
+// to borrow from.
+func (n *Node) park(l *localRequest, m *limit) {
 	live := n.members.live()
 	if len(live) == 0 || n.cfg.Standalone {
 		n.end(l, Final{Reason: m.reason, RetryAfter: m.share.RetryAfter(n.now)})
@@ -125,20 +127,20 @@
 	l.parkedUntil = n.now + n.timing.LimitWait
 	l.parkedFor = m
 	n.parked = append(n.parked, l)
-	n.ask(m, live)
+	n.requestLoan(m, live)
 }
 
-// ask asks a few peers in turn to lend of a limit, each at most once in a loan's
-// beginning.
-func (n *Node) ask(m *limit, live []string) {
+// requestLoan asks a few peers in turn to lend part of a limit. A peer is
+// asked again only after half of LimitWait.
+func (n *Node) requestLoan(m *limit, live []string) {
 	key := n.keyOf(m)
 	for range min(len(live), n.timing.Fanout) {
-		peer := live[m.next%len(live)]
-		m.next++
-		if at, ok := m.asked[peer]; ok && n.now-at < n.timing.LimitWait/2 {
+		peer := live[m.nextPeer%len(live)]
+		m.nextPeer++
+		if askedAt, ok := m.askedAt[peer]; ok && n.now-askedAt < n.timing.LimitWait/2 {
 			continue
 		}
-		m.asked[peer] = n.now
+		m.askedAt[peer] = n.now
 		want := max(1, m.total/float64(len(live)+1)/2)
 		n.send(peer, &Ask{Limit: key, Want: want})
 	}
@@ -154,19 +156,20 @@
 }
 
 func (n *Node) onAsk(from string, m *Ask) {
-	held := n.limits[m.Limit]
-	if held == nil {
-		held = n.limitByKey(m.Limit)
+	lim := n.limits[m.Limit]
+	if lim == nil {
+		lim = n.limitByKey(m.Limit)
 	}
-	if held == nil {
+	if lim == nil {
 		return
 	}
-	if amount := held.share.Lend(n.now, m.Want); amount > 0 {
+	if amount := lim.share.Lend(n.now, m.Want); amount > 0 {
 		n.send(from, &Lend{Limit: m.Limit, Amount: amount, Life: decide.LoanLife})
 	}
 }
 
-// limitByKey makes a limit that this box has not needed itself so far.
+// limitByKey returns a limit that this box has not used itself so far, or
+// nil if the table has no such limit.
 func (n *Node) limitByKey(key string) *limit {
 	if n.table == nil {
 		return nil
@@ -174,38 +177,38 @@
 	for _, c := range n.table.Customers {
 		switch key {
 		case limitKey("customer", c.Name, "rate"):
-			return n.limit(key, decide.RateLimit, c.Rate, c.Scope, decide.OverCustomer)
+			return n.limitFor(key, decide.RateLimit, c.Rate, c.Scope, decide.OverCustomer)
 		case limitKey("customer", c.Name, "concurrency"):
-			return n.limit(key, decide.ConcurrencyLimit, float64(c.Concurrency), c.Scope, decide.OverCustomer)
+			return n.limitFor(key, decide.ConcurrencyLimit, float64(c.Concurrency), c.Scope, decide.OverCustomer)
 		}
 	}
 	for _, c := range n.table.Classes {
 		if key == limitKey("class", c.Name, "rate") {
-			return n.limit(key, decide.RateLimit, c.Rate, c.Scope, decide.OverClassLimit)
+			return n.limitFor(key, decide.RateLimit, c.Rate, c.Scope, decide.OverClassLimit)
 		}
 	}
 	return nil
 }
 
 func (n *Node) onLend(from string, m *Lend) {
-	held := n.limits[m.Limit]
-	if held == nil {
+	lim := n.limits[m.Limit]
+	if lim == nil {
 		return
 	}
-	if asked, ok := held.asked[from]; ok {
-		delete(held.asked, from)
-		held.share.Borrow(n.now, asked, m.Amount, m.Life)
+	if askedAt, ok := lim.askedAt[from]; ok {
+		delete(lim.askedAt, from)
+		lim.share.Borrow(n.now, askedAt, m.Amount, m.Life)
 		n.tickParked()
 	}
 }
 
-// tickParked tries the parked requests again and refuses those that have waited
-// long enough.
+// tickParked tries the parked requests again, and refuses those whose
+// waiting time has passed.
 func (n *Node) tickParked() {
 	waiting := n.parked
 	n.parked = nil
 	for _, l := range waiting {
-		if n.locals[l.req.ID] != l {
+		if n.requests[l.req.ID] != l {
 			continue
 		}
 		m := n.takeLimits(l)
--- a/cell/seed_test.go
+++ b/cell/main_test.go
@@ -7,8 +7,8 @@
 	"go.uber.org/goleak"
 )
 
-// The seed of the property tests is fixed, so that CI gives one verdict. Failures
-// found with other seeds become cases of their own.
+// The property tests use a fixed seed, so that CI is deterministic. A
+// failure found with another seed becomes a test of its own.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/cell/node.go
+++ b/cell/node.go
@@ -1,8 +1,8 @@
 package cell
 
-// This file defines the node itself: its configuration and state, the passing of
-// time, and the ways in. The invariant: a pause of the box is noticed before
-// anything is done after it.
+// This file defines the Node: its configuration, its state, the advance of
+// its clock, and the receipt of messages. Invariant: every entry point
+// detects a pause of the box before it does anything else.
 
 import (
 	"math/rand/v2"
@@ -23,107 +23,108 @@
 	Boot   uint64 // larger for each incarnation of the box
 	Seed   uint64
 	Timing Timing
-	Peers  []BoxEntry // known from the settings, until the platform's list comes
-	// Pool configures the pools that this box owns; Learn and Seed are filled in.
+	Peers  []BoxEntry // from the settings; used until the platform's list of boxes arrives
+	// Pool configures the pools that this box owns. The node sets Learn and
+	// Seed itself.
 	Pool decide.PoolConfig
-	// Standalone makes the box its own owner of everything, as if it were the only
-	// one: the baseline of independent boxes.
+	// Standalone makes the box own every set as if it were the only box.
+	// Experiments use it as the baseline of independent boxes.
 	Standalone bool
-	// StaticSplit gives the box 1/n of each upstream's slots: the baseline of a static
-	// split. It goes with Alone.
+	// StaticSplit gives the box 1/n of each upstream's slots, as the
+	// baseline of a static split. It requires Standalone.
 	StaticSplit bool
-	// Unfenced leaves out the care that keeps a promise; tests switch it on to
-	// see the promise broken.
-	Unfenced Unfenced
+	// Disabled turns off safeguards, so that tests can show that each one is
+	// necessary.
+	Disabled DisabledSafeguards
 }
 
-// Unfenced names the mechanisms that tests can switch off.
-type Unfenced struct {
-	OldTables bool // adopt any table, also an older one
-	Claims    bool // dispatch without a claim
-	Gaps      bool // do not notice pauses
-	Learning  bool // a new owner grants at once
-	StartBy   bool // use a grant however old
-	Boots     bool // accept messages of old incarnations
+// DisabledSafeguards names the safeguards that tests can turn off.
+type DisabledSafeguards struct {
+	RevisionCheck  bool // adopt any table, including one with an older revision
+	Claims         bool // dispatch without claiming the idempotency key
+	PauseDetection bool // ignore pauses of the box
+	OwnerLearning  bool // a new owner grants before it knows what other boxes hold
+	StartByCheck   bool // use a grant after its StartBy time
+	BootCheck      bool // accept messages from earlier incarnations
 }
 
-// Node is one box's part in its failure domain. It is not safe for several
-// goroutines: one duty owns it.
+// Node is the state machine of one box in its failure domain. It is not safe
+// for concurrent use: a single goroutine must call it.
 type Node struct {
-	cfg      Config
-	timing   Timing
-	random   *rand.Rand
-	now      time.Duration // the box's own clock, as of the last way in
-	wall     time.Duration // since 1970, as of the last tick
-	started  time.Duration // of the time of listening before it may own something
-	running  bool          // the first tick has come
-	lastTick time.Duration
-	members  *membership
-	claims   *decide.Claims
-	arrivals uint64 // requests so far; orders them
-	actions  []Action
-	draining bool                     // a planned stop has begun
-	quiet    map[string]time.Duration // by upstream: until when it gets nothing from this box's own share
-	joined   bool                     // the time of listening is over
+	cfg             Config
+	timing          Timing
+	random          *rand.Rand
+	now             time.Duration // the box's own clock, as of the last entry point
+	wall            time.Duration // since 1970, as of the last tick
+	joinStarted     time.Duration // start of the listening period before the box may own sets
+	running         bool          // the first tick has happened
+	lastTick        time.Duration
+	members         *membership
+	claims          *decide.Claims
+	arrivals        uint64 // requests received so far; orders them
+	actions         []Action
+	draining        bool                     // a planned stop has begun
+	ownShareBlocked map[string]time.Duration // by upstream: the time until which this box sends it nothing from its own share of the slots
+	joined          bool                     // the listening period is over
 
-	table    *table.Table
-	roster   Roster
-	pulling  time.Duration // a pull is under way until then
-	reading  bool          // of the platform, under way
-	nextRead time.Duration
-	blind    bool // the last read of the platform failed
+	table               *table.Table
+	roster              Roster
+	pullDeadline        time.Duration // a pull is in progress until this time
+	readInProgress      bool          // a read of the platform is in progress
+	nextRead            time.Duration
+	platformUnreachable bool // the last read of the platform failed
 
-	owners     map[string]string              // owner of each set, as this box sees it
-	candidates []string                       // that the owners were worked out from
-	ownedBy    *table.Table                   // the table that they were worked out from
-	inDomain   []string                       // the listed boxes of the domain, sorted, this one included
-	pools      map[string]*decide.Pool        // of the sets that this box owns
-	orders     map[string]*decide.Orders      // to the engines of those sets
-	dirty      map[string]bool                // sets whose pools have something to decide
-	spares     map[string]map[string]*spare   // by set and domain
-	locals     map[uint64]*local              // requests that this box carries
-	parked     []*local                       // of those, the ones that wait for a borrowed share
-	kept       map[string][]keptSlot          // by set, the newest last
-	recalled   map[string]time.Duration       // when a set was last recalled
-	limits     map[string]*limit              // by key, see limitKey
-	lengths    map[string]*decide.Lengths     // by class
-	budgets    map[string]*decide.RetryBudget // by class
-	routed     []decide.Verdict               // a buffer, reused
+	owners      map[string]string              // by set: its owner in this box's view
+	candidates  []string                       // input of the last computation of the owners
+	ownersTable *table.Table                   // table of the last computation of the owners
+	domainBoxes []string                       // listed boxes of the domain, sorted, including this one; nil when out of date
+	pools       map[string]*decide.Pool        // by set, for the sets that this box owns
+	orders      map[string]*decide.Orders      // by set: load orders for its engines
+	dirty       map[string]bool                // owned sets whose pools must decide again
+	spares      map[string]map[string]*spare   // by set and domain
+	requests    map[uint64]*localRequest       // requests that this box carries, by ID
+	parked      []*localRequest                // requests that wait for a borrowed share of a limit
+	keptSlots   map[string][]keptSlot          // by set, newest last
+	recalledAt  map[string]time.Duration       // by set: the time of its last recall
+	limits      map[string]*limit              // by key, see limitKey
+	lengths     map[string]*decide.Lengths     // by class
+	budgets     map[string]*decide.RetryBudget // by class
+	verdicts    []decide.Verdict               // reused buffer
 
-	ends       balance.Suspects   // requests that upstreams ended under
-	endsDigest uint64             // of those that are withheld
-	seenEnds   map[string]seenEnd // by upstream
+	suspects        balance.Suspects         // requests suspected of crashing upstreams
+	withheldDigest  uint64                   // of the withheld requests
+	upstreamCrashes map[string]upstreamCrash // by upstream: the crashes that this box saw
 
 	nextHeartbeat time.Duration
 	nextHolding   time.Duration
 	nextRenew     time.Duration
 	nextSpare     time.Duration
-	empties       map[holdingKey]int       // how often an empty sum is still sent
-	told          map[string]time.Duration // when each box was last told something
+	emptySumsLeft map[holdingKey]int       // how many more times an empty sum is sent
+	lastSent      map[string]time.Duration // by box: the time of the last message to it
 }
 
-// NewNode returns the node of one incarnation of a box.
+// NewNode returns a node for one incarnation of a box.
 func NewNode(cfg Config) *Node {
 	n := &Node{
-		cfg:      cfg,
-		timing:   cfg.Timing,
-		random:   rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)),
-		claims:   decide.NewClaims(cfg.Domain, cfg.Box, cfg.Boot, cfg.Timing.Dead),
-		owners:   make(map[string]string),
-		pools:    make(map[string]*decide.Pool),
-		orders:   make(map[string]*decide.Orders),
-		dirty:    make(map[string]bool),
-		spares:   make(map[string]map[string]*spare),
-		locals:   make(map[uint64]*local),
-		limits:   make(map[string]*limit),
-		lengths:  make(map[string]*decide.Lengths),
-		budgets:  make(map[string]*decide.RetryBudget),
-		empties:  make(map[holdingKey]int),
-		told:     make(map[string]time.Duration),
-		kept:     make(map[string][]keptSlot),
-		recalled: make(map[string]time.Duration),
-		quiet:    make(map[string]time.Duration),
-		seenEnds: make(map[string]seenEnd),
+		cfg:             cfg,
+		timing:          cfg.Timing,
+		random:          rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)),
+		claims:          decide.NewClaims(cfg.Domain, cfg.Box, cfg.Boot, cfg.Timing.Dead),
+		owners:          make(map[string]string),
+		pools:           make(map[string]*decide.Pool),
+		orders:          make(map[string]*decide.Orders),
+		dirty:           make(map[string]bool),
+		spares:          make(map[string]map[string]*spare),
+		requests:        make(map[uint64]*localRequest),
+		limits:          make(map[string]*limit),
+		lengths:         make(map[string]*decide.Lengths),
+		budgets:         make(map[string]*decide.RetryBudget),
+		emptySumsLeft:   make(map[holdingKey]int),
+		lastSent:        make(map[string]time.Duration),
+		keptSlots:       make(map[string][]keptSlot),
+		recalledAt:      make(map[string]time.Duration),
+		ownShareBlocked: make(map[string]time.Duration),
+		upstreamCrashes: make(map[string]upstreamCrash),
 	}
 	n.members = newMembership(cfg.Box, cfg.Boot, cfg.Timing, n.random)
 	return n
@@ -131,7 +132,7 @@
 
 var requestChart = chart.MustLoad(requestChartFile)
 
-// Events of the request chart.
+// Events of the request state chart.
 var (
 	eventClaim  = requestChart.Event("claim")
 	eventBid    = requestChart.Event("bid")
@@ -144,7 +145,7 @@
 	eventLeave  = requestChart.Event("leave")
 )
 
-// States of the request chart that the code asks about.
+// States of the request state chart that the code refers to.
 var (
 	stateClaiming = requestChart.State("claiming")
 	stateWaiting  = requestChart.State("waiting")
@@ -153,54 +154,55 @@
 	stateRunning  = requestChart.State("running")
 )
 
-// TakeActions returns the actions since the last call. They are valid until the next
-// call of any method.
+// TakeActions returns the actions that were added since the last call. The
+// slice is valid until the next call of any method.
 func (n *Node) TakeActions() []Action {
 	out := n.actions
 	n.actions = n.actions[:0]
 	return out
 }
 
-func (n *Node) act(a Action) { n.actions = append(n.actions, a) }
+func (n *Node) addAction(a Action) { n.actions = append(n.actions, a) }
 
 func (n *Node) send(to string, m Message) {
-	n.told[to] = n.now
-	n.act(Action{Kind: SendMessage, To: to, Message: m})
+	n.lastSent[to] = n.now
+	n.addAction(Action{Kind: SendMessage, To: to, Message: m})
 }
 
 func (n *Node) record(e timeline.Event) {
 	e.Box, e.Boot = n.cfg.Box, n.cfg.Boot
-	n.act(Action{Kind: Record, Event: e})
+	n.addAction(Action{Kind: Record, Event: e})
 }
 
-// Tick lets time pass: now on the box's own clock, wall since 1970. It is called
-// every few tens of milliseconds. A long gap between ticks means that the box
-// was paused: what it believes is old, and is dropped before anything is done.
+// Tick advances the node: now is on the box's own clock, wall is the time
+// since 1970. It is called every few tens of milliseconds. A long gap
+// between ticks means that the box was paused; its view is then out of date
+// and is dropped before anything else is done.
 func (n *Node) Tick(now, wall time.Duration) {
 	n.wall = wall
 	if !n.running {
 		n.now = now
 		n.start()
 	}
-	n.at(now)
+	n.advanceTo(now)
 	n.lastTick = now
-	n.probe(n.members.unanswered(now))
+	n.probe(n.members.probesToRepeat(now))
 	n.members.sweep(now, n.memberChanged)
-	n.passOn()
-	n.join()
+	n.gossipSuspicions()
+	n.updateJoined()
 	n.observe()
-	n.beat()
+	n.probeInTurn()
 	n.readPublished()
-	n.reown()
+	n.updateOwners()
 	n.tickClaims()
 	n.tickParked()
 	n.tickDeadlines()
 	n.tickFallback()
-	n.tickVisitors()
+	n.tickRedirected()
 	n.tickKept()
 	n.tickHolding()
 	n.tickSpares()
-	n.tickEnds()
+	n.expireSuspects()
 	n.expireLeases()
 	for set := range n.pools {
 		n.dirty[set] = true
@@ -208,75 +210,77 @@
 	n.flush()
 }
 
-// at moves the node's time on. Every way into the node passes here first, so that
-// a pause is noticed before anything is done, whatever comes first after it.
-func (n *Node) at(now time.Duration) {
+// advanceTo sets the node's clock. Every entry point calls it first, so that
+// a pause is detected before anything else is done, whichever call comes
+// first after the pause.
+func (n *Node) advanceTo(now time.Duration) {
 	n.now = now
-	if gap := now - n.lastTick; n.running && gap > n.timing.Gap && !n.cfg.Unfenced.Gaps {
+	if gap := now - n.lastTick; n.running && gap > n.timing.PauseGap && !n.cfg.Disabled.PauseDetection {
 		n.lastTick = now
-		n.woke(gap)
+		n.resetAfterPause(gap)
 	}
 }
 
 func (n *Node) start() {
 	n.running = true
-	n.started, n.lastTick = n.now, n.now
+	n.joinStarted, n.lastTick = n.now, n.now
 	n.nextHeartbeat, n.nextHolding, n.nextRenew, n.nextSpare = n.now, n.now, n.now, n.now
-	var own []BoxEntry
+	var domainBoxes []BoxEntry
 	for _, b := range n.cfg.Peers {
 		if b.Domain == n.cfg.Domain {
-			own = append(own, b)
+			domainBoxes = append(domainBoxes, b)
 		}
 	}
-	n.members.list(own)
+	n.members.setListed(domainBoxes)
 	if n.roster.Revision == 0 && len(n.roster.Boxes) == 0 {
 		n.roster.Boxes = n.cfg.Peers
-		n.inDomain = nil
+		n.domainBoxes = nil
 	}
 }
 
-// woke drops what was believed before a pause: ownership, leases that were not
-// used yet, and who is alive. It runs before any message that came meanwhile.
-func (n *Node) woke(gap time.Duration) {
+// resetAfterPause drops the state that a pause makes unreliable: ownership,
+// unused leases, and which boxes are alive. It runs before any message that
+// arrived during the pause is handled.
+func (n *Node) resetAfterPause(gap time.Duration) {
 	n.record(timeline.Event{Kind: timeline.Woke, Value: int64(gap / time.Microsecond)})
-	n.members.stale(n.now)
+	n.members.forgetStates(n.now)
 	n.claims.Forget()
 	n.joined = false
-	n.started = n.now
+	n.joinStarted = n.now
 	for _, set := range n.Owned() {
-		n.disown(set)
+		n.dropOwnership(set)
 	}
-	clear(n.kept) // the leases have run out
+	clear(n.keptSlots) // their leases have expired
 	clear(n.owners)
 	n.candidates = nil
-	for _, l := range n.sorted(func(l *local) bool { return l.state == stateWaiting }) {
-		l.owner, l.visiting = "", false
+	for _, l := range n.sortedRequests(func(l *localRequest) bool { return l.state == stateWaiting }) {
+		l.owner, l.inOtherDomain = "", false
 	}
-	for _, l := range n.sorted(func(l *local) bool { return l.state == stateLeased && !l.stopping }) {
-		l.stopping = true
-		n.act(Action{Kind: CancelRun, Request: l.req.ID})
+	for _, l := range n.sortedRequests(func(l *localRequest) bool { return l.state == stateLeased && !l.cancelling }) {
+		l.cancelling = true
+		n.addAction(Action{Kind: CancelRun, Request: l.req.ID})
 	}
 }
 
-// observe keeps the claims' picture of the list up to date.
+// observe updates the list of boxes that the claims work with.
 func (n *Node) observe() {
-	n.claims.Observe(n.wall, n.listed(), n.agreed())
+	n.claims.Observe(n.wall, n.listedBoxes(), n.membershipAgreed())
 }
 
-func (n *Node) agreed() bool {
+func (n *Node) membershipAgreed() bool {
 	return n.joined && n.members.agreed(n.roster.Revision)
 }
 
-// listed names the boxes of the domain on the list, sorted. The result is kept
-// until the list changes.
-func (n *Node) listed() []string {
-	if n.inDomain == nil {
-		n.inDomain = n.workOutListed()
+// listedBoxes returns the names of the listed boxes of the domain, sorted.
+// The result is cached until the list changes.
+func (n *Node) listedBoxes() []string {
+	if n.domainBoxes == nil {
+		n.domainBoxes = n.computeListedBoxes()
 	}
-	return n.inDomain
+	return n.domainBoxes
 }
 
-func (n *Node) workOutListed() []string {
+func (n *Node) computeListedBoxes() []string {
 	var out []string
 	for _, b := range n.roster.Boxes {
 		if b.Domain == n.cfg.Domain {
@@ -290,17 +294,17 @@
 	return out
 }
 
-// Receive takes in a message from another box. Age and authenticity have been
-// checked by the edge: boot and sequence never go back.
+// Receive handles a message from another box. The caller has checked age and
+// authenticity: boot and sequence number never decrease.
 func (n *Node) Receive(now time.Duration, from string, boot uint64, m Message) {
 	if !n.running {
 		return
 	}
-	n.at(now)
+	n.advanceTo(now)
 	if p := n.members.peers[from]; p != nil && boot == p.boot {
-		p.direct = now
+		p.lastHeard = now
 	}
-	if p := n.members.peers[from]; p != nil && boot < p.boot && !n.cfg.Unfenced.Boots {
+	if p := n.members.peers[from]; p != nil && boot < p.boot && !n.cfg.Disabled.BootCheck {
 		return
 	}
 	if h, ok := m.(*Heartbeat); ok {
@@ -311,20 +315,20 @@
 	n.flush()
 }
 
-// InProgress is how many requests this box carries.
-func (n *Node) InProgress() int { return len(n.locals) }
+// InProgress returns the number of requests that this box carries.
+func (n *Node) InProgress() int { return len(n.requests) }
 
-// sorted lists the requests for which keep holds, in the order of their arrival
-// and then of their ids, so that runs can be repeated.
-func (n *Node) sorted(keep func(*local) bool) []*local {
-	var out []*local
-	for _, l := range n.locals {
+// sortedRequests returns the requests for which keep returns true, in the
+// order of arrival, so that runs are reproducible.
+func (n *Node) sortedRequests(keep func(*localRequest) bool) []*localRequest {
+	var out []*localRequest
+	for _, l := range n.requests {
 		if keep(l) {
 			out = append(out, l)
 		}
 	}
-	slices.SortFunc(out, func(a, b *local) int {
-		if a.order < b.order {
+	slices.SortFunc(out, func(a, b *localRequest) int {
+		if a.arrivalOrder < b.arrivalOrder {
 			return -1
 		}
 		return 1
@@ -332,7 +336,8 @@
 	return out
 }
 
-// jitter is a random part of a span, so that boxes do not act together.
+// jitter returns a random part of span, so that boxes do not act at the same
+// moment.
 func jitter(n *Node, span time.Duration) time.Duration {
 	return time.Duration(n.random.Int64N(int64(span) + 1))
 }
--- a/cell/spare.go
+++ b/cell/overflow.go
@@ -1,9 +1,10 @@
 package cell
 
-// This file defines overflow between failure domains: owners tell the owners of
-// the same set elsewhere how many slots are spare, and send on what cannot be
-// served at home. The invariants: a request goes to one other domain at most,
-// and there it comes after the domain's own of the same tier.
+// This file defines overflow between failure domains: owners tell the owners
+// of the same set in other domains how many slots are spare, and redirect
+// requests that cannot be served in their own domain. Invariants: a request
+// is redirected to at most one other domain, and there it ranks behind that
+// domain's own requests of the same tier.
 
 import (
 	"math"
@@ -15,21 +16,22 @@
 )
 
 const (
-	// spareShare of a domain's free slots is offered to others; the rest is
-	// kept for its own next requests.
+	// spareShare is the part of a domain's free slots that is offered to
+	// other domains. The rest is reserved for its own next requests.
 	spareShare = 0.5
-	// spareLife is how many periods a summary is believed.
-	spareLife = 3
+	// spareLifePeriods is the number of reporting periods for which a report
+	// of spare slots is valid.
+	spareLifePeriods = 3
 )
 
-// spare is what another domain said it has free.
+// spare is the report of another domain's spare slots.
 type spare struct {
-	slots []int // by tier
-	owner string
-	heard time.Duration
+	slots   []int // by tier
+	owner   string
+	heardAt time.Duration
 }
 
-// tickSpares tells other domains what is free here.
+// tickSpares reports this domain's spare slots to the other domains.
 func (n *Node) tickSpares() {
 	if n.now < n.nextSpare || n.cfg.Standalone {
 		return
@@ -39,7 +41,7 @@
 		others := n.otherDomains()
 		slots := n.spareSlots(n.pools[set], len(others))
 		if len(slots) == 0 || slots[0] == 0 {
-			continue // a tier has at least what lower ones have
+			continue // a tier has at least as many as the tiers below it
 		}
 		for _, boxes := range others {
 			to := decide.Owner("set/"+set, boxes)
@@ -48,7 +50,8 @@
 	}
 }
 
-// spareSlots is what each other domain is offered of a pool, by tier.
+// spareSlots returns the number of slots of a pool that each other domain is
+// offered, by tier.
 func (n *Node) spareSlots(p *decide.Pool, others int) []int {
 	var out []int
 	for tier := 1; tier <= p.Tiers(); tier++ {
@@ -58,19 +61,19 @@
 	return out
 }
 
-// otherDomains lists the boxes of each other domain that are not leaving, in the
-// order of the list.
+// otherDomains returns the boxes of each other domain that are not leaving,
+// in the order of the list.
 func (n *Node) otherDomains() [][]string {
 	var out [][]string
-	place := make(map[string]int)
+	indexes := make(map[string]int)
 	for _, b := range n.roster.Boxes {
 		if b.Domain == n.cfg.Domain || b.Leaving {
 			continue
 		}
-		i, ok := place[b.Domain]
+		i, ok := indexes[b.Domain]
 		if !ok {
 			i = len(out)
-			place[b.Domain] = i
+			indexes[b.Domain] = i
 			out = append(out, nil)
 		}
 		out[i] = append(out[i], b.Name)
@@ -84,9 +87,9 @@
 	}
 	if n.pools[m.Set] == nil {
 		if owner := n.owners[m.Set]; owner != "" && owner != n.cfg.Box && !m.PassedOn {
-			on := *m
-			on.PassedOn = true
-			n.send(owner, &on)
+			forwarded := *m
+			forwarded.PassedOn = true
+			n.send(owner, &forwarded)
 		}
 		return
 	}
@@ -97,22 +100,23 @@
 	n.dirty[m.Set] = true
 }
 
-// room is how many slots are spare for a tier.
-func (s *spare) room(tier int) int {
+// slotsFor returns the number of spare slots for a tier.
+func (s *spare) slotsFor(tier int) int {
 	if tier < 1 || tier > len(s.slots) {
 		return 0
 	}
 	return s.slots[tier-1]
 }
 
-// take notes that one of the slots is sent a request.
-func (s *spare) take() {
+// reserve subtracts a slot for a request that is redirected.
+func (s *spare) reserve() {
 	for i := range s.slots {
 		s.slots[i] = max(0, s.slots[i]-1)
 	}
 }
 
-// bestSpare is the domain with the most spare slots of a set for a tier, or nil.
+// bestSpare returns the report of the domain with the most spare slots of a
+// set for a tier, or nil.
 func (n *Node) bestSpare(set string, tier int) *spare {
 	var domains []string
 	for d := range n.spares[set] {
@@ -122,15 +126,16 @@
 	var best *spare
 	for _, d := range domains {
 		s := n.spares[set][d]
-		if n.now-s.heard < spareLife*n.timing.Spare && s.room(tier) > 0 && (best == nil || s.room(tier) > best.room(tier)) {
+		if n.now-s.heardAt < spareLifePeriods*n.timing.Spare && s.slotsFor(tier) > 0 && (best == nil || s.slotsFor(tier) > best.slotsFor(tier)) {
 			best = s
 		}
 	}
 	return best
 }
 
-// elsewhere names the owner that a request refused here may bid to, or "".
-func (n *Node) elsewhere(set string, tier int, reason decide.Reason) string {
+// redirectTarget returns the owner in another domain that a request refused
+// here may bid to, or "".
+func (n *Node) redirectTarget(set string, tier int, reason decide.Reason) string {
 	switch reason {
 	case decide.Late, decide.QueueFull, decide.Evicted, decide.NoUpstream:
 	default:
@@ -140,22 +145,22 @@
 	if s == nil {
 		return ""
 	}
-	s.take()
+	s.reserve()
 	return s.owner
 }
 
-// overflow sends on what waits here while there is room elsewhere.
+// overflow redirects waiting bids while other domains have spare slots.
 func (n *Node) overflow(set string, p *decide.Pool) {
 	if len(n.spares[set]) == 0 {
 		return
 	}
 	var owners []string
-	bids := p.TakeSurplus(n.now, n.timing.Patience, func(tier int) bool {
+	bids := p.TakeSurplus(n.now, n.timing.OverflowWait, func(tier int) bool {
 		s := n.bestSpare(set, tier)
 		if s == nil {
 			return false
 		}
-		s.take()
+		s.reserve()
 		owners = append(owners, s.owner)
 		return true
 	})
@@ -165,25 +170,27 @@
 }
 
 // redirect makes a waiting request bid in another domain.
-func (n *Node) redirect(l *local, owner string) {
-	l.visiting, l.hopped = true, true
+func (n *Node) redirect(l *localRequest, owner string) {
+	l.inOtherDomain, l.redirected = true, true
 	n.record(timeline.Event{Kind: timeline.Redirected, Request: l.req.ID, Class: l.rule.Class, Tier: l.rule.Tier, Set: l.set, Upstream: owner})
-	n.bidAt(l, owner)
+	n.bidTo(l, owner)
 }
 
-// tickVisitors brings home the bids that were not granted elsewhere: the owner
-// there may be gone, and the domain's own always come first.
-func (n *Node) tickVisitors() {
-	for _, l := range n.sorted(func(l *local) bool {
-		return l.visiting && l.state == stateWaiting && n.now-l.firstBid >= n.timing.Visit
+// tickRedirected ends bids in other domains that were not granted in time,
+// and bids in the own domain instead: the owner there may be gone, and that
+// domain's own requests always come first.
+func (n *Node) tickRedirected() {
+	for _, l := range n.sortedRequests(func(l *localRequest) bool {
+		return l.inOtherDomain && l.state == stateWaiting && n.now-l.firstBid >= n.timing.RedirectTimeout
 	}) {
 		n.withdraw(l)
-		n.comeHome(l)
+		n.bidInOwnDomain(l)
 	}
 }
 
-// comeHome makes a request bid in its own domain again, for good.
-func (n *Node) comeHome(l *local) {
-	l.visiting = false
+// bidInOwnDomain makes a redirected request bid in its own domain again,
+// where it stays.
+func (n *Node) bidInOwnDomain(l *localRequest) {
+	l.inOtherDomain = false
 	n.bid(l)
 }
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -1,10 +1,10 @@
 package cell
 
-// This file defines the owner's side of slot leases: which box decides for which
-// upstream set, and how verdicts reach the holders. The invariant: at one time a
-// box decides for a set only while it believes to be its owner, and a box that
-// becomes owner grants only what the upstreams report as free until it knows
-// what the others hold.
+// This file defines the owner's side of slot leases: which box decides for
+// which upstream set, and how verdicts reach the holders. Invariant: a box
+// decides for a set only while it is the owner in its own view, and a new
+// owner grants only what the upstreams report as free until it knows what
+// the other boxes hold.
 
 import (
 	"slices"
@@ -15,12 +15,13 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// keepAbove is the number of slots held of a set from which on holders keep slots.
-// Below it, asking for each costs little and places better. It goes by what is
-// held and not by the grants: those become few just because slots are kept.
-const keepAbove = 500
+// keepSlotsAbove is the number of held slots of a set above which holders
+// keep slots. Below it, asking for each slot costs little and places
+// requests better. The number of grants is no measure of this: it falls
+// because slots are kept.
+const keepSlotsAbove = 500
 
-// sets lists the upstream sets of the table, sorted.
+// sets returns the upstream sets of the table, sorted.
 func (n *Node) sets() []string {
 	if n.table == nil {
 		return nil
@@ -35,8 +36,8 @@
 	return out
 }
 
-// reown works out the owner of each set anew and acts on what has changed.
-func (n *Node) reown() {
+// updateOwners computes the owner of each set and acts on changes.
+func (n *Node) updateOwners() {
 	if !n.joined || n.table == nil {
 		return
 	}
@@ -44,10 +45,10 @@
 	if !n.cfg.Standalone {
 		candidates = n.members.candidates(n.draining)
 	}
-	if slices.Equal(candidates, n.candidates) && n.table == n.ownedBy {
+	if slices.Equal(candidates, n.candidates) && n.table == n.ownersTable {
 		return
 	}
-	n.candidates, n.ownedBy = candidates, n.table
+	n.candidates, n.ownersTable = candidates, n.table
 	sets := n.sets()
 	for _, set := range sets {
 		owner := decide.Owner("set/"+set, candidates)
@@ -58,32 +59,32 @@
 	}
 	for set := range n.pools {
 		if !slices.Contains(sets, set) {
-			n.disown(set)
+			n.dropOwnership(set)
 		}
 	}
 }
 
 func (n *Node) ownerChanged(set, owner string) {
 	if owner == n.cfg.Box {
-		n.own(set)
+		n.takeOwnership(set)
 	} else if n.pools[set] != nil {
-		n.disown(set)
+		n.dropOwnership(set)
 	}
-	n.rebidAll(set)
+	n.rebidSet(set)
 }
 
-func (n *Node) own(set string) {
+func (n *Node) takeOwnership(set string) {
 	cfg := n.cfg.Pool
 	cfg.Learn = n.timing.Learn
 	if cfg.KeepAbove == 0 {
-		cfg.KeepAbove = keepAbove
+		cfg.KeepAbove = keepSlotsAbove
 	}
 	cfg.Seed = n.cfg.Seed ^ n.cfg.Boot
 	p := decide.NewPool(cfg)
 	n.pools[set] = p
 	n.configurePool(set)
 	live := n.members.live()
-	if !n.cfg.Standalone && !n.cfg.Unfenced.Learning && len(live) > 0 {
+	if !n.cfg.Standalone && !n.cfg.Disabled.OwnerLearning && len(live) > 0 {
 		p.Learn(n.now, live)
 	}
 	p.Adopt(n.now, n.cfg.Box, n.heldIn(set, n.cfg.Box), nil)
@@ -92,14 +93,14 @@
 	n.record(timeline.Event{Kind: timeline.Owning, Set: set, Value: int64(len(live))})
 }
 
-func (n *Node) disown(set string) {
+func (n *Node) dropOwnership(set string) {
 	delete(n.pools, set)
 	delete(n.orders, set)
 	delete(n.dirty, set)
 	n.record(timeline.Event{Kind: timeline.Disowning, Set: set})
 }
 
-// configurePool puts the table's rows and upstreams in force in a pool.
+// configurePool applies the rules and upstreams of the table to a pool.
 func (n *Node) configurePool(set string) {
 	if n.table == nil {
 		return
@@ -138,9 +139,9 @@
 	return r
 }
 
-// domainPart is this domain's fixed part of a limit that all domains share. A
-// part of 0 would read as no limit, so a domain that is left without runs none
-// of the class by a limit of -1.
+// domainPart returns this domain's fixed part of a limit that all domains
+// share. A part of 0 would mean no limit, so a domain whose part is 0 gets a
+// limit of -1, which runs no request of the class.
 func (n *Node) domainPart(key string, limit int) int {
 	var domains []string
 	for _, u := range n.table.Upstreams {
@@ -156,8 +157,8 @@
 	return part
 }
 
-// backends lists the upstreams of a set in this domain, with what the list says
-// of them.
+// backends returns the upstreams of a set in this domain, each marked as
+// leaving if the platform's list says so.
 func (n *Node) backends(set string) []decide.Backend {
 	var out []decide.Backend
 	for _, u := range n.table.Upstreams {
@@ -167,7 +168,7 @@
 		b := decide.Backend{Name: u.Name, Slots: u.Slots, Pausing: u.Kind == table.Engine, Model: u.Model,
 			Leaving: slices.Contains(n.roster.Leaving, u.Name)}
 		if n.cfg.StaticSplit {
-			b.Slots = n.splitPart(u.Name, u.Slots)
+			b.Slots = n.fixedPart(u.Name, u.Slots)
 		}
 		if b.Slots > 0 {
 			out = append(out, b)
@@ -176,14 +177,14 @@
 	return out
 }
 
-// splitPart is this box's fixed part of an upstream's slots.
-func (n *Node) splitPart(upstream string, slots int) int {
-	boxes := n.listed()
+// fixedPart returns this box's fixed part of an upstream's slots.
+func (n *Node) fixedPart(upstream string, slots int) int {
+	boxes := n.listedBoxes()
 	rank := decide.Rank("split/"+upstream, n.cfg.Box, boxes)
 	return int(decide.PartOf(decide.ConcurrencyLimit, float64(slots), len(boxes), rank))
 }
 
-// Owned lists the sets that this box owns, sorted.
+// Owned returns the sets that this box owns, sorted.
 func (n *Node) Owned() []string {
 	var out []string
 	for set := range n.pools {
@@ -193,7 +194,8 @@
 	return out
 }
 
-// Watched lists the upstreams whose reports this box wants: those of its sets.
+// Watched returns the upstreams whose reports this box needs: those of its
+// sets.
 func (n *Node) Watched() []string {
 	var out []string
 	for _, set := range n.Owned() {
@@ -204,20 +206,20 @@
 	return out
 }
 
-// Report takes in what an upstream says of itself.
+// Report handles an upstream's report on itself.
 func (n *Node) Report(now time.Duration, r decide.Report) {
-	n.at(now)
+	n.advanceTo(now)
 	for set, p := range n.pools {
 		p.Report(now, r)
 		n.dirty[set] = true
 	}
-	n.order(r)
+	n.orderLoads(r)
 	n.flush()
 }
 
-// order compares what an engine has loaded with what its row wants, and gives the
-// orders that are due in its set.
-func (n *Node) order(r decide.Report) {
+// orderLoads compares the model that an engine has loaded with the one in
+// its table row, and issues the load orders that are due in its set.
+func (n *Node) orderLoads(r decide.Report) {
 	u := n.upstreamRow(r.Upstream)
 	if u == nil || n.orders[u.Set] == nil {
 		return
@@ -226,7 +228,7 @@
 	o.Observe(decide.EngineState{Upstream: u.Name, Want: u.Model, Checks: u.ChecksFence, Loaded: r.Loaded, Loading: r.Loading, Fence: r.Fence})
 	for _, next := range o.Next(n.now) {
 		n.record(timeline.Event{Kind: timeline.Ordered, Upstream: next.Upstream, Set: u.Set, Reason: next.Load, Revision: next.Fence})
-		n.act(Action{Kind: GiveOrder, Upstream: next.Upstream, Order: next})
+		n.addAction(Action{Kind: GiveOrder, Upstream: next.Upstream, Order: next})
 	}
 }
 
@@ -242,7 +244,7 @@
 	return nil
 }
 
-// Counts returns the state of a set that this box owns.
+// Counts returns the counts of a set that this box owns, or zero counts.
 func (n *Node) Counts(set string) decide.Counts {
 	if p := n.pools[set]; p != nil {
 		return p.Counts(n.now)
@@ -253,7 +255,7 @@
 func (n *Node) onBid(from string, m *Bid) {
 	p := n.pools[m.Set]
 	if p == nil {
-		return // the sender learns who the owner is by its own view
+		return // the sender finds the owner from its own view
 	}
 	b := m.Bid
 	b.Box = from
@@ -281,8 +283,8 @@
 	if p == nil {
 		return
 	}
-	if m.WaitingCount > 0 && !m.Full && n.now-n.told[from] >= n.timing.Holding {
-		n.sendHeartbeat([]string{from}) // who waits wants to know that its owner lives
+	if m.WaitingCount > 0 && !m.Full && n.now-n.lastSent[from] >= n.timing.Holding {
+		n.sendHeartbeat([]string{from}) // a box with waiting bids needs to hear that the owner is alive
 	}
 	if m.Full {
 		p.Adopt(n.now, from, m.Held, m.Waiting)
@@ -294,7 +296,7 @@
 	}
 }
 
-// expireLeases ends the leases of boxes that have gone silent.
+// expireLeases ends the leases of boxes that have not renewed them.
 func (n *Node) expireLeases() {
 	for set, p := range n.pools {
 		if gone := p.Expire(n.now, n.timing.LeaseLife); len(gone) > 0 {
@@ -303,17 +305,17 @@
 	}
 }
 
-// flush lets the pools that something has happened to decide, and routes their
-// verdicts. A verdict for this box may cause more, hence the loop.
+// flush lets the dirty pools decide, and delivers their verdicts. A verdict
+// for this box may make pools dirty again, so it repeats up to four times.
 func (n *Node) flush() {
 	for range 4 {
-		worked := false
+		decided := false
 		for _, set := range n.dirtySets() {
-			worked = true
+			decided = true
 			delete(n.dirty, set)
 			n.decideSet(set)
 		}
-		if !worked {
+		if !decided {
 			return
 		}
 	}
@@ -337,12 +339,12 @@
 		return
 	}
 	// Handling a verdict may change the pool, so the list is copied first.
-	start := len(n.routed)
-	n.routed = append(n.routed, p.Decide(n.now)...)
-	for i := start; i < len(n.routed); i++ {
-		n.route(set, n.routed[i])
+	start := len(n.verdicts)
+	n.verdicts = append(n.verdicts, p.Decide(n.now)...)
+	for i := start; i < len(n.verdicts); i++ {
+		n.deliverVerdict(set, n.verdicts[i])
 	}
-	n.routed = n.routed[:start]
+	n.verdicts = n.verdicts[:start]
 	if p.Recall(n.now) {
 		for _, box := range p.Holders() {
 			n.deliver(box, &Recall{Set: set})
@@ -351,7 +353,7 @@
 	n.overflow(set, p)
 }
 
-func (n *Node) route(set string, v decide.Verdict) {
+func (n *Node) deliverVerdict(set string, v decide.Verdict) {
 	switch v.Kind {
 	case decide.GrantSlot:
 		n.record(timeline.Event{Kind: timeline.Granted, Request: v.ID, Class: v.Class, Tier: v.Tier, Upstream: v.Upstream, Set: set})
@@ -359,7 +361,7 @@
 	case decide.RefuseBid:
 		r := &Refusal{Set: set, ID: v.ID, Reason: v.Reason, RetryAfter: v.RetryAfter,
 			LowerWaiting: v.LowerWaiting, LowerRunning: v.LowerRunning}
-		r.Redirect = n.elsewhere(set, v.Tier, v.Reason)
+		r.Redirect = n.redirectTarget(set, v.Tier, v.Reason)
 		n.deliver(v.Box, r)
 	case decide.PauseLease:
 		n.record(timeline.Event{Kind: timeline.PauseOrdered, Request: v.ID, Class: v.Class, Tier: v.Tier, Upstream: v.Upstream, Set: set})
@@ -367,7 +369,8 @@
 	}
 }
 
-// deliver sends a message to a box, or hands it over if the box is this one.
+// deliver sends a message to a box, or handles it directly if the box is
+// this one.
 func (n *Node) deliver(box string, m Message) {
 	if box != n.cfg.Box {
 		n.send(box, m)
--- a/cell/renew.go
+++ b/cell/renew.go
@@ -1,8 +1,9 @@
 package cell
 
-// This file defines the holder's renewal of its leases and bids: a sum for each
-// owner, and the full list where the owner asks. The invariant: all that the box
-// holds or waits for is in exactly one sum.
+// This file defines how a holder renews its leases and bids: it sends a sum
+// to each owner, and the full list if the owner asks for it. Invariant: each
+// slot that the box holds and each bid that it has waiting is in exactly one
+// sum.
 
 import (
 	"maps"
@@ -11,13 +12,14 @@
 	"github.com/doormast/doormast/decide"
 )
 
-// holdingKey names the leases of one set at one owner.
+// holdingKey identifies the leases of one set at one owner.
 type holdingKey struct{ owner, set string }
 
-// emptySums is how often it is still said that nothing is held.
+// emptySums is the number of times an empty sum is sent after the last slot
+// was returned.
 const emptySums = 3
 
-// tickHolding renews the leases at each owner by their sum.
+// tickHolding sends each owner the sum that renews the leases there.
 func (n *Node) tickHolding() {
 	if n.now < n.nextHolding {
 		return
@@ -28,20 +30,21 @@
 		n.nextRenew = n.now + n.timing.Renew
 	}
 	sums := make(map[holdingKey]*Holding)
-	for _, l := range n.locals {
+	for _, l := range n.requests {
 		n.addToSum(sums, l)
 	}
-	n.addKept(sums)
+	n.addKeptToSums(sums)
 	if !all {
-		// In between only owners that have a bid of this box are told: a bid that
-		// was lost is found soon, and leases live long enough.
+		// In between, only owners with a waiting bid of this box get a sum:
+		// this finds a lost bid soon, and leases live long enough without
+		// it.
 		maps.DeleteFunc(sums, func(_ holdingKey, h *Holding) bool { return h.WaitingCount == 0 })
 	}
-	for key := range n.empties {
+	for key := range n.emptySumsLeft {
 		if all && sums[key] == nil {
 			sums[key] = &Holding{Set: key.set}
-			if n.empties[key]--; n.empties[key] <= 0 {
-				delete(n.empties, key)
+			if n.emptySumsLeft[key]--; n.emptySumsLeft[key] <= 0 {
+				delete(n.emptySumsLeft, key)
 			}
 		}
 	}
@@ -62,7 +65,7 @@
 
 func (n *Node) sendSum(key holdingKey, h *Holding) {
 	if h.Count > 0 || h.WaitingCount > 0 {
-		n.empties[key] = emptySums
+		n.emptySumsLeft[key] = emptySums
 	}
 	if key.owner == n.cfg.Box {
 		if p := n.pools[key.set]; p != nil {
@@ -73,7 +76,7 @@
 	n.send(key.owner, h)
 }
 
-func (n *Node) addToSum(sums map[holdingKey]*Holding, l *local) {
+func (n *Node) addToSum(sums map[holdingKey]*Holding, l *localRequest) {
 	if l.owner == "" {
 		return
 	}
@@ -93,35 +96,36 @@
 	}
 }
 
-// heldIn lists the slots that this box holds in a set at an owner.
+// heldIn returns the slots of a set that this box holds at an owner.
 func (n *Node) heldIn(set, owner string) []decide.Held {
 	var out []decide.Held
-	for _, l := range n.sorted(func(l *local) bool { return l.set == set && l.upstream != "" && !l.visiting }) {
+	for _, l := range n.sortedRequests(func(l *localRequest) bool { return l.set == set && l.upstream != "" && !l.inOtherDomain }) {
 		if l.owner == owner || owner == n.cfg.Box {
 			out = append(out, l.held())
 		}
 	}
-	return append(out, n.keptIn(set)...)
+	return append(out, n.heldKeptSlots(set)...)
 }
 
 // held describes the request's lease to an owner.
-func (l *local) held() decide.Held {
+func (l *localRequest) held() decide.Held {
 	return decide.Held{ID: l.slot, Upstream: l.upstream, Class: l.req.Class, Customer: l.req.Customer, Work: l.work, Attempt: l.slotAttempt}
 }
 
 func (n *Node) onHoldingAsk(from string, m *HoldingAsk) {
-	n.sendFull(m.Set, from)
-	for _, l := range n.sorted(func(l *local) bool {
+	n.sendFullHolding(m.Set, from)
+	for _, l := range n.sortedRequests(func(l *localRequest) bool {
 		return l.set == m.Set && l.owner == from && l.state == stateWaiting
 	}) {
 		n.sendBid(l)
 	}
 }
 
-// sendFull lists to an owner all that this box holds and waits for in a set.
-func (n *Node) sendFull(set, owner string) {
+// sendFullHolding sends an owner the list of all slots that this box holds
+// and bids that it has waiting in a set.
+func (n *Node) sendFullHolding(set, owner string) {
 	h := &Holding{Set: set, Full: true}
-	for _, l := range n.sorted(func(l *local) bool { return l.set == set && l.owner == owner }) {
+	for _, l := range n.sortedRequests(func(l *localRequest) bool { return l.set == set && l.owner == owner }) {
 		n.addToSum(map[holdingKey]*Holding{{owner, set}: h}, l)
 		switch {
 		case l.state == stateWaiting:
@@ -131,7 +135,7 @@
 		}
 	}
 	if owner == n.owners[set] {
-		h.Held = append(h.Held, n.keptIn(set)...)
+		h.Held = append(h.Held, n.heldKeptSlots(set)...)
 	}
 	n.send(owner, h)
 }
--- a/cell/types.go
+++ b/cell/types.go
@@ -1,14 +1,8 @@
-// Package cell holds what the boxes of one failure domain say to each other and
-// how they act as one: membership, the relay of the table, ownership of upstream
-// sets with slot leases, lending of limits, claims of idempotency keys, and the
-// summary of spare slots between domains.
-//
-// A Node is one box's part in this. It is a plain state machine: it is told what
-// happens and the time, and returns actions. It starts no goroutine and does no
-// I/O, so that the daemons, the tests with a fake network and the experiments
-// drive the same code. The decisions themselves lie in package decide.
 package cell
 
+// This file defines the messages between boxes, and the requests, actions and
+// results that pass between a Node and its caller.
+
 import (
 	"time"
 
@@ -16,26 +10,27 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// Message is what one box says to another.
+// Message is a message between two boxes.
 type Message interface{ message() }
 
-// Heartbeat says that the sender is alive and passes on what it knows.
+// Heartbeat reports that the sender is alive and passes on its view of the
+// other boxes.
 type Heartbeat struct {
 	Counter   uint64
 	Table     uint64 // revision in force
 	Digest    uint64 // of that table
-	Roster    uint64 // revision of the platform's list
+	Roster    uint64 // revision of the platform's list of boxes
 	Leaving   bool
-	Blind     bool   // the platform does not answer the sender
-	Probe     bool   // an answer is wanted
-	Joining   bool   // the answer should hold all that is known
-	Announce  bool   // the receiver should pass on what it hears of the sender
+	Blind     bool   // the sender's last read of the platform failed
+	Probe     bool   // the receiver must answer
+	Joining   bool   // the answer must list every known box
+	Announce  bool   // the receiver should pass on the sender's state
 	Withheld  uint64 // digest of the requests that the sender withholds
-	Full      bool   // the sightings are all that the sender knows
+	Full      bool   // Sightings lists every box that the sender knows
 	Sightings []Sighting
 }
 
-// Sighting is the newest sign of life of a third box.
+// Sighting is the newest known state of a third box.
 type Sighting struct {
 	Box     string
 	Boot    uint64
@@ -48,30 +43,32 @@
 // Bid asks the owner of a set for a slot.
 type Bid struct {
 	Set string
-	Bid decide.Bid // Box is filled in from the sender
+	Bid decide.Bid // the receiver sets Box to the sender
 }
 
-// Withdraw takes a bid back.
+// Withdraw cancels a bid.
 type Withdraw struct {
 	Set string
 	ID  uint64
 }
 
-// Grant gives a slot. The holder may send until StartBy has passed since the
-// moment before it first sent the bid.
+// Grant assigns a slot to a bid. The holder may send the request until
+// StartBy has passed since the moment before it first sent the bid.
 type Grant struct {
 	Set      string
 	ID       uint64
 	Upstream string
 	StartBy  time.Duration
 	Keep     time.Duration // how long the slot may be kept after the answer
-	Attempt  uint32        // of the bid that it answers
+	Attempt  uint32        // attempt of the bid that it answers
 }
 
-// Recall wants back the slots of a set that are kept without an answer running.
+// Recall asks for the return of the kept slots of a set: those without a
+// running answer.
 type Recall struct{ Set string }
 
-// Refusal refuses a bid, or sends it on to the owner in another failure domain.
+// Refusal refuses a bid, or redirects it to the owner in another failure
+// domain.
 type Refusal struct {
 	Set          string
 	ID           uint64
@@ -88,21 +85,21 @@
 	ID  uint64
 }
 
-// Release gives a slot back.
+// Release returns a slot to the owner.
 type Release struct {
 	Set      string
 	ID       uint64
 	Upstream string
 	Tokens   int
 	Outcome  decide.Outcome
-	Pace     time.Duration // for one token; 0 if unknown
+	Pace     time.Duration // per token; 0 if unknown
 	First    time.Duration // from sending to the first token; 0 if unknown
-	Attempt  uint32        // of the bid that the slot was granted for
-	Said     decide.Said   // by the upstream, in its answer
+	Attempt  uint32        // attempt of the bid that the slot was granted for
+	Said     decide.Said   // what the upstream reported of itself in its answer
 }
 
-// Holding sums up all that the sender holds and waits for in a set; with Full,
-// it lists it.
+// Holding summarizes the slots that the sender holds in a set and the bids
+// that it has waiting there. With Full it lists them.
 type Holding struct {
 	Set           string
 	Count         int
@@ -117,7 +114,8 @@
 // HoldingAsk asks for a full Holding.
 type HoldingAsk struct{ Set string }
 
-// Claim asks for the one right to run a key; with GiveBack it returns it.
+// Claim asks for the exclusive right to run a key. With GiveBack it returns
+// that right.
 type Claim struct {
 	Key      string
 	ID       uint64
@@ -131,21 +129,21 @@
 	Verdict decide.ClaimVerdict
 }
 
-// Ask wants to borrow of a limit.
+// Ask asks to borrow part of a limit.
 type Ask struct {
 	Limit string
 	Want  float64
 }
 
-// Lend hands over a part of the sender's share of a limit.
+// Lend lends part of the sender's share of a limit.
 type Lend struct {
 	Limit  string
 	Amount float64
 	Life   time.Duration
 }
 
-// Spare says how many slots of a set are spare in a domain for each tier, the
-// highest first, and where to bid.
+// Spare reports how many slots of a set a domain has spare for each tier,
+// highest tier first, and which box to bid to.
 type Spare struct {
 	Set      string
 	Domain   string
@@ -154,7 +152,7 @@
 	PassedOn bool
 }
 
-// TableOffer says that the sender has adopted a revision of the table.
+// TableOffer reports that the sender has adopted a revision of the table.
 type TableOffer struct {
 	Revision uint64
 	Digest   uint64
@@ -177,45 +175,47 @@
 func (*Spare) message()      {}
 func (*TableOffer) message() {}
 
-// Request is a caller's request as the decisions see it.
+// Request describes a caller's request: the properties that decisions depend
+// on.
 type Request struct {
 	ID         uint64
 	Class      string
 	Customer   string
-	Deadline   time.Duration // from arrival; 0 is none
+	Deadline   time.Duration // from arrival; 0 means none
 	Prefix     uint64
 	MaxTokens  int
-	Key        string // idempotency key; "" is none
+	Key        string // idempotency key; "" means none
 	Repeatable bool
-	Resumable  bool // an upstream can go on from what was delivered
-	// Content is a hash of what it is apart from its id, the same on all boxes; 0: not known.
+	Resumable  bool // an upstream can continue from the tokens already delivered
+	// Content is a hash of the request without its ID, equal on all boxes; 0
+	// if unknown.
 	Content uint64
 }
 
-// ActionKind tells what an Action is.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of action.
 const (
-	SendMessage  ActionKind = iota // Message to box To
-	Dispatch                       // send Request to Upstream, going on after Tokens
-	CancelRun                      // stop the run of Request
+	SendMessage  ActionKind = iota // send Message to box To
+	Dispatch                       // send Request to Upstream, continuing after Tokens
+	CancelRun                      // cancel the run of Request
 	PauseRun                       // pause the run of Request
-	End                            // the request ends with Final
-	PullFrom                       // fetch the table and list from box To
-	ReadPlatform                   // read the table and list from the platform
-	GiveOrder                      // give Upstream the Order
-	Record                         // enter Event in the time line
+	End                            // end the request with Final
+	PullFrom                       // fetch the table and the list from box To
+	ReadPlatform                   // read the table and the list from the platform
+	GiveOrder                      // send Order to Upstream
+	Record                         // append Event to the timeline
 )
 
-// Final is how a request ended without a whole answer.
+// Final describes how a request ended without a complete answer.
 type Final struct {
 	Reason     decide.Reason
 	Ran        bool // it may have run
 	RetryAfter time.Duration
 }
 
-// Action is what a Node wants done.
+// Action is something that the node asks its caller to do.
 type Action struct {
 	Kind       ActionKind
 	To         string
@@ -224,23 +224,23 @@
 	Upstream   string
 	Tokens     int
 	Resume     bool          // Upstream holds the paused answer
-	Redispatch bool          // it was sent to an upstream before
-	StartBy    time.Duration // for Dispatch: send no byte after this moment
+	Redispatch bool          // the request was sent to an upstream before
+	StartBy    time.Duration // for Dispatch: no byte is sent after this time
 	Final      Final
 	Event      timeline.Event
 	Order      decide.EngineOrder
 }
 
-// Result is how a run on an upstream ended.
+// Result describes how a run on an upstream ended.
 type Result struct {
 	Outcome decide.Outcome
-	Ran     bool          // a byte may have left for the upstream
-	Tokens  int           // generated in all, earlier runs included
-	Pace    time.Duration // for one token; 0 if unknown
+	Ran     bool          // a byte may have been sent to the upstream
+	Tokens  int           // generated in total, including earlier runs
+	Pace    time.Duration // per token; 0 if unknown
 	First   time.Duration // from sending to the first token; 0 if unknown
-	Refused bool          // the upstream itself said that it did not run it
-	Said    decide.Said   // by the upstream, in its answer or in one before for which nothing was sent
-	Ended   bool          // the upstream cut it off, and nobody listens at its address any more
+	Refused bool          // the upstream itself reported that it did not run the request
+	Said    decide.Said   // what the upstream reported of itself, in its answer or in an earlier one for which nothing was sent
+	Ended   bool          // the upstream cut the run off, and its address no longer accepts connections
 }
 
 // BoxEntry is a box on the platform's list.
@@ -250,7 +250,8 @@
 	Leaving bool
 }
 
-// Roster is the platform's lagging list.
+// Roster is the platform's list of boxes. It may lag behind the actual
+// state.
 type Roster struct {
 	Revision uint64
 	Boxes    []BoxEntry
