--- a/cell/owner.go
+++ b/cell/owner.go
@@ -272,7 +272,7 @@
 
 func (n *Node) onRelease(m *Release) {
 	if p := n.pools[m.Set]; p != nil {
-		p.Said(n.now, m.Upstream, m.Said)
+		p.ApplyNotice(n.now, m.Upstream, m.Said)
 		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, Pace: m.Pace, First: m.First, Attempt: m.Attempt})
 		n.dirty[m.Set] = true
 	}
@@ -291,7 +291,7 @@
 		n.dirty[m.Set] = true
 		return
 	}
-	if p.Compare(n.now, from, decide.Sum{Count: m.Count, Digest: m.Digest, WaitingCount: m.WaitingCount, WaitingDigest: m.WaitingDigest}) {
+	if p.Compare(n.now, from, decide.LeaseSummary{Count: m.Count, Digest: m.Digest, WaitingCount: m.WaitingCount, WaitingDigest: m.WaitingDigest}) {
 		n.send(from, &HoldingAsk{Set: m.Set})
 	}
 }
--- a/cell/withheld.go
+++ b/cell/withheld.go
@@ -26,7 +26,7 @@
 func (*Ends) message() {}
 
 const (
-	// minUpstreamLife is the minimum time between two crashes of an
+	// minUpstreamUptime is the minimum time between two crashes of an
 	// upstream: runs that are cut off within it were cut off by the same crash.
 	minUpstreamUptime = 500 * time.Millisecond
 	// maxSuspectsPerMessage bounds the number of request contents in a
@@ -34,7 +34,7 @@
 	maxSuspectsPerMessage = 100
 )
 
-// upstreamEnd records when this box last saw an upstream crash, and how
+// upstreamCrash records when this box last saw an upstream crash, and how
 // many crashes it has seen.
 type upstreamCrash struct {
 	at    time.Duration
@@ -55,7 +55,7 @@
 	n.end(l, Final{Reason: decide.Withheld, Ran: l.ran, RetryAfter: n.withheldFor(l)})
 }
 
-// noteUpstreamEnd counts the crash of an upstream against the request that
+// noteUpstreamCrash counts the crash of an upstream against the request that
 // it cut off. An upstream keeps its name when it restarts, so each box counts
 // its crashes to tell its incarnations apart.
 func (n *Node) noteUpstreamCrash(l *localRequest) {
@@ -95,7 +95,7 @@
 // collectSuspects returns the suspects that have not been sent yet, and
 // stops the requests that are now withheld.
 func (n *Node) collectSuspects() []balance.Suspect {
-	unsent := n.suspects.News(n.now)
+	unsent := n.suspects.TakeNews(n.now)
 	if len(unsent) == 0 {
 		return nil
 	}
@@ -124,7 +124,7 @@
 // onEnds merges the suspects of another box, and sends back those about
 // which that box knows less.
 func (n *Node) onEnds(from string, m *Ends) {
-	n.suspects.Take(n.now, m.Suspects)
+	n.suspects.Merge(n.now, m.Suspects)
 	unknownToSender := slices.DeleteFunc(n.collectSuspects(), func(mine balance.Suspect) bool {
 		return slices.ContainsFunc(m.Suspects, func(theirs balance.Suspect) bool {
 			return theirs.Content == mine.Content && theirs.Round == mine.Round && slices.Equal(theirs.Ended, mine.Ended)
--- a/cell/withheld_test.go
+++ b/cell/withheld_test.go
@@ -16,7 +16,7 @@
 // within the retry budget, so it crashes one upstream after another unless the
 // boxes count together which content was running when an upstream crashed.
 
-// endingContent is the content of a request that crashes the upstream that
+// crashingContent is the content of a request that crashes the upstream that
 // runs it.
 const crashingContent = 77
 
