--- a/cell/kept_slots.go
+++ b/cell/kept_slots.go
@@ -141,10 +141,10 @@
 }
 
 // heldKeptSlots lists the kept slots of a set for a full Holding.
-func (n *Node) heldKeptSlots(set string) []decide.Held {
-	var out []decide.Held
+func (n *Node) heldKeptSlots(set string) []decide.HeldLease {
+	var out []decide.HeldLease
 	for _, s := range n.keptSlots[set] {
-		out = append(out, decide.Held{ID: s.id, Upstream: s.upstream, Class: s.class, Customer: s.customer, Work: 1, Attempt: s.attempt})
+		out = append(out, decide.HeldLease{ID: s.id, Upstream: s.upstream, Class: s.class, Customer: s.customer, Work: 1, Attempt: s.attempt})
 	}
 	return out
 }
--- a/cell/renew.go
+++ b/cell/renew.go
@@ -69,7 +69,7 @@
 	}
 	if key.owner == n.cfg.Box {
 		if p := n.pools[key.set]; p != nil {
-			p.Compare(n.now, key.owner, decide.LeaseSummary{Count: h.Count, Digest: h.Digest, WaitingCount: h.WaitingCount, WaitingDigest: h.WaitingDigest})
+			p.Renew(n.now, key.owner, decide.LeaseSummary{Count: h.Count, Digest: h.Digest, WaitingCount: h.WaitingCount, WaitingDigest: h.WaitingDigest})
 		}
 		return
 	}
@@ -97,8 +97,8 @@
 }
 
 // heldIn returns the slots of a set that this box holds at an owner.
-func (n *Node) heldIn(set, owner string) []decide.Held {
-	var out []decide.Held
+func (n *Node) heldIn(set, owner string) []decide.HeldLease {
+	var out []decide.HeldLease
 	for _, l := range n.sortedRequests(func(l *localRequest) bool { return l.set == set && l.upstream != "" && !l.inOtherDomain }) {
 		if l.owner == owner || owner == n.cfg.Box {
 			out = append(out, l.held())
@@ -108,8 +108,8 @@
 }
 
 // held describes the request's lease to an owner.
-func (l *localRequest) held() decide.Held {
-	return decide.Held{ID: l.slot, Upstream: l.upstream, Class: l.req.Class, Customer: l.req.Customer, Work: l.work, Attempt: l.slotAttempt}
+func (l *localRequest) held() decide.HeldLease {
+	return decide.HeldLease{ID: l.slot, Upstream: l.upstream, Class: l.req.Class, Customer: l.req.Customer, Work: l.work, Attempt: l.slotAttempt}
 }
 
 func (n *Node) onHoldingAsk(from string, m *HoldingAsk) {
