--- a/cell/heartbeat.go
+++ b/cell/heartbeat.go
@@ -28,7 +28,7 @@
 	if !p.reportedAlive {
 		kind = timeline.BoxDead
 		for set, pool := range n.pools {
-			pool.BoxGone(p.name)
+			pool.RemoveBox(p.name)
 			n.dirty[set] = true
 		}
 	}
@@ -99,7 +99,7 @@
 	if p != nil && p.boot != 0 && boot > p.boot {
 		// A new incarnation: the slots and bids of the old one were lost with it.
 		for _, pool := range n.pools {
-			pool.BoxGone(from)
+			pool.RemoveBox(from)
 		}
 	}
 	n.members.onHeartbeat(n.now, from, boot, h)
