--- a/cell/limit.go
+++ b/cell/limit.go
@@ -97,7 +97,7 @@
 // takes from none and returns that one.
 func (n *Node) takeLimits(l *localRequest) *limit {
 	for _, m := range n.limitsOf(l) {
-		if !m.share.Take(n.now) {
+		if !m.share.Acquire(n.now) {
 			for _, t := range l.limitsTaken {
 				t.share.Undo()
 			}
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -345,7 +345,7 @@
 		n.deliverVerdict(set, n.verdicts[i])
 	}
 	n.verdicts = n.verdicts[:start]
-	if p.Recall(n.now) {
+	if p.ShouldRecall(n.now) {
 		for _, box := range p.Holders() {
 			n.deliver(box, &Recall{Set: set})
 		}
