--- a/cell/limit.go
+++ b/cell/limit.go
@@ -111,7 +111,7 @@
 
 func (n *Node) releaseLimits(l *localRequest) {
 	for _, m := range l.limitsTaken {
-		m.share.Give()
+		m.share.Release()
 	}
 	l.limitsTaken = nil
 }
