--- a/cell/overflow.go
+++ b/cell/overflow.go
@@ -54,7 +54,7 @@
 // offered, by tier.
 func (n *Node) spareSlots(p *decide.Pool, others int) []int {
 	var out []int
-	for tier := 1; tier <= p.Tiers(); tier++ {
+	for tier := 1; tier <= p.LowestTier(); tier++ {
 		spare := spareShare * float64(p.SpareFor(n.now, tier)) / float64(max(1, others))
 		out = append(out, int(math.Ceil(spare)))
 	}
