--- a/mirror/error.go
+++ b/mirror/error.go
@@ -5,10 +5,10 @@
 
 // Kinds of error.
 const (
-	KindForgotten Kind = "forgotten"  // changes that are no longer known
-	KindAway      Kind = "away"       // the publisher gave no answer
-	KindRefused   Kind = "refused"    // the publisher answered, but not with what was asked for
-	KindNotNeeded Kind = "not needed" // what was asked for is known meanwhile
+	KindForgotten   Kind = "forgotten"  // changes that are no longer known
+	KindUnreachable Kind = "away"       // the publisher gave no answer
+	KindRefused     Kind = "refused"    // the publisher answered, but not with what was asked for
+	KindNotNeeded   Kind = "not needed" // what was asked for is known meanwhile
 )
 
 // Error says what was being done and what went wrong.
