--- a/cell/claim.go
+++ b/cell/claim.go
@@ -53,7 +53,7 @@
 		return
 	}
 	if m.GiveBack {
-		n.claims.GiveBack(key, from, m.ID)
+		n.claims.Release(key, from, m.ID)
 		return
 	}
 	n.observe()
@@ -86,7 +86,7 @@
 		return
 	}
 	if l.keyHome == n.cfg.Box {
-		n.claims.GiveBack(l.key, n.cfg.Box, l.req.ID)
+		n.claims.Release(l.key, n.cfg.Box, l.req.ID)
 		return
 	}
 	n.send(l.keyHome, &Claim{Key: l.key.Text, ID: l.req.ID, GiveBack: true})
--- a/decide/once.go
+++ b/decide/once.go
@@ -188,8 +188,8 @@
 	return ClaimGranted
 }
 
-// GiveBack frees a key whose request certainly did not run.
-func (c *Claims) GiveBack(k Key, box string, id uint64) {
+// Release frees a key whose request certainly did not run.
+func (c *Claims) Release(k Key, box string, id uint64) {
 	if had, ok := c.keys[k.Text]; ok && had.id == id && had.box == box {
 		delete(c.keys, k.Text)
 	}
--- a/decide/small_test.go
+++ b/decide/small_test.go
@@ -160,7 +160,7 @@
 			c.Observe(wall, alone, true)
 			k := dated(wall + 9*time.Second)
 			c.Claim(0, wall+10*time.Second, k, "b", 1, true)
-			c.GiveBack(k, "b", 1)
+			c.Release(k, "b", 1)
 			return c.Claim(0, wall+10*time.Second, k, "b", 2, true)
 		}, ClaimGranted},
 		{"minted here, seen by none of the others", func(c *Claims) ClaimVerdict {
