--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -118,7 +118,7 @@
 		if other != u {
 			continue
 		}
-		w.store.Put(platform.GoneItem(u.id))
+		w.store.Put(platform.DeletedItem(u.id))
 		if err := w.startUpstream(i, 0); err != nil {
 			w.ledger.violate("start an upstream: %v", err)
 			return
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -133,7 +133,7 @@
 		w.upstreams = w.upstreams[:len(w.upstreams)-1]
 		w.list(old, true)
 		return func() {
-			w.store.Put(platform.GoneItem(old.id))
+			w.store.Put(platform.DeletedItem(old.id))
 			old.close()
 		}
 	}},
