--- a/cell/published.go
+++ b/cell/published.go
@@ -89,7 +89,7 @@
 	newer := rosterRevision > n.roster.Revision ||
 		tableRevision > 0 && (n.table == nil || tableRevision > n.table.Revision)
 	if newer && n.now >= n.pullDeadline {
-		n.pullDeadline = n.now + n.timing.Pull
+		n.pullDeadline = n.now + n.timing.PullTimeout
 		n.addAction(Action{Kind: PullFrom, To: from})
 	}
 }
@@ -106,7 +106,7 @@
 	n.platformUnreachable = !ok
 	n.nextRead = n.now
 	if !ok {
-		n.nextRead += n.timing.Pull/2 + jitter(n, n.timing.Pull)
+		n.nextRead += n.timing.PullTimeout/2 + jitter(n, n.timing.PullTimeout)
 	}
 }
 
--- a/cell/timing.go
+++ b/cell/timing.go
@@ -28,7 +28,7 @@
 	Spare           time.Duration // between reports of spare slots to other domains
 	OverflowWait    time.Duration // a request waits this long before it may bid in another domain
 	RedirectTimeout time.Duration // a bid in another domain is withdrawn after this time
-	Pull            time.Duration // a pull that takes longer is tried from another box
+	PullTimeout     time.Duration // a pull that takes longer is tried from another box
 	PauseGap        time.Duration // a longer gap between entry points counts as a pause, which voids leases and the view of the domain
 }
 
@@ -55,7 +55,7 @@
 		Spare:           time.Second,
 		OverflowWait:    200 * time.Millisecond,
 		RedirectTimeout: time.Second,
-		Pull:            time.Second,
+		PullTimeout:     time.Second,
 		PauseGap:        900 * time.Millisecond,
 	}
 }
--- a/edges.go
+++ b/edges.go
@@ -172,7 +172,7 @@
 	if address == "" {
 		return fmt.Errorf("its address is not known")
 	}
-	ctx, cancel := context.WithTimeout(ctx, b.cfg.Timing.Pull)
+	ctx, cancel := context.WithTimeout(ctx, b.cfg.Timing.PullTimeout)
 	defer cancel()
 	client := ops.Dial(address, b.cfg.Settings.PeerKey)
 	defer func() { _ = client.Close() }()
