--- a/balance/answers.go
+++ b/balance/answers.go
@@ -52,12 +52,12 @@
 }
 
 // remainingEvents estimates how many events of an answer are still to come; 0 if unknown.
-func (a *answerStats) remainingEvents(expected, came int) float64 {
+func (a *answerStats) remainingEvents(expected, received int) float64 {
 	whole := a.events.value() * float64(expected)
 	if whole == 0 {
 		return 0
 	}
-	return max(whole-float64(came), minRestShare*float64(came))
+	return max(whole-float64(received), minRestShare*float64(received))
 }
 
 // movedInterval estimates the time between events of an answer that moves; 0 if unknown. Until
@@ -81,13 +81,13 @@
 
 // updatePrefillActivity updates the share of time during which an upstream has prompts to
 // prefill.
-func (m *member) updatePrefillActivity(past time.Duration, unread int) {
-	left := math.Exp(-float64(past) / float64(prefillWindow))
-	m.reading *= left
+func (m *member) updatePrefillActivity(elapsed time.Duration, unread int) {
+	left := math.Exp(-float64(elapsed) / float64(prefillWindow))
+	m.prefillShare *= left
 	if unread > 0 {
-		m.reading += 1 - left
+		m.prefillShare += 1 - left
 	}
 }
 
 // prefillLevel returns the level of prefill activity of an upstream; 0 is calm.
-func (m *member) prefillLevel() int { return int(m.reading * prefillLevels) }
+func (m *member) prefillLevel() int { return int(m.prefillShare * prefillLevels) }
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -49,8 +49,8 @@
 
 // NewBudget returns the budget of a box that starts now. firstStart says that no process ran on
 // this box before, so that none of its slack can have been used.
-func NewBudget(cfg BudgetConfig, now time.Duration, first bool) *Budget {
-	return &Budget{cfg: cfg, start: now, firstStart: first}
+func NewBudget(cfg BudgetConfig, now time.Duration, firstStart bool) *Budget {
+	return &Budget{cfg: cfg, start: now, firstStart: firstStart}
 }
 
 // advance clears the buckets that have expired and returns the number of the newest one.
@@ -69,7 +69,7 @@
 // Spend reports whether a retry is allowed and, if so, counts it. The slack is divided evenly
 // among boxes; 0 means that this box has no share of it.
 func (b *Budget) Spend(now time.Duration, boxes int) bool {
-	if b.Left(now, boxes) < 1 {
+	if b.Remaining(now, boxes) < 1 {
 		return false
 	}
 	b.retries[b.newest%bucketsKept]++
@@ -77,21 +77,21 @@
 }
 
 // BudgetUsage is the state of a budget at one moment.
-type BudgetUse struct {
+type BudgetUsage struct {
 	Taken int // requests within the last window
 	Spent int // retries within the last window
 	Boxes int // number of boxes that share the slack; 0: this box has no share
 }
 
 // Use returns the requests and retries of the window that ends now.
-func (b *Budget) Use(now time.Duration, boxes int) BudgetUse {
+func (b *Budget) Use(now time.Duration, boxes int) BudgetUsage {
 	n := b.advance(now)
-	use := BudgetUse{Boxes: boxes}
+	usage := BudgetUsage{Boxes: boxes}
 	for i := n - bucketsPerWindow; i <= n; i++ {
-		use.Taken += countAt(&b.requests, i)
-		use.Spent += countAt(&b.retries, i)
+		usage.Taken += countAt(&b.requests, i)
+		usage.Spent += countAt(&b.retries, i)
 	}
-	return use
+	return usage
 }
 
 // idle reports whether all buckets are empty.
@@ -102,20 +102,20 @@
 
 // Remaining returns how many more retries are allowed now: the minimum over all windows that
 // include the present moment.
-func (b *Budget) Left(now time.Duration, boxes int) int {
+func (b *Budget) Remaining(now time.Duration, boxes int) int {
 	n := b.advance(now)
-	left := math.Inf(1)
-	spent, since, before := 0, 0, 0
+	remaining := math.Inf(1)
+	retries, requestsSince, requestsBefore := 0, 0, 0
 	for i := n - bucketsPerWindow + 1; i < n; i++ {
-		before += countAt(&b.requests, i)
+		requestsBefore += countAt(&b.requests, i)
 	}
 	for begin := n; begin >= n-bucketsPerWindow; begin-- {
-		spent += countAt(&b.retries, begin)
-		left = min(left, b.allowance(begin, boxes, since, before)-float64(spent))
-		since += countAt(&b.requests, begin)
-		before += countAt(&b.requests, begin-bucketsPerWindow) - countAt(&b.requests, begin-1)
+		retries += countAt(&b.retries, begin)
+		remaining = min(remaining, b.allowance(begin, boxes, requestsSince, requestsBefore)-float64(retries))
+		requestsSince += countAt(&b.requests, begin)
+		requestsBefore += countAt(&b.requests, begin-bucketsPerWindow) - countAt(&b.requests, begin-1)
 	}
-	return max(0, int(left))
+	return max(0, int(remaining))
 }
 
 // allowance returns how many retries are allowed in a window that begins within bucket begin,
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -15,7 +15,7 @@
 
 // Upstream describes an engine or a plain service, as its registry entry states it.
 type Upstream struct {
-	ID        string // after a restart the upstream has either a new ID, or the same ID and a later StartedAt
+	ID        string // a restart changes the ID or increases StartedAt
 	StartedAt int64  // start time, Unix ms; 0 if unknown
 	Service   string
 	Address   string // IP:port
@@ -24,7 +24,7 @@
 	Leaving   bool   // takes no new requests
 	// ColdFor is the remaining time for which the upstream is cold, according to its entry.
 	ColdFor  time.Duration
-	Revision uint64 // revision of the entry; decides between two entries with the same address and no start time
+	Revision uint64 // of the entry; orders entries with the same address and no start time
 	// CommandCount is the number of control commands that the upstream has received since it
 	// started. HasCommandCount reports whether its entry states that number.
 	CommandCount    uint64
@@ -34,47 +34,47 @@
 // member is an upstream together with the state that this box keeps for it.
 type member struct {
 	Upstream
-	work          work    // of this box
-	remoteWork    work    // of all other boxes
-	successor     *member // the same incarnation, listed again; it now holds the work
-	health        health
-	unreachable   bool          // cannot be reached; used only if no other upstream is left
-	byDomain      bool          // became unreachable only because its failure domain was marked unreachable
-	listedAt      time.Duration // when it was first listed
-	key           uint32        // of its incarnation
-	history       *history
-	service       *service
-	cachedParts   map[uint32]struct{} // prompt parts that it is recorded as holding; see partIndex
-	laneWeight    uint64              // determines its position when the upstreams are divided into lanes
-	lastWeight    keyWeight
-	active        bool          // is in its service's list of active upstreams
-	tight         bool          // is in the lane for tight streams
-	laneChangedAt time.Duration // when it moved into its present lane from the other
-
-	reading           float64         // share of the time, 0 to 1, in which it has prompt tokens to read
+	work                work    // of this box
+	remoteWork          work    // of all other boxes
+	successor           *member // the same incarnation, listed again; it now holds the work
+	health              health
+	unreachable         bool          // cannot be reached; used only if no other upstream is left
+	unreachableByDomain bool          // unreachable only because its failure domain counts as cut off
+	listedAt            time.Duration // when it was first listed
+	key                 uint32        // of its incarnation
+	history             *history
+	service             *service
+	cachedParts         map[uint32]struct{} // prompt parts that it is recorded as holding; see partIndex
+	laneWeight          uint64              // determines its position when the upstreams are divided into lanes
+	lastWeight          keyWeight
+	active              bool          // is in its service's list of active upstreams
+	tight               bool          // is in the lane for tight streams
+	laneChangedAt       time.Duration // when it moved into its present lane from the other
+
+	prefillShare      float64         // share of the time, 0 to 1, in which it has prompt tokens to read
 	evacuated         bool            // its failure domain is evacuated
 	needsLeavingCheck bool            // its previous incarnation reported leaving, which may have meant this one
-	coldTill          time.Duration   // end of its cold period
-	ration            int             // number of requests that this box may send it within coldWindow while it is cold
-	coldSent          []time.Duration // when this box sent the requests of the last coldWindow
-
-	lastBreakAt   time.Duration // when the connection of a run last broke
-	recentBreaks  int           // number of connections that broke around lastBreakAt
-	back          time.Duration // when it last became reachable again
-	unsure        bool          // counts as cold, because nothing published describes it since it became reachable again
-	replaced      bool          // another upstream has taken over its address
-	suspect       bool          // there was a sign that it may have restarted
-	distrustUntil time.Duration // until then, cache news from other boxes may predate the suspected restart
+	coldUntil         time.Duration   // end of its cold period
+	coldQuota         int             // number of requests that this box may send it within coldWindow while it is cold
+	coldRequests      []time.Duration // when this box sent the requests of the last coldWindow
+
+	lastBreakAt    time.Duration // when the connection of a run last broke
+	recentBreaks   int           // number of connections that broke around lastBreakAt
+	reachableSince time.Duration // when it last became reachable again
+	assumedCold    bool          // counts as cold until an entry newer than reachableSince describes it
+	replaced       bool          // another upstream has taken over its address
+	suspect        bool          // there was a sign that it may have restarted
+	distrustUntil  time.Duration // until then, cache news from other boxes may predate the suspected restart
 }
 
 // Config configures a Fleet.
 type Config struct {
 	Domain string // failure domain of this box
 	// Regions maps failure domains to regions, as far as they belong to one.
-	Regions map[string]string
-	Tuning  Tuning
-	Named   LimitBounds // bounds for the limits that upstreams state in their answers
-	Off     Off         // mechanisms that are switched off
+	Regions     map[string]string
+	Tuning      Tuning
+	LimitBounds LimitBounds // bounds for the limits that upstreams state in their answers
+	Off         Off         // mechanisms that are switched off
 	// FirstStart says that no box of this deployment ran before. A prompt part that no box is
 	// known to have sent to an upstream has then been sent to none.
 	FirstStart bool
@@ -87,32 +87,32 @@
 	byService        map[string][]*member
 	byKey            map[uint32]*member
 	byAddress        map[string]*member
-	addressWaiters   map[string]*Upstream       // by id: entries whose address another upstream holds
-	incarnations     map[string]lastIncarnation // by id: the latest known incarnation
-	unlisted         map[string]*member         // by id: no longer listed, but this box still has requests open on it
-	documentServices map[string]bool            // services that the configuration document names; nil before the first document
+	addressWaiters   map[string]*Upstream       // by ID: entries whose address another upstream holds
+	incarnations     map[string]lastIncarnation // by ID: the latest known incarnation
+	unlisted         map[string]*member         // by ID: removed while this box had requests open on it
+	documentServices map[string]bool            // named by the configuration document; nil before the first one
 	lastPutAt        time.Duration              // when an entry was last put
 	services         map[string]*service        // by name
 	parts            partIndex
-	lost             []UnreachableUpstream   // became unreachable, and not yet returned by NewlyLost
-	remoteLoadsStale bool                    // an upstream was listed after the last SetOthers; other boxes may have reported loads for it
+	newlyUnreachable []UnreachableUpstream   // not yet returned by TakeNewlyUnreachable
+	remoteLoadsStale bool                    // an upstream was listed since the last SetRemoteLoads
 	domains          map[string]*domainReach // by name
-	toldCutOff       []string                // failure domains that another box reports as cut off
+	reportedCutOff   []string                // failure domains that another box reports as cut off
 	rtts             map[string]*rttEstimate // by failure domain
 	prefillRate      float64                 // prompt tokens that an upstream reads per ms
 	firstListedAt    time.Duration           // when the first upstream was listed
 
 	histories        map[uint32]*history // by incarnation key
-	historiesSweptAt time.Duration       // when the histories of unlisted incarnations were last checked for expiry
+	historiesSweptAt time.Duration       // when the histories of unlisted incarnations were last swept
 	evacuated        map[string]bool     // failure domains
-	memoryShare      float64             // share of an upstream's memory that this box may fill; 1 while it knows the loads of the other boxes
+	memoryShare      float64             // share of an upstream's memory that this box may fill; 1 if it knows the other boxes' loads
 	boxCount         int                 // number of all boxes, as far as known
-	sharers          QuotaPeers
-	limits           limitTable        // that upstreams state in their answers
-	pauses           map[uint32]*pause // that upstreams requested, by incarnation key
-	pausesOver       []uint32          // pauses that ended and were not yet returned by PausesOver
-	cold             []*member         // upstreams that are cold, and some that were
-	rationsStale     bool              // an input of the rations has changed
+	quotaPeers       QuotaPeers          // boxes that share the quotas
+	limits           limitTable          // rate limits that upstreams state in their answers
+	pauses           map[uint32]*pause   // that upstreams requested, by incarnation key
+	endedPauses      []uint32            // incarnation keys of pauses that ended, not yet returned by PausesOver
+	coldMembers      []*member           // upstreams that are cold, and some that were
+	quotasStale      bool                // an input of the quotas has changed
 }
 
 // initialListSpan is the time in which a box that has just started receives the entries of all
@@ -140,7 +140,7 @@
 		parts:          partIndex{holders: make(map[uint32][]partHolder)},
 		domains:        make(map[string]*domainReach),
 		rtts:           make(map[string]*rttEstimate),
-		prefillRate:    cfg.Tuning.ReadRate,
+		prefillRate:    cfg.Tuning.PrefillRate,
 		memoryShare:    1,
 	}
 }
@@ -167,8 +167,8 @@
 // View is a snapshot of an upstream as the fleet sees it.
 type View struct {
 	Upstream
-	Out   bool // unreachable
-	Tight bool // in the lane for tight streams
+	Unreachable bool // cannot be reached
+	Tight       bool // in the lane for tight streams
 	// Evacuated reports whether its failure domain is evacuated.
 	Evacuated bool
 	ColdLeft  time.Duration // remaining cold time; 0 if it is not cold
@@ -181,9 +181,9 @@
 func (f *Fleet) View(now time.Duration) []View {
 	list := make([]View, 0, len(f.byID))
 	for _, m := range f.byID {
-		load := Load{Unread: m.unreadAhead(Levels - 1), Requests: m.open(), MemoryTokens: m.held()}
-		list = append(list, View{Upstream: m.Upstream, Out: m.unreachable, Tight: m.tight, Evacuated: m.evacuated,
-			ColdLeft: max(0, m.coldTill-now), RTT: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
+		load := Load{Unread: m.unreadAhead(UrgencyLevels - 1), Requests: m.open(), MemoryTokens: m.held()}
+		list = append(list, View{Upstream: m.Upstream, Unreachable: m.unreachable, Tight: m.tight, Evacuated: m.evacuated,
+			ColdLeft: max(0, m.coldUntil-now), RTT: f.RTT(m.Domain), Load: load, Memory: f.serviceOf(m.Service).memory})
 	}
 	slices.SortFunc(list, func(a, b View) int {
 		return cmp.Or(strings.Compare(a.Service, b.Service), strings.Compare(a.ID, b.ID))
--- a/balance/lane.go
+++ b/balance/lane.go
@@ -29,25 +29,25 @@
 	open     Need          // recent requests in progress on each side
 	spare    int           // slots of the upstreams that advertise no limit
 	prefill  Need          // recent share of upstreams that prefill, by lane
-	updated  time.Duration // when open and reading were last updated
+	updated  time.Duration // when open and prefill were last updated
 }
 
 // splitByLane splits a list into the upstreams of the request's lane and the others. If no
 // upstream would be in the lane, all are returned as within it.
-func (f *Fleet) splitByLane(now time.Duration, r Request, list []*member) (within, beyond []*member) {
+func (f *Fleet) splitByLane(now time.Duration, r Request, list []*member) (inside, outside []*member) {
 	tight := f.tight(r)
-	within = make([]*member, 0, len(list))
+	inside = make([]*member, 0, len(list))
 	for _, m := range list {
 		if f.inLane(now, m, tight) {
-			within = append(within, m)
+			inside = append(inside, m)
 		} else {
-			beyond = append(beyond, m)
+			outside = append(outside, m)
 		}
 	}
-	if len(within) == 0 {
+	if len(inside) == 0 {
 		return list, nil
 	}
-	return within, beyond
+	return inside, outside
 }
 
 // tight reports whether a request belongs in the lane for tight streams.
@@ -57,7 +57,7 @@
 // one.
 func (f *Fleet) inLane(now time.Duration, m *member, tight bool) bool {
 	s := m.service
-	if s.listed < minLaneUpstreams {
+	if s.upstreamCount < minLaneUpstreams {
 		return true
 	}
 	if s.stale {
--- a/balance/limitgate.go
+++ b/balance/limitgate.go
@@ -30,7 +30,7 @@
 	for _, c := range changes {
 		x, m := f.limits.active(c.Life), f.byKey[c.Life]
 		if x != nil {
-			f.rationsStale = true
+			f.quotasStale = true
 			x.mayBind = m == nil || f.mayBind(now, m, x.perSecond)
 		}
 	}
@@ -60,7 +60,7 @@
 // limitOf returns the limit of an upstream, or nil if it advertises none or limits are switched
 // off.
 func (f *Fleet) limitOf(m *member) *limitState {
-	if len(f.limits.byLife) == 0 || f.cfg.Off[Limits] {
+	if len(f.limits.byIncarnation) == 0 || f.cfg.Off[Limits] {
 		return nil
 	}
 	return f.limits.active(m.key)
@@ -74,7 +74,7 @@
 	}
 	f.refreshQuotas(now)
 	x := f.limitOf(m)
-	_, span := f.cfg.Named.allowance(x.perSecond)
+	_, span := f.cfg.LimitBounds.allowance(x.perSecond)
 	return LimitQuota{PerSecond: x.perSecond, Age: now - x.lastRead, Quota: x.quota, Span: span}, true
 }
 
@@ -105,7 +105,7 @@
 // countLimited returns how many upstreams a request may not go to only because of their limits
 // and pauses.
 func (f *Fleet) countLimited(now time.Duration, r Request, tried []string) int {
-	if len(f.limits.byLife) == 0 && len(f.pauses) == 0 {
+	if len(f.limits.byIncarnation) == 0 && len(f.pauses) == 0 {
 		return 0
 	}
 	n := 0
@@ -123,9 +123,9 @@
 	f.refreshQuotas(now)
 	var left time.Duration
 	if x.mayBind { // boxes that had no report of the limit yet have sent more meanwhile
-		left = max(0, x.droppedAt+f.cfg.Named.Span+maxTransit-now)
+		left = max(0, x.droppedAt+f.cfg.LimitBounds.Span+maxTransit-now)
 	}
-	_, span := f.cfg.Named.allowance(x.perSecond)
+	_, span := f.cfg.LimitBounds.allowance(x.perSecond)
 	switch over := m.history.within(now, span) - x.quota; {
 	case x.quota == 0:
 		return max(left, span) // the whole allowance belongs to other boxes
@@ -156,31 +156,31 @@
 
 // urgentHolds is, by urgency, until when capacity is reserved for requests of that urgency; 0:
 // none is reserved.
-type urgentHolds [Levels]time.Duration
+type urgentHolds [UrgencyLevels]time.Duration
 
 // reserveForUrgent notes that a request found no capacity because of limits. Until capacity has
 // become available and the refused caller may have retried, the little there is is withheld from
 // less urgent requests.
 func (f *Fleet) reserveForUrgent(now time.Duration, r Request) {
-	f.serviceOf(r.Service).wanted[r.urgencyLevel()] = now + f.cfg.Named.Span + 2*maxTransit
+	f.serviceOf(r.Service).urgentUntil[r.urgencyLevel()] = now + f.cfg.LimitBounds.Span + 2*maxTransit
 }
 
 // reservedFrom reports whether capacity is withheld from requests of a level in favor of more
 // urgent ones.
 func (s *service) reservedFrom(now time.Duration, level int) bool {
-	return slices.ContainsFunc(s.wanted[:level], func(until time.Duration) bool { return now < until })
+	return slices.ContainsFunc(s.urgentUntil[:level], func(until time.Duration) bool { return now < until })
 }
 
 // limitedUpstreams returns the upstreams of a service that advertise a limit; none if all of them
 // do, since nothing but their limited capacity exists then.
 func (f *Fleet) limitedUpstreams(s *service) []*member {
 	var list []*member
-	for incarnation := range f.limits.byLife {
+	for incarnation := range f.limits.byIncarnation {
 		if m := f.byKey[incarnation]; m != nil && m.service == s && f.limitOf(m) != nil {
 			list = append(list, m)
 		}
 	}
-	if len(list) == s.listed {
+	if len(list) == s.upstreamCount {
 		return nil
 	}
 	return list
--- a/balance/limitgate_test.go
+++ b/balance/limitgate_test.go
@@ -14,7 +14,7 @@
 
 // limitedFleet is the fleet of one box, with upstreams in two domains.
 func limitedFleet(boxes int, upstreams int) *Fleet {
-	f := NewFleet(Config{Domain: "d0", Tuning: DefaultTuning, Named: testLimitBounds, FirstStart: true})
+	f := NewFleet(Config{Domain: "d0", Tuning: DefaultTuning, LimitBounds: testLimitBounds, FirstStart: true})
 	f.SetQuotaPeers(QuotaPeers{Box: "box0", Boxes: boxNames(boxes)})
 	f.SetBoxes(2*boxes, true)
 	for i := range upstreams {
@@ -76,7 +76,7 @@
 			}
 			for _, side := range sides {
 				for _, box := range side {
-					f := NewFleet(Config{Domain: fmt.Sprint("d", d), Regions: regions, Tuning: DefaultTuning, Named: testLimitBounds})
+					f := NewFleet(Config{Domain: fmt.Sprint("d", d), Regions: regions, Tuning: DefaultTuning, LimitBounds: testLimitBounds})
 					f.SetQuotaPeers(QuotaPeers{Box: box, Boxes: side})
 					f.Put(0, Upstream{ID: "u", Service: "s", Address: "10.0.0.1:1", Domain: "d0", Slots: 8})
 					f.advertiseLimit(time.Second, "u", perSecond)
@@ -85,10 +85,10 @@
 				}
 			}
 		}
-		lets, _ := testLimitBounds.allowance(perSecond)
+		allowed, _ := testLimitBounds.allowance(perSecond)
 		bound := testLimitBounds.Overshoot*perSecond*testLimitBounds.Span.Seconds() + testLimitBounds.Slack
-		if sum < lets || !cut && sum > lets || float64(sum) > bound {
-			t.Fatalf("quotas add up to %d, allowance %d, bound %v", sum, lets, bound)
+		if sum < allowed || !cut && sum > allowed || float64(sum) > bound {
+			t.Fatalf("quotas add up to %d, allowance %d, bound %v", sum, allowed, bound)
 		}
 	})
 }
@@ -151,11 +151,11 @@
 	for i := range 40 { // to the other upstream, so that this box's own requests play no role
 		f.Open(time.Duration(i)*50*time.Millisecond, "u1", Request{Service: "s"}).Close(time.Duration(i)*50*time.Millisecond, Answered)
 	}
-	named, reported := 2*time.Second, 2900*time.Millisecond
-	f.MergeLimits(reported, []LimitReport{{Life: f.keyOf("u0"), PerSecond: 1, Since: reported - named, Read: reported - named}})
-	is.True(f.LimitExhausted(named+4100*time.Millisecond, "u0"))
+	advertised, reported := 2*time.Second, 2900*time.Millisecond
+	f.MergeLimits(reported, []LimitReport{{Life: f.keyOf("u0"), PerSecond: 1, Since: reported - advertised, Read: reported - advertised}})
+	is.True(f.LimitExhausted(advertised+4100*time.Millisecond, "u0"))
 	is.True(f.LimitExhausted(reported+3900*time.Millisecond, "u0"))
-	is.True(!f.LimitExhausted(named+5*time.Second, "u0"))
+	is.True(!f.LimitExhausted(advertised+5*time.Second, "u0"))
 }
 
 // A limit far above the request rate does not hold back requests when it is first advertised.
@@ -242,12 +242,12 @@
 		f.placeAndSend(time.Duration(i)*50*time.Millisecond, 0)
 	}
 	r := Request{Service: "s"}
-	waits, goes := f.Open(2*time.Second, "u0", r), f.Open(2*time.Second, "u1", r)
+	limited, unlimited := f.Open(2*time.Second, "u0", r), f.Open(2*time.Second, "u1", r)
 	before := f.Sent(2*time.Second, Incarnation{ID: "u0"}, time.Minute)
 	f.advertiseLimit(2100*time.Millisecond, "u0", 1)
-	is.True(!waits.MaySend(2200 * time.Millisecond))
+	is.True(!limited.MaySend(2200 * time.Millisecond))
 	is.Equal(f.Sent(2200*time.Millisecond, Incarnation{ID: "u0"}, time.Minute), before-1) // no longer counted as sent
-	is.True(goes.MaySend(2200 * time.Millisecond))
+	is.True(unlimited.MaySend(2200 * time.Millisecond))
 }
 
 // A request placed at an upstream that has since been removed is not counted, and may be sent.
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -102,7 +102,7 @@
 	is := is.New(t)
 	f := fleetWithAnswers(3)
 	f.SetMemory("s", testMemory)
-	late := Progress{Events: 10, Between: 400 * time.Millisecond, Left: 1500 * time.Millisecond}
+	late := Progress{Events: 10, EventInterval: 400 * time.Millisecond, TimeLeft: 1500 * time.Millisecond}
 	setRemoteMemory(f, f.byID["u1"], 0, testMemory*9/10)
 	m, ok := f.MoveTo(time.Second, longRequest(100, 360), "u0", late)
 	is.True(ok)
@@ -140,7 +140,7 @@
 			now := time.Duration(i) * time.Millisecond
 			id := fmt.Sprintf("u%d", rapid.IntRange(0, 2).Draw(t, "upstream"))
 			r := unsharedRequest(uint64(i), rapid.IntRange(2, testMemory).Draw(t, "tokens"), rapid.IntRange(0, 1000).Draw(t, "expected"))
-			r.Urgency = rapid.IntRange(0, Levels).Draw(t, "urgency")
+			r.Urgency = rapid.IntRange(0, UrgencyLevels).Draw(t, "urgency")
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what == 0:
 				open = append(open, f.OpenMoved(now, id, r))
@@ -256,8 +256,8 @@
 	w.runs = left
 }
 
-// tell reports the loads of each box to all others.
-func (w *memoryModel) tell() {
+// report reports the loads of each box to all others.
+func (w *memoryModel) report() {
 	for i, f := range w.boxes {
 		others := make(map[LoadKey]Load)
 		for j, g := range w.boxes {
@@ -282,7 +282,7 @@
 			now := time.Duration(i) * 10 * time.Millisecond
 			w.end(now)
 			if rapid.IntRange(0, 4).Draw(t, "tell") == 0 {
-				w.tell()
+				w.report()
 			}
 			box := rapid.IntRange(0, len(w.boxes)-1).Draw(t, "box")
 			r := unsharedRequest(uint64(i), rapid.IntRange(2, testMemory).Draw(t, "tokens"), rapid.IntRange(0, 1000).Draw(t, "expected"))
@@ -330,7 +330,7 @@
 				now := time.Duration(step) * 25 * time.Millisecond
 				w.end(now)
 				if step%2 == 0 {
-					w.tell()
+					w.report()
 				}
 				r := unsharedRequest(uint64(2*step), 14000, 400)
 				if _, ok := w.place(now, step%4, r, now+2*time.Second); ok {
--- a/balance/suspectreport.go
+++ b/balance/suspectreport.go
@@ -29,8 +29,8 @@
 	s.pending[content] = struct{}{}
 }
 
-// News returns the queued reports sorted by content, and clears the queue.
-func (s *Suspects) News(now time.Duration) []Suspect {
+// TakeNews returns the queued reports sorted by content, and clears the queue.
+func (s *Suspects) TakeNews(now time.Duration) []Suspect {
 	var list []Suspect
 	for _, content := range slices.Sorted(maps.Keys(s.pending)) {
 		if x := s.contents[content]; x != nil {
@@ -57,9 +57,9 @@
 	return list
 }
 
-// Take merges the reports of another box, and returns the contents that become withheld. If this
+// Merge merges the reports of another box, and returns the contents that become withheld. If this
 // box knows more about a content, it reports that in turn.
-func (s *Suspects) Take(now time.Duration, reports []Suspect) []uint64 {
+func (s *Suspects) Merge(now time.Duration, reports []Suspect) []uint64 {
 	var withheld []uint64
 	for _, t := range reports {
 		if t.Age >= suspectRetention {
@@ -101,9 +101,9 @@
 	}
 }
 
-// DigestOf returns a digest that is equal for equal contents, incarnations and rounds, and 0 for
+// SuspectsDigest returns a digest that is equal for equal contents, incarnations and rounds, and 0 for
 // none.
-func DigestOf(list []Suspect) uint64 {
+func SuspectsDigest(list []Suspect) uint64 {
 	var sum uint64
 	for _, x := range list {
 		b := binary.LittleEndian.AppendUint64(nil, x.Content)
--- a/balance/suspects_test.go
+++ b/balance/suspects_test.go
@@ -100,13 +100,13 @@
 	a, b := new(Suspects), new(Suspects)
 	crashDuring(a, 0, 1, content)
 	crashDuring(a, 0, 2, content)
-	b.Take(time.Second, a.News(time.Second))
+	b.Merge(time.Second, a.TakeNews(time.Second))
 	is.True(b.Left(time.Second, content) > 0)
 	b.Alive(incarnationOf(1), 900*time.Millisecond) // a run that began before the report proves nothing
 	is.True(b.Left(time.Second, content) > 0)
 	b.Alive(incarnationOf(1), 1100*time.Millisecond)
 	is.Equal(b.Left(2*time.Second, content), time.Duration(0))
-	a.Take(2*time.Second, b.News(2*time.Second))
+	a.Merge(2*time.Second, b.TakeNews(2*time.Second))
 	is.Equal(a.Left(2*time.Second, content), time.Duration(0))
 	is.Equal(a.Count(content), 1)
 }
@@ -157,10 +157,10 @@
 		random := rand.New(rand.NewPCG(seed, 0))
 		boxes := []*Suspects{new(Suspects), new(Suspects), new(Suspects)}
 		now := time.Duration(0)
-		tell := func(from, to *Suspects) {
+		exchange := func(from, to *Suspects) {
 			list := from.Withheld(now)
 			random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-			to.Take(now, list)
+			to.Merge(now, list)
 		}
 		for range 200 {
 			now += time.Duration(random.IntN(100)) * time.Millisecond
@@ -171,10 +171,10 @@
 			case 2:
 				b.Answered(now, content)
 			default:
-				news := b.News(now)
+				reports := b.TakeNews(now)
 				for _, other := range boxes {
 					if other != b && random.IntN(3) > 0 { // some reports are lost
-						other.Take(now, news)
+						other.Merge(now, reports)
 					}
 				}
 			}
@@ -183,8 +183,8 @@
 		for range 6 { // exchange of what each withholds, and of the reports in turn
 			for _, a := range boxes {
 				for _, b := range boxes {
-					tell(a, b)
-					a.Take(now, b.News(now))
+					exchange(a, b)
+					a.Merge(now, b.TakeNews(now))
 				}
 			}
 		}
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -83,8 +83,8 @@
 }
 
 func before(now Time, a, b *waiter) bool {
-	if a.bid.Visitor != b.bid.Visitor {
-		return b.bid.Visitor
+	if a.bid.FromOtherDomain != b.bid.FromOtherDomain {
+		return b.bid.FromOtherDomain
 	}
 	lateA, lateB := now >= a.target, now >= b.target
 	if lateA != lateB {
@@ -127,7 +127,7 @@
 	p.hold(now, l)
 	p.cache(b, w.bid.Prefix)
 	if l.keep = p.keep(w.class); l.keep > 0 {
-		p.keptUntil = now + KeptLife
+		p.keptUntil = now + RetainedSlotLifetime
 	}
 	p.emitGrant(l)
 }
@@ -149,7 +149,7 @@
 
 func (p *Pool) emitGrant(l *lease) {
 	p.verdicts = append(p.verdicts, Verdict{Kind: GrantSlot, ID: l.id, Box: l.box,
-		Class: l.class.rule.Class, Tier: l.class.rule.Tier, Upstream: l.backend.Name, Queued: l.queued, Keep: l.keep, Attempt: l.attempt})
+		Class: l.class.rule.Class, Tier: l.class.rule.Tier, Upstream: l.backend.Name, Queued: l.queued, RetainFor: l.keep, Attempt: l.attempt})
 }
 
 // TakeSurplus takes out the requests that are next, have waited for at least
@@ -159,7 +159,7 @@
 	var out []Bid
 	for {
 		w := p.next(now)
-		if w == nil || w.bid.Visitor || w.bid.Resume != "" || now-w.offered < patience || !room(w.class.rule.Tier) {
+		if w == nil || w.bid.FromOtherDomain || w.bid.Resume != "" || now-w.offered < patience || !room(w.class.rule.Tier) {
 			break
 		}
 		out = append(out, w.bid)
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -29,17 +29,17 @@
 
 // Bid is a request's wish for a slot in a pool.
 type Bid struct {
-	ID        uint64
-	Box       string // the box that holds the request
-	Class     string
-	Customer  string
-	Waited    time.Duration // since the request arrived
-	Remaining time.Duration // until the caller's own deadline; 0 is none
-	Work      float64       // expected tokens
-	Prefix    uint64        // hash of the prompt's prefix; 0 is none
-	Visitor   bool          // comes from another failure domain
-	Attempt   uint32        // counts the bids of the request; a newer one voids what the older got
-	Resume    string        // the upstream that holds its paused answer, if any
+	ID              uint64
+	Box             string // the box that holds the request
+	Class           string
+	Customer        string
+	Waited          time.Duration // since the request arrived
+	Remaining       time.Duration // until the caller's own deadline; 0 is none
+	Work            float64       // expected tokens
+	Prefix          uint64        // hash of the prompt's prefix; 0 is none
+	FromOtherDomain bool          // comes from another failure domain
+	Attempt         uint32        // counts the bids of the request; a newer one voids what the older got
+	Resume          string        // the upstream that holds its paused answer, if any
 }
 
 // Reason says why a request was refused. The order is part of the wire format.
@@ -114,8 +114,8 @@
 	// RetryAfter is when the caller should come back, for a refusal.
 	RetryAfter time.Duration
 	Attempt    uint32
-	// Keep is how long the holder may keep the slot after the answer.
-	Keep time.Duration
+	// RetainFor is how long the holder may keep the slot after the answer.
+	RetainFor time.Duration
 	// Queued is how long the bid had been with the pool when the slot was granted.
 	Queued time.Duration
 	// LowerWaiting and LowerRunning count what of a lower tier could have given
--- a/decide/keep.go
+++ b/decide/keep.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// KeptLife is how long a slot may be used again before it goes back, so that the
+// RetainedSlotLifetime is how long a slot may be used again before it goes back, so that the
 // owner's view of the upstreams, and not the past, decides where requests run.
-const KeptLife = time.Minute
+const RetainedSlotLifetime = time.Minute
 
 // keep is how long a slot granted now may be kept after its answer. In a large
 // pool asking for each costs more than the slots that lie idle; but
@@ -24,9 +24,9 @@
 	return keepTime
 }
 
-// Recall reports whether kept slots are wanted back: something waits and no slot
+// ShouldRecall reports whether kept slots are wanted back: something waits and no slot
 // is free, or an upstream is leaving. It says so at most every recallEvery.
-func (p *Pool) Recall(now Time) bool {
+func (p *Pool) ShouldRecall(now Time) bool {
 	short := len(p.waiting) > 0 && now-p.recalled >= recallEvery
 	if now > p.keptUntil || !short && !p.recallNow {
 		return false // nothing can be kept, or nothing is wanted
--- a/decide/small_test.go
+++ b/decide/small_test.go
@@ -33,10 +33,10 @@
 					shares[to].Borrow(late, asked, amount, LoanLife)
 				}
 			case 1:
-				shares[from].Take(now)
+				shares[from].Acquire(now)
 			case 2:
 				if shares[from].inUse > 0 {
-					shares[from].Give()
+					shares[from].Release()
 				}
 			}
 			sum := 0.0
@@ -64,7 +64,7 @@
 		for range 300 {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(rt, "ms")) * time.Millisecond
 			i := rapid.IntRange(0, boxes-1).Draw(rt, "box")
-			if shares[i].Take(now) {
+			if shares[i].Acquire(now) {
 				admitted++
 			}
 			if most := limit*now.Seconds() + limit*burstSeconds + float64(boxes); float64(admitted) > most {
@@ -79,7 +79,7 @@
 		for limit := 0; limit <= 30; limit++ {
 			sum := 0.0
 			for rank := range boxes {
-				sum += PartOf(ConcurrencyLimit, float64(limit), boxes, rank)
+				sum += ShareSize(ConcurrencyLimit, float64(limit), boxes, rank)
 			}
 			if sum != float64(limit) {
 				t.Errorf("parts of %d among %d add up to %g", limit, boxes, sum)
@@ -160,7 +160,7 @@
 			c.Observe(wall, alone, true)
 			k := dated(wall + 9*time.Second)
 			c.Claim(0, wall+10*time.Second, k, "b", 1, true)
-			c.GiveBack(k, "b", 1)
+			c.Release(k, "b", 1)
 			return c.Claim(0, wall+10*time.Second, k, "b", 2, true)
 		}, ClaimGranted},
 		{"minted here, seen by none of the others", func(c *Claims) ClaimVerdict {
--- a/relay/arrival.go
+++ b/relay/arrival.go
@@ -26,7 +26,7 @@
 	x, refused := r.admit(q, ctx.Conn())
 	c := callerOf(ctx)
 	if refused == nil {
-		refused = x.withhold()
+		refused = x.refuseWithheld()
 	}
 	if refused == nil && c != nil {
 		refused = x.chargeMemory(c)
@@ -49,10 +49,10 @@
 		c.releaseRequest() // this request was read together with the previous one
 	}
 	c.requestCharged = true
-	c.memoryShare, c.requestID = shareFor(x.urgency, x.doc.Urgencies(r.cfg.Protocol.Priorities)), x.request.id
+	c.memoryShare, c.requestID = shareForUrgency(x.urgency, x.doc.Urgencies(r.cfg.Protocol.Priorities)), x.request.id
 	if !c.lease.Grow(requestBytes, c.memoryShare) {
 		r.logTurnedAway(x.request.id, "request")
-		return &refusal{fasthttp.StatusServiceUnavailable, shortReason, defaultRetryAfter}
+		return &refusal{fasthttp.StatusServiceUnavailable, memoryShortReason, defaultRetryAfter}
 	}
 	c.writeDeadline = x.deadline.Add(lateWriteTimeout)
 	x.caller = c
@@ -62,9 +62,9 @@
 // logRefused logs and counts a request that was not admitted. x is nil if admit refused it.
 func (r *Relay) logRefused(q *request, refused refusal, x *exchange) {
 	fields := Fields{"id": q.id, "status": refused.status, "reason": refused.reason, "host": q.host,
-		"path": q.path(), "version": r.version(), "age_ms": r.age().Milliseconds()}
+		"path": q.path(), "version": r.documentVersion(), "age_ms": r.publishedAge().Milliseconds()}
 	if x != nil && refused.reason == withheldReason {
-		fields["content"], fields["route"], fields["customer"] = contentName(x.contentOf()), x.route.Name, x.customerName()
+		fields["content"], fields["route"], fields["customer"] = formatContentHash(x.requestHash()), x.route.Name, x.customerName()
 		fields["come_back_ms"] = refused.retryAfter.Milliseconds()
 	}
 	r.cfg.Log.Event("request", "refused", fields)
--- a/relay/way_test.go
+++ b/relay/connecttime_test.go
@@ -10,15 +10,16 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// A box measures the way by its own connections and tells operators.
-func TestTheWayIsMeasuredByConnections(t *testing.T) {
+// A box measures the connect time to a domain by its own connections and reports it to
+// operators.
+func TestConnectTimeIsMeasured(t *testing.T) {
 	is := is.New(t)
 	u := newStub(t, "u1", func(c net.Conn, _ stubRequest) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 		return false // each request takes a new connection
 	})
 	b := newTestBox(t, u)
-	b.listIn(u, "far")
+	b.listInDomain(u, "far")
 	b.waitFor(func() bool {
 		b.relay.mu.Lock()
 		defer b.relay.mu.Unlock()
@@ -34,6 +35,6 @@
 	b.relay.mu.Unlock()
 	is.Equal(rows[0].Way, uint64(way.Microseconds()))
 	is.True(way > 0)
-	guess := balance.NewFleet(balance.Config{Domain: "d"}).RTT("far")
-	is.True(way != guess) // what was measured, no more the layout
+	estimate := balance.NewFleet(balance.Config{Domain: "d"}).RTT("far")
+	is.True(way != estimate) // measured, no longer estimated from the layout
 }
--- a/relay/documentwait_test.go
+++ b/relay/documentwait_test.go
@@ -24,7 +24,7 @@
 }
 
 // waitedForDocument returns the number of requests that waited for a document.
-func (b *testBox) waitedForDocument() uint64 { return b.relay.stats.counted("held_starting") }
+func (b *testBox) waitedForDocument() uint64 { return b.relay.stats.counterValue("held_starting") }
 
 // A request that arrives before the box has a document is served when the document arrives.
 func TestRequestWaitsForDocument(t *testing.T) {
@@ -63,7 +63,7 @@
 		b.waitFor(func() bool { return b.waitedForDocument() == uint64(i+1) })
 		is.NoErr(c.Close())
 	}
-	b.waitFor(func() bool { return b.relay.stats.counted("refused_"+callerLeft) == callers })
+	b.waitFor(func() bool { return b.relay.stats.counterValue("refused_"+callerLeft) == callers })
 	b.publisher.set("document", testDocument(1), false)
 	is.Equal(b.do(b.request("POST", "/once/a", "")).status, 200)
 	is.Equal(len(s.requests()), 1)
--- a/relay/response.go
+++ b/relay/response.go
@@ -30,7 +30,7 @@
 
 // roundTrip makes a call of the box itself on a connection and reads the header of the response.
 func (r *Relay) roundTrip(c *conn, o outgoingRequest) (*response, error) {
-	if r.isPaused(c.life) {
+	if r.isPaused(c.incarnation) {
 		return nil, errNotAccepting
 	}
 	return r.readResponse(c, o.id, c.send(o))
@@ -44,7 +44,7 @@
 			return nil, err
 		}
 		resp.sent = sent
-		r.noteSaid(resp, request)
+		r.noteNotices(resp, request)
 		id := headerValue(&resp.header, r.cfg.Protocol.RequestID)
 		if id == "" || id == request {
 			resp.reuse = resp.reuse && skipped == 0
@@ -106,10 +106,10 @@
 // response was read, the request was written completely, and the response allows reuse.
 func (r *Relay) releaseConn(resp *response, whole bool) {
 	if whole && resp.reuse && resp.sent.succeeded() {
-		r.conns.keep(resp.conn, keepAliveTimeout(&resp.header))
+		r.conns.putIdle(resp.conn, keepAliveTimeout(&resp.header))
 		return
 	}
-	r.conns.drop(resp.conn)
+	r.conns.discard(resp.conn)
 }
 
 // keepAliveTimeout returns how long the upstream keeps the connection open; 0 if not stated.
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -25,7 +25,7 @@
 	r := x.relay
 	r.mu.Lock()
 	budget := r.budgets.ForService(x.service)
-	left := budget.Left(r.now(), r.divisor())
+	left := budget.Remaining(r.now(), r.divisor())
 	use := budget.Use(r.now(), r.divisor())
 	r.mu.Unlock()
 	if left > 0 || x.retryPaid {
@@ -54,7 +54,7 @@
 }
 
 // logNotRetried logs a request that the budget denies a retry.
-func (x *exchange) logNotRetried(use balance.BudgetUse) {
+func (x *exchange) logNotRetried(use balance.BudgetUsage) {
 	x.relay.cfg.Log.Event("run", "not retried", Fields{"id": x.request.id, "upstream": x.upstream.ID, "service": x.service, "reason": "retry budget used up",
 		"taken": use.Taken, "spent": use.Spent, "boxes": use.Boxes, "window_ms": x.relay.cfg.Budget.Window.Milliseconds()})
 }
@@ -66,7 +66,7 @@
 	for _, service := range r.budgets.Services() {
 		budget := r.budgets.ForService(service)
 		use := budget.Use(now, boxes)
-		left := uint32(budget.Left(now, boxes))
+		left := uint32(budget.Remaining(now, boxes))
 		rows = append(rows, &wire.RetryRow{Service: service, Taken: uint32(use.Taken), Spent: uint32(use.Spent), Left: left})
 		if len(rows) == 1 || left < fewest {
 			fewest = left
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -165,12 +165,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.mirror.Revision()
-	b.mirror.Apply(r, r+1, []mirror.Item{{Key: key, Value: value, Revision: r + 1, Gone: gone}})
+	b.mirror.Apply(r, r+1, []mirror.Item{{Key: key, Value: value, Revision: r + 1, Deleted: gone}})
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-func (b *fakePublisher) Everything(context.Context) ([]mirror.Item, uint64, error) {
+func (b *fakePublisher) ReadAll(context.Context) ([]mirror.Item, uint64, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.unavailable {
@@ -216,12 +216,12 @@
 		return Update{Document: doc}, err
 	}
 	if domain, ok := strings.CutPrefix(it.Key, "evacuate/"); ok {
-		if it.Gone {
+		if it.Deleted {
 			return Update{Restored: domain}, nil
 		}
 		return Update{Evacuated: domain}, nil
 	}
-	if it.Gone {
+	if it.Deleted {
 		return Update{Removed: it.Key}, nil
 	}
 	u := new(balance.Upstream)
@@ -288,9 +288,9 @@
 }
 
 // newTestBoxWithProtocol is newTestBox with another protocol.
-func newTestBoxWithProtocol(t *testing.T, words Protocol, stubs ...*stub) *testBox {
+func newTestBoxWithProtocol(t *testing.T, protocol Protocol, stubs ...*stub) *testBox {
 	t.Helper()
-	return newTestBoxWithConfig(t, func(c *Config) { c.Protocol = words }, stubs...)
+	return newTestBoxWithConfig(t, func(c *Config) { c.Protocol = protocol }, stubs...)
 }
 
 // newTestBoxWithConfig is newTestBox with a configuration modified by change.
@@ -308,8 +308,8 @@
 	var err error
 	cfg := Config{Box: "box", Domain: "d", CallerListener: callers, ReadinessListener: ready, Self: &wire.GroupBox{Name: "box", Domain: "d", Boot: 1},
 		Timing: group.DefaultTiming, Protocol: testProtocol, Publisher: b.publisher, Decode: decodeItem, Log: log,
-		Budget: balance.BudgetConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, Limits: balance.LimitBounds{Span: allowedSpan, Overshoot: allowedTimes, Slack: allowedSlack}, Tuning: balance.DefaultTuning,
-		FirstStart: true, Boxes: 1, Grace: time.Second}
+		Budget: balance.BudgetConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, Limits: balance.LimitBounds{Span: allowedSpan, Overshoot: allowedFactor, Slack: allowedSlack}, Tuning: balance.DefaultTuning,
+		FirstStart: true, Boxes: 1, StopTimeout: time.Second}
 	change(&cfg)
 	b.relay, err = Start(cfg)
 	if err != nil {
--- a/relay/suspension_test.go
+++ b/relay/suspension_test.go
@@ -47,7 +47,7 @@
 		long.Routes[i].Timeout = time.Hour
 	}
 	b.publisher.set("document", long, false)
-	b.waitFor(func() bool { return b.relay.version() == 2 })
+	b.waitFor(func() bool { return b.relay.documentVersion() == 2 })
 	got := make(chan callerResponse, 1)
 	go func() { got <- b.do(b.request(http.MethodPost, "/once/x", "", "X-Left", "3600000")) }()
 	<-began
@@ -82,7 +82,7 @@
 	is.Equal((<-got).status, http.StatusOK)
 	ms, err := strconv.Atoi(<-left)
 	is.NoErr(err)
-	is.True(ms <= 2000) // of 4,000 ms, of which the machine was suspended for two seconds
+	is.True(ms <= 2000) // at most 4,000, less two seconds of suspension
 }
 
 // Ages include suspensions; otherwise old information would be taken for new.
@@ -94,7 +94,7 @@
 	b.publisher.unavailable = true // no read confirms the known state
 	b.publisher.mu.Unlock()
 	clock.suspend(time.Hour)
-	b.waitFor(func() bool { return b.relay.age() >= time.Hour })
+	b.waitFor(func() bool { return b.relay.publishedAge() >= time.Hour })
 	is.True(b.relay.now() >= time.Hour)
 }
 
