--- a/cell/holder.go
+++ b/cell/holder.go
@@ -91,7 +91,7 @@
 	case n.withheldFor(l) > 0:
 		n.endWithheld(l)
 	default:
-		n.budget(req.Class).Attempt(len(n.listedBoxes()))
+		n.budget(req.Class).RecordAttempt(len(n.listedBoxes()))
 		if m := n.takeLimits(l); m != nil {
 			n.park(l, m)
 		} else {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -16,9 +16,9 @@
 	started bool
 }
 
-// Attempt notes a first attempt, which earns credit. The burst is divided among so many boxes, and each may save up one retry
+// RecordAttempt notes a first attempt, which earns credit. The burst is divided among so many boxes, and each may save up one retry
 // at least.
-func (r *RetryBudget) Attempt(boxes int) {
+func (r *RetryBudget) RecordAttempt(boxes int) {
 	most := max(1, retryBurst/float64(max(boxes, 1)))
 	if !r.started {
 		r.started, r.credit = true, most
--- a/decide/small_test.go
+++ b/decide/small_test.go
@@ -223,18 +223,18 @@
 			f := full
 			c.edit(&f)
 			budget := new(RetryBudget)
-			budget.Attempt(1)
+			budget.RecordAttempt(1)
 			is.New(t).Equal(MayRetry(f, budget), c.want)
 		})
 	}
 	var b RetryBudget
 	n := 0
-	b.Attempt(1)
+	b.RecordAttempt(1)
 	for b.Spend() {
 		n++
 	}
 	for range 99 {
-		b.Attempt(1)
+		b.RecordAttempt(1)
 	}
 	for b.Spend() {
 		n++
@@ -258,7 +258,7 @@
 		}
 	}
 	for i := range attempts {
-		all[i%boxes].Attempt(boxes)
+		all[i%boxes].RecordAttempt(boxes)
 		if i%(attempts/restarts) == 0 {
 			drain()
 			all[i%boxes] = RetryBudget{}
