--- a/soak/upstream.go
+++ b/soak/upstream.go
@@ -263,7 +263,7 @@
 // report tells what runs.
 func (u *upstream) report(w http.ResponseWriter) {
 	u.mu.Lock()
-	body, err := platform.ReportOf(u.runs)
+	body, err := platform.EncodeReport(u.runs)
 	u.mu.Unlock()
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
