--- a/cell/types.go
+++ b/cell/types.go
@@ -95,7 +95,7 @@
 	Pace     time.Duration       // per token; 0 if unknown
 	First    time.Duration       // from sending to the first token; 0 if unknown
 	Attempt  uint32              // attempt of the bid that the slot was granted for
-	Said     decide.AnswerNotice // what the upstream reported of itself in its answer
+	Notice   decide.AnswerNotice // what the upstream reported of itself in its answer
 }
 
 // Holding summarizes the slots that the sender holds in a set and the bids
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -49,7 +49,7 @@
 	case *cell.Release:
 		return &wire.Message{Body: &wire.Message_Release{Release: &wire.Release{
 			Id: m.ID, Set: m.Set, Upstream: m.Upstream, Tokens: uint32(m.Tokens), Outcome: uint32(m.Outcome), Pace: micros(m.Pace), First: micros(m.First), Attempt: m.Attempt,
-			Leaving: m.Said.Leaving, Pause: micros(m.Said.Pause), SaidAge: micros(m.Said.Age)}}}
+			Leaving: m.Notice.Leaving, Pause: micros(m.Notice.Pause), SaidAge: micros(m.Notice.Age)}}}
 	case *cell.Holding:
 		return &wire.Message{Body: &wire.Message_Holding{Holding: holdingToWire(m)}}
 	case *cell.HoldingAsk:
@@ -120,7 +120,7 @@
 			return nil
 		}
 		return &cell.Release{Set: w.Set, ID: w.Id, Upstream: w.Upstream, Tokens: int(w.Tokens), Outcome: decide.Outcome(w.Outcome), Pace: span(w.Pace), First: span(w.First), Attempt: w.Attempt,
-			Said: decide.AnswerNotice{Leaving: w.Leaving, Pause: span(w.Pause), Age: span(w.SaidAge)}}
+			Notice: decide.AnswerNotice{Leaving: w.Leaving, Pause: span(w.Pause), Age: span(w.SaidAge)}}
 	case *wire.Message_Holding:
 		return holdingFromWire(b.Holding)
 	case *wire.Message_HoldingAsk:
