--- a/cell/finish.go
+++ b/cell/finish.go
@@ -127,7 +127,7 @@
 		return
 	}
 	reason := decide.MayRetry(decide.Failure{
-		Ran:        l.ran,
+		MayHaveRun: l.ran,
 		Repeatable: l.rule.Repeatable && l.req.Repeatable,
 		Resumable:  l.req.Resumable,
 		Delivered:  l.tokens,
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -37,7 +37,7 @@
 
 // Failure describes an attempt that failed.
 type Failure struct {
-	Ran        bool // a byte may have left for the upstream
+	MayHaveRun bool // a byte may have left for the upstream
 	Repeatable bool // the request may run twice
 	Resumable  bool // an upstream can go on from what was delivered
 	Delivered  int  // tokens the caller has had
@@ -49,7 +49,7 @@
 // not repeatable and may have run is never tried again, whatever the budget.
 func MayRetry(f Failure, budget *RetryBudget) Reason {
 	switch {
-	case f.Ran && !f.Repeatable:
+	case f.MayHaveRun && !f.Repeatable:
 		return UpstreamFailed
 	case f.Delivered > 0 && !f.Resumable:
 		return UpstreamFailed
--- a/decide/small_test.go
+++ b/decide/small_test.go
@@ -212,10 +212,10 @@
 	}{
 		{"did not run", func(*Failure) {}, NoReason},
 		{"did not run, not repeatable", func(f *Failure) { f.Repeatable = false }, NoReason},
-		{"may have run, not repeatable", func(f *Failure) { f.Repeatable, f.Ran = false, true }, UpstreamFailed},
-		{"may have run, repeatable", func(f *Failure) { f.Ran = true }, NoReason},
-		{"delivered in part, resumable", func(f *Failure) { f.Ran, f.Delivered = true, 5 }, NoReason},
-		{"delivered in part, not resumable", func(f *Failure) { f.Ran, f.Delivered, f.Resumable = true, 5, false }, UpstreamFailed},
+		{"may have run, not repeatable", func(f *Failure) { f.Repeatable, f.MayHaveRun = false, true }, UpstreamFailed},
+		{"may have run, repeatable", func(f *Failure) { f.MayHaveRun = true }, NoReason},
+		{"delivered in part, resumable", func(f *Failure) { f.MayHaveRun, f.Delivered = true, 5 }, NoReason},
+		{"delivered in part, not resumable", func(f *Failure) { f.MayHaveRun, f.Delivered, f.Resumable = true, 5, false }, UpstreamFailed},
 		{"deadline passed", func(f *Failure) { f.TimeLeft = false }, Late},
 		{"too many attempts", func(f *Failure) { f.Attempts = maxAttempts }, RetriesSpent},
 	} {
