--- a/relay/cutoff.go
+++ b/relay/cutoff.go
@@ -101,7 +101,7 @@
 	defer r.mu.Unlock()
 	for x, c := range r.runConns {
 		u := r.fleet.Get(c.incarnation.ID)
-		if u != nil && u.Domain == domain && x.route.Again() {
+		if u != nil && u.Domain == domain && x.route.CanRepeat() {
 			_ = c.Close()
 		}
 	}
--- a/relay/incarnation.go
+++ b/relay/incarnation.go
@@ -59,7 +59,7 @@
 	defer r.mu.Unlock()
 	runs := make(map[string][]*conn)
 	for x, c := range r.runConns {
-		if x.route.Again() && u.Incarnation().After(c.incarnation) && c.openedBefore(now, u.StartedAt) {
+		if x.route.CanRepeat() && u.Incarnation().After(c.incarnation) && c.openedBefore(now, u.StartedAt) {
 			address := c.RemoteAddr().String()
 			runs[address] = append(runs[address], c)
 		}
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -33,7 +33,7 @@
 		return runUnknown, nil, errNoStream
 	}
 	status := resp.header.StatusCode()
-	if status >= fasthttp.StatusInternalServerError && x.route.Again() {
+	if status >= fasthttp.StatusInternalServerError && x.route.CanRepeat() {
 		x.failure = &failedResponse{resp, body}
 		return runUnknown, nil, statusError(status)
 	}
--- a/relay/probe.go
+++ b/relay/probe.go
@@ -88,7 +88,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for x, c := range r.runConns {
-		if c.incarnation == inc && x.route.Again() {
+		if c.incarnation == inc && x.route.CanRepeat() {
 			_ = c.Close()
 		}
 	}
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -182,7 +182,7 @@
 	if x.events == nil && x.relay.cfg.Disabled[balance.Repeating] {
 		return false
 	}
-	if x.runsSent >= x.route.MaxAttempts || state == runUnknown && !x.route.Again() {
+	if x.runsSent >= x.route.MaxAttempts || state == runUnknown && !x.route.CanRepeat() {
 		return false
 	}
 	return x.hasRetry()
--- a/route/route.go
+++ b/route/route.go
@@ -43,8 +43,8 @@
 	Weight  int
 }
 
-// Again reports whether a request of the route may run a second time.
-func (r *Route) Again() bool { return r.Repeat == Repeatable || r.Repeat == Stream && r.Resumable }
+// CanRepeat reports whether a request of the route may run a second time.
+func (r *Route) CanRepeat() bool { return r.Repeat == Repeatable || r.Repeat == Stream && r.Resumable }
 
 func (r *Route) check() error {
 	switch {
