--- a/mirror/error.go
+++ b/mirror/error.go
@@ -1,21 +1,21 @@
 package mirror
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // Kinds of error.
 const (
-	KindForgotten   Kind = "forgotten"  // changes that are no longer known
-	KindUnreachable Kind = "away"       // the publisher gave no answer
-	KindRefused     Kind = "refused"    // the publisher answered, but not with what was asked for
-	KindNotNeeded   Kind = "not needed" // what was asked for is known meanwhile
+	KindForgotten   Kind = "forgotten"  // the changes asked for are no longer kept
+	KindUnreachable Kind = "away"       // the publisher did not respond
+	KindRefused     Kind = "refused"    // the publisher responded with an error
+	KindNotNeeded   Kind = "not needed" // the result is already known from another source
 )
 
-// Error says what was being done and what went wrong.
+// Error describes a failed operation; Op names the operation.
 type Error struct {
 	Op   string
 	Kind Kind
-	Err  error // nil where the kind says it all
+	Err  error // the cause; may be nil
 }
 
 var _ error = (*Error)(nil)
--- a/mirror/history.go
+++ b/mirror/history.go
@@ -1,30 +1,31 @@
 package mirror
 
-// This file defines the changes that a copy keeps for other boxes. The invariant:
-// history holds all changes behind floor, or Since says that it does not.
+// This file defines the history of changes that a mirror keeps for other boxes. The
+// invariant: history holds all changes after revision floor; Since returns false for
+// earlier revisions.
 
 const (
-	// historyItems and historyBytes bound the changes kept for other boxes: a
-	// minute of a large deployment, and a tenth of a small box's memory.
-	historyItems = 1024
-	historyBytes = 2 << 20
+	// maxHistoryItems and maxHistoryBytes limit the history: about a minute of changes in a
+	// large deployment, and a tenth of the memory of a small box.
+	maxHistoryItems = 1024
+	maxHistoryBytes = 2 << 20
 )
 
-// record keeps changes for other boxes.
+// record appends changes to the history and removes the oldest beyond its limits.
 func (m *Mirror) record(changes []Item) {
 	for _, it := range changes {
 		m.history = append(m.history, it)
 		m.bytes += len(it.Value)
 	}
-	for len(m.history) > 0 && (len(m.history) > historyItems || m.bytes > historyBytes) {
+	for len(m.history) > 0 && (len(m.history) > maxHistoryItems || m.bytes > maxHistoryBytes) {
 		m.floor = max(m.floor, m.history[0].Revision)
 		m.bytes -= len(m.history[0].Value)
 		m.history = m.history[1:]
 	}
 }
 
-// Since returns all changes behind a revision; false means that they are no longer
-// kept.
+// Since returns all changes after a revision, in order of arrival; false means that some of
+// them are no longer kept, or that the mirror has not reached the revision.
 func (m *Mirror) Since(revision uint64) ([]Item, bool) {
 	if revision == m.revision {
 		return nil, true
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,39 +1,39 @@
-// Package mirror keeps a box's copy of what is published: the routing document and
-// the list of upstreams, as items with revisions.
+// Package mirror keeps a box's local replica of the published items, which have revisions:
+// the routing document and the list of upstreams.
 //
-// A copy is filled by reading the publisher, or by the changes that another box
-// passes on; both may come late, twice or out of order. The package does no I/O.
+// A mirror is filled from the publisher, or from changes that another box forwards; both
+// may be delayed, duplicated or reordered. The package does no I/O.
 package mirror
 
-// This file defines the copy. The invariants: an item is never replaced by an older
-// one; and a copy at revision R lacks no change up to R.
+// This file defines the replica. The invariants: an item is never replaced by an older
+// one; and a mirror at revision R has every change up to R.
 
 import (
 	"slices"
 	"strings"
 )
 
-// Mirror is a copy. It is not safe for several goroutines.
+// Mirror is a replica of the published items. It is not safe for concurrent use.
 type Mirror struct {
-	items    map[string]Item
-	gone     map[string]uint64 // revisions at which items went, so that older news of them is known as such
-	revision uint64
-	history  []Item // the newest changes, in the order of their arrival
-	floor    uint64 // history holds all changes behind this revision
-	bytes    int    // of the values in history
+	items      map[string]Item
+	tombstones map[string]uint64 // revisions at which keys were deleted, to reject older items of these keys
+	revision   uint64
+	history    []Item // the latest changes, in order of arrival
+	floor      uint64 // history holds all changes after this revision
+	bytes      int    // total size of the values in history
 }
 
-// goneKept is of how many items that went the news is kept at least; of more where there are more items, all of which may go
-// within a short time. Without it, late news of an item that went brings it back.
-const goneKept = 4096
+// minTombstones is the least number of tombstones that are kept. More are kept if there are more items, since all of them may be
+// deleted within a short time. Without its tombstone, a delayed message with a deleted item would restore the item.
+const minTombstones = 4096
 
-// New returns an empty copy.
-func New() *Mirror { return &Mirror{items: make(map[string]Item), gone: make(map[string]uint64)} }
+// New returns an empty mirror.
+func New() *Mirror { return &Mirror{items: make(map[string]Item), tombstones: make(map[string]uint64)} }
 
-// Revision is up to where the copy lacks nothing; 0 while it is empty.
+// Revision returns the revision up to which the mirror has every change; 0 before the first Load.
 func (m *Mirror) Revision() uint64 { return m.revision }
 
-// Items returns all items, in the order of their keys.
+// Items returns all items, ordered by key.
 func (m *Mirror) Items() []Item {
 	list := make([]Item, 0, len(m.items))
 	for _, it := range m.items {
@@ -43,8 +43,8 @@
 	return list
 }
 
-// Load takes everything as it was at a revision, and returns what is new. A state
-// older than the copy is ignored.
+// Load applies a snapshot of all items at a revision, and returns the changes. A snapshot
+// older than the mirror is ignored.
 func (m *Mirror) Load(items []Item, revision uint64) []Item {
 	if revision < m.revision {
 		return nil
@@ -65,7 +65,7 @@
 		}
 	}
 	if m.revision == 0 {
-		m.floor = revision // what is new now is no change to anybody
+		m.floor = revision // the first snapshot is not kept as changes, since it does not tell what was deleted
 	} else {
 		m.record(changes)
 	}
@@ -73,9 +73,9 @@
 	return changes
 }
 
-// Apply takes the changes behind from, up to a revision, and returns what is new.
-// It reports false, and takes nothing, if the copy lacks changes before them, or if they are all
-// that an empty copy has learned: those say nothing of what went.
+// Apply applies the changes after revision from, up to revision to, and returns those that were
+// new. It returns false and applies nothing if the mirror lacks changes before from, or if from
+// is 0: such a list is the first snapshot of another mirror, which has no deletions.
 func (m *Mirror) Apply(from, to uint64, items []Item) ([]Item, bool) {
 	if from > m.revision || from == 0 {
 		return nil, false
@@ -91,40 +91,41 @@
 	return changes, true
 }
 
-// put stores an item if it is newer than what is known.
+// put applies an item if it is newer than the known item or tombstone of its key. It reports
+// whether the items of the mirror changed.
 func (m *Mirror) put(it Item) bool {
 	if old, ok := m.items[it.Key]; ok && old.Revision >= it.Revision {
 		return false
 	}
-	if m.gone[it.Key] >= it.Revision {
+	if m.tombstones[it.Key] >= it.Revision {
 		return false
 	}
 	if !it.Deleted {
-		delete(m.gone, it.Key)
+		delete(m.tombstones, it.Key)
 		m.items[it.Key] = it
 		return true
 	}
 	_, known := m.items[it.Key]
 	delete(m.items, it.Key)
-	m.gone[it.Key] = it.Revision
-	m.trimGone()
+	m.tombstones[it.Key] = it.Revision
+	m.trimTombstones()
 	return known
 }
 
-// trimGone forgets the oldest half of the news of items that went.
-func (m *Mirror) trimGone() {
-	if len(m.gone) <= max(goneKept, len(m.items)) {
+// trimTombstones removes the older half of the tombstones if there are too many.
+func (m *Mirror) trimTombstones() {
+	if len(m.tombstones) <= max(minTombstones, len(m.items)) {
 		return
 	}
-	revisions := make([]uint64, 0, len(m.gone))
-	for _, revision := range m.gone {
+	revisions := make([]uint64, 0, len(m.tombstones))
+	for _, revision := range m.tombstones {
 		revisions = append(revisions, revision)
 	}
 	slices.Sort(revisions)
-	middle := revisions[len(revisions)/2]
-	for key, revision := range m.gone {
-		if revision < middle {
-			delete(m.gone, key)
+	median := revisions[len(revisions)/2]
+	for key, revision := range m.tombstones {
+		if revision < median {
+			delete(m.tombstones, key)
 		}
 	}
 }
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -16,32 +16,32 @@
 	return out
 }
 
-func TestAnOlderItemNeverReplacesANewerOne(t *testing.T) {
+func TestOlderItemsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	m.Load([]Item{{Key: "a", Revision: 5}}, 5)
 	_, ok := m.Apply(5, 8, []Item{{Key: "a", Revision: 8, Deleted: true}})
 	is.True(ok)
-	changes, ok := m.Apply(3, 6, []Item{{Key: "a", Revision: 6}}) // late, and gone since
+	changes, ok := m.Apply(3, 6, []Item{{Key: "a", Revision: 6}}) // delayed; the item has been deleted since
 	is.True(ok)
 	is.Equal(len(changes), 0)
 	is.Equal(m.Revision(), uint64(8))
-	is.Equal(len(m.Load([]Item{{Key: "a", Revision: 5}}, 7)), 0) // a state older than the copy
+	is.Equal(len(m.Load([]Item{{Key: "a", Revision: 5}}, 7)), 0) // a snapshot older than the mirror
 	is.Equal(len(m.Items()), 0)
 }
 
-func TestChangesWithAGapAreNotTaken(t *testing.T) {
+func TestApplyRejectsGaps(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	_, ok := m.Apply(0, 4, []Item{{Key: "a", Revision: 4}})
-	is.True(!ok) // an empty copy lacks everything
+	is.True(!ok) // an empty mirror has no changes
 	m.Load(nil, 4)
 	_, ok = m.Apply(5, 6, []Item{{Key: "a", Revision: 6}})
 	is.True(!ok)
 	is.Equal(m.Revision(), uint64(4))
 }
 
-func TestALoadTellsWhatHasGone(t *testing.T) {
+func TestLoadReturnsDeletions(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	m.Load([]Item{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, 2)
@@ -52,14 +52,14 @@
 	is.True(ok)
 	is.Equal(len(since), 2)
 	_, ok = m.Since(1)
-	is.True(!ok) // before the copy's own beginning
+	is.True(!ok) // before the first snapshot of the mirror
 }
 
-func TestOldChangesAreForgotten(t *testing.T) {
+func TestHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	m.Load(nil, 1)
-	for i := range uint64(historyItems + 10) {
+	for i := range uint64(maxHistoryItems + 10) {
 		m.Apply(i+1, i+2, []Item{{Key: fmt.Sprint(i), Revision: i + 2}})
 	}
 	_, ok := m.Since(5)
@@ -69,9 +69,9 @@
 	is.Equal(len(list), 10)
 }
 
-// However changes are cut into messages, lost, repeated and reordered, a copy that
-// says it is at a revision holds exactly what the publisher held there.
-func TestACopyAtARevisionLacksNothing(t *testing.T) {
+// However changes are batched, lost, duplicated and reordered, a mirror at a revision holds
+// exactly the items that the publisher had at that revision.
+func TestMirrorMatchesPublisherAtRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := New()
 		source.Load(nil, 1)
@@ -102,40 +102,40 @@
 			target.Apply(m.from, m.to, m.items)
 			got, want := fmt.Sprint(keys(target.Items())), fmt.Sprint(states[target.Revision()])
 			if got != want {
-				t.Fatalf("at %d: %s, want %s", target.Revision(), got, want)
+				t.Fatalf("items at revision %d: %s, want %s", target.Revision(), got, want)
 			}
 		}
 	})
 }
 
-// What an empty copy has learned names what there is, and nothing that went: taken for the changes
-// behind revision 0, it left a copy at the newest revision with an item that was gone.
-func TestWhatAnEmptyCopyLearnedIsNoChange(t *testing.T) {
+// The first snapshot of a mirror has no deletions. Applied by another mirror as the changes after
+// revision 0, it would advance that mirror to the latest revision with a deleted item still there.
+func TestApplyRejectsFirstSnapshot(t *testing.T) {
 	is := is.New(t)
-	kept, fresh := New(), New()
-	kept.Load([]Item{{Key: "a", Revision: 1}, {Key: "gone", Revision: 2}}, 2)
-	learned := fresh.Load([]Item{{Key: "a", Revision: 1}}, 3)
-	is.Equal(len(learned), 1)
-	_, ok := kept.Apply(0, fresh.Revision(), learned)
+	older, fresh := New(), New()
+	older.Load([]Item{{Key: "a", Revision: 1}, {Key: "gone", Revision: 2}}, 2)
+	snapshot := fresh.Load([]Item{{Key: "a", Revision: 1}}, 3)
+	is.Equal(len(snapshot), 1)
+	_, ok := older.Apply(0, fresh.Revision(), snapshot)
 	is.True(!ok)
-	is.Equal(kept.Revision(), uint64(2)) // it still knows that it lacks something
+	is.Equal(older.Revision(), uint64(2)) // the mirror still lacks the changes since
 }
 
-// Most of a long list goes at once: late news of an item of it does not bring it back, also where more than goneKept went.
-func TestLateNewsOfWhatWentBringsNothingBack(t *testing.T) {
+// A delayed item does not restore a deleted one, even after more than minTombstones items were deleted at once.
+func TestDelayedItemDoesNotUndoDeletion(t *testing.T) {
 	is := is.New(t)
-	const items = 3 * goneKept
+	const items = 3 * minTombstones
 	m := New()
 	var list []Item
 	for i := range items {
 		list = append(list, Item{Key: fmt.Sprint(i), Revision: uint64(i + 1)})
 	}
 	m.Load(list, items)
-	var gone []Item
-	for i := range goneKept + 1 {
-		gone = append(gone, Item{Key: fmt.Sprint(i), Revision: items + uint64(i) + 1, Deleted: true})
+	var deletions []Item
+	for i := range minTombstones + 1 {
+		deletions = append(deletions, Item{Key: fmt.Sprint(i), Revision: items + uint64(i) + 1, Deleted: true})
 	}
-	m.Apply(items, items+goneKept+1, gone)
+	m.Apply(items, items+minTombstones+1, deletions)
 	m.Apply(m.Revision(), m.Revision(), []Item{{Key: "0", Revision: 1}})
-	is.Equal(len(m.Items()), items-goneKept-1)
+	is.Equal(len(m.Items()), items-minTombstones-1)
 }
--- a/mirror/publisher.go
+++ b/mirror/publisher.go
@@ -1,36 +1,37 @@
 package mirror
 
-// This file defines what is published, and how the mirror's owner reads it. The
-// invariant: the revision that a call returns is one from which the next call misses
-// nothing.
+// This file defines the published items and the interface for reading them. The
+// invariant: a later call of Changes with the revision that a call returned misses no
+// change.
 
 import (
 	"context"
 	"time"
 )
 
-// Item is something published, or the news that it is gone.
+// Item is a published item, or the tombstone of a deleted one.
 type Item struct {
 	Key      string
-	Value    []byte // as it was published; empty where it is gone
+	Value    []byte // as published; empty if deleted
 	Revision uint64 // of its last change
 	Deleted  bool
 }
 
-// Publisher is where items are published. Both calls return the publisher's own
-// revision, from which the next call goes on.
+// Publisher is the source of published items. Both methods return the publisher's
+// revision, to be passed to the next call of Changes.
 type Publisher interface {
-	// ReadAll reads all items. It may go on where a call before it failed: what it
-	// returns was then the newest no later than when the first of them began. Where ctx is
-	// ended with the cause ErrNotNeeded, it stops after the page under way.
+	// ReadAll returns all items. It may continue a failed earlier call; the result may then be
+	// as old as the start of that call, and so is the returned revision. If ctx ends with
+	// the cause ErrNotNeeded, it stops after the page in progress.
 	ReadAll(ctx context.Context) ([]Item, uint64, error)
-	// Changes waits for changes behind a revision. An error that is ErrForgotten
-	// says that they are no longer known, so that everything has to be read.
+	// Changes returns the changes after a revision, and waits for up to wait if there are
+	// none. ErrForgotten means that they are no longer kept, so that all items must be read.
 	Changes(ctx context.Context, after uint64, wait time.Duration) ([]Item, uint64, error)
 }
 
-// ErrForgotten says that the publisher no longer knows the changes asked for.
+// ErrForgotten means that the publisher no longer keeps the changes asked for.
 var ErrForgotten = &Error{Op: "changes", Kind: KindForgotten}
 
-// ErrNotNeeded is the cause of the end of a reading whose result is known meanwhile.
+// ErrNotNeeded is the cause with which a read is cancelled when its result is already known from
+// another source.
 var ErrNotNeeded = &Error{Op: "everything", Kind: KindNotNeeded}
--- a/route/document.go
+++ b/route/document.go
@@ -1,11 +1,12 @@
-// Package route holds the routing document that operators publish: which requests
-// there are, which service runs each, who may send them, and under which limits.
+// Package route defines the routing document that operators publish: the routes of
+// requests, the services that run them, the customers with their keys, and the limits on
+// what callers send.
 //
-// A document is taken whole, never changed, and shared by all goroutines of a box.
+// A document is immutable, adopted as a whole, and shared by all goroutines of a box.
 package route
 
-// This file defines the document and its look-ups. The invariant: a document that
-// New returned is never written again.
+// This file defines the document and its lookups. The invariant: a document that New
+// returned is never modified.
 
 import (
 	"fmt"
@@ -14,31 +15,31 @@
 	"time"
 )
 
-// Service is a group of like upstreams.
+// Service is a group of interchangeable upstreams.
 type Service struct {
 	Name           string
-	MaxConnections int           // an upstream accepts, from all boxes together
-	ColdFor        time.Duration // for how long an upstream is cold after a start
-	ColdPerSecond  float64       // requests in a second that a cold upstream bears; 0: there is no bound
-	Memory         int           // tokens that the memory of an upstream holds; 0: not known
-	Moves          bool          // its upstreams can fetch from each other what they keep of prompts
+	MaxConnections int           // the most connections that one upstream accepts, over all boxes
+	ColdFor        time.Duration // how long an upstream is cold after its start
+	ColdPerSecond  float64       // requests per second that a cold upstream can take; 0: no limit
+	Memory         int           // capacity of an upstream's KV cache in tokens; 0: unknown
+	Moves          bool          // its upstreams can transfer KV cache contents to each other
 }
 
-// Customer is who sends requests, known by keys.
+// Customer is a sender of requests, identified by API keys.
 type Customer struct {
 	Name string
 	Keys []string
-	Rank *int // goes before the rank of the route where given
-	// Homes are the regions whose upstreams may run its requests; none: all.
+	Rank *int // orders requests within a class, 0 first; nil: the default rank, 1
+	// Homes are the regions whose upstreams may run its requests; empty: all regions.
 	Homes []string
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the requests and connections of callers.
 type Limits struct {
-	HeaderBytes int           // of a request's head
-	BodyBytes   int           // of a request's body; 0: the document sets no bound
-	HeaderWait  time.Duration // the longest that a head may take to arrive
-	IdleWait    time.Duration // the longest that a connection may rest
+	HeaderBytes int           // size of a request's headers
+	BodyBytes   int           // size of a request's body; 0: no limit from the document
+	HeaderWait  time.Duration // the longest time for a request's headers to arrive
+	IdleWait    time.Duration // the longest time that a connection may be idle
 }
 
 // Document is one version of the routing document.
@@ -49,13 +50,14 @@
 	Customers []Customer
 	Limits    Limits
 
-	byHost    map[string][]*Route // the longest prefix first
+	byHost    map[string][]*Route // longest prefix first
 	byKey     map[string]*Customer
 	byService map[string]*Service
 	ranks     ranks
 }
 
-// New indexes a document; the caller does not touch it afterwards.
+// New validates and indexes a document; the caller must not modify d afterwards. The error is
+// an Error of KindInvalid.
 func New(d Document) (*Document, error) {
 	d.byHost = make(map[string][]*Route)
 	d.byKey = make(map[string]*Customer)
@@ -82,8 +84,8 @@
 	return &d, nil
 }
 
-// Match returns the route of a request, or nil. A port behind the host is not
-// part of its name.
+// Match returns the route with the longest matching prefix, or nil. The case of host and a
+// port in it are ignored.
 func (d *Document) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// Customer returns who holds the key, or nil.
+// Customer returns the customer with the API key, or nil.
 func (d *Document) Customer(key string) *Customer { return d.byKey[key] }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the name, or nil.
 func (d *Document) Service(name string) *Service { return d.byService[name] }
--- a/route/error.go
+++ b/route/error.go
@@ -1,14 +1,14 @@
 package route
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindInvalid is the kind of an error about a document that makes no sense.
+// KindInvalid is the kind of an error about an invalid document.
 const KindInvalid Kind = "invalid"
 
-// Error says which part of a document is wrong, and how.
+// Error describes the invalid part of a document.
 type Error struct {
-	Op   string // the part, such as routes[3]
+	Op   string // the path of the part, such as routes[3]
 	Kind Kind
 	Err  error
 }
--- a/route/homes.go
+++ b/route/homes.go
@@ -1,18 +1,18 @@
 package route
 
-// This file defines where requests may run. The invariant: where a route and a customer both
-// have homes, both bind.
+// This file defines the regions in which requests may run. The invariant: if a route and a
+// customer both have home regions, only regions in both lists are allowed.
 
 import "slices"
 
-// Homes are regions.
+// Homes are the regions in which a request may run.
 type Homes struct {
-	Bound   bool     // only the upstreams of Regions may run the request
-	Regions []string // none, where Bound: no upstream may
+	Bound   bool     // only upstreams in Regions may run the request; false: all may
+	Regions []string // empty with Bound: no upstream may run the request
 }
 
-// HomesOf is where a request of the route and the customer may run; the customer is nil
-// where there is none.
+// HomesOf returns the regions in which a request may run, given its route and its customer; c is
+// nil if the request has no customer.
 func HomesOf(r *Route, c *Customer) Homes {
 	switch {
 	case c == nil || len(c.Homes) == 0:
@@ -20,6 +20,6 @@
 	case len(r.Homes) == 0:
 		return Homes{true, c.Homes}
 	}
-	elsewhere := func(region string) bool { return !slices.Contains(c.Homes, region) }
-	return Homes{true, slices.DeleteFunc(slices.Clone(r.Homes), elsewhere)}
+	notAllowed := func(region string) bool { return !slices.Contains(c.Homes, region) }
+	return Homes{true, slices.DeleteFunc(slices.Clone(r.Homes), notAllowed)}
 }
--- a/route/homes_test.go
+++ b/route/homes_test.go
@@ -6,17 +6,17 @@
 	"github.com/matryer/is"
 )
 
-func TestWhereARequestMayRun(t *testing.T) {
+func TestHomesOf(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		route, customer []string
 		want            Homes
 	}{
-		{"anywhere", nil, nil, Homes{}},
-		{"the route's homes", []string{"a", "b"}, nil, Homes{true, []string{"a", "b"}}},
-		{"the customer's homes", nil, []string{"b"}, Homes{true, []string{"b"}}},
-		{"both bind", []string{"a", "b"}, []string{"b", "c"}, Homes{true, []string{"b"}}},
-		{"nowhere", []string{"a"}, []string{"b"}, Homes{true, []string{}}},
+		{"unrestricted", nil, nil, Homes{}},
+		{"route only", []string{"a", "b"}, nil, Homes{true, []string{"a", "b"}}},
+		{"customer only", nil, []string{"b"}, Homes{true, []string{"b"}}},
+		{"intersection", []string{"a", "b"}, []string{"b", "c"}, Homes{true, []string{"b"}}},
+		{"empty intersection", []string{"a"}, []string{"b"}, Homes{true, []string{}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/route/rank.go
+++ b/route/rank.go
@@ -1,27 +1,27 @@
 package route
 
-// This file defines how urgent a request is. The invariants: a class of requests never
-// goes before a more urgent class, whoever sends it; within a class the customer's rank
-// decides; and two requests have the same order on every box that has the same document.
+// This file defines the urgency of a request. The invariants: a request never precedes one of
+// a more urgent class (a lower rank of the route), whoever sends it; within a class the
+// customer's rank decides; and boxes with the same document order requests alike.
 //
-// With the customer's rank first, a ranked customer's burst put back streams of the most
-// urgent class while its own requests of less urgent classes ran on: ten and more at an
-// upstream, on 3 of 14 days with two customers at eight times their usual; 0 of 14 so.
+// The class must come first: with the customer's rank first, a burst of a highly ranked
+// customer delayed streams of the most urgent class while the customer's own requests of less
+// urgent classes ran, ten and more at one upstream. With two customers at eight times their
+// usual load this happened on 3 of 14 days, and on 0 of 14 with the class first.
 
 import "slices"
 
-// ranks are the ranks that a document gives, each list in order.
+// ranks holds the distinct ranks in a document, each list in ascending order.
 type ranks struct {
 	customers []int
 	routes    []int
 }
 
-// plainRank is the rank of a customer that states none, and of a caller that is no
-// customer's.
-const plainRank = 1
+// defaultRank is the rank of a customer without one, and of requests without a customer.
+const defaultRank = 1
 
 func newRanks(d *Document) ranks {
-	r := ranks{customers: []int{plainRank}}
+	r := ranks{customers: []int{defaultRank}}
 	for i := range d.Customers {
 		r.customers = append(r.customers, d.Customers[i].rank())
 	}
@@ -39,26 +39,26 @@
 
 func (c *Customer) rank() int {
 	if c == nil || c.Rank == nil {
-		return plainRank
+		return defaultRank
 	}
 	return *c.Rank
 }
 
-// Urgency places a request of the customer, who may be nil, on the route among all
-// that the document allows: 0 is the most urgent, levels-1 the least. Where the
-// document tells more apart than there are levels, neighbours share one.
+// Urgency returns the urgency of a request, given its route and its customer, who may be nil:
+// from 0, the most urgent, to levels-1. If the document has more combinations of ranks than
+// levels, neighbouring combinations share a level.
 func (d *Document) Urgency(r *Route, c *Customer, levels int) int {
-	at, _ := slices.BinarySearch(d.ranks.customers, c.rank())
-	in, _ := slices.BinarySearch(d.ranks.routes, r.Rank)
-	all := len(d.ranks.customers) * len(d.ranks.routes)
-	place := in*len(d.ranks.customers) + at
-	if all <= levels {
-		return place
+	customer, _ := slices.BinarySearch(d.ranks.customers, c.rank())
+	class, _ := slices.BinarySearch(d.ranks.routes, r.Rank)
+	combinations := len(d.ranks.customers) * len(d.ranks.routes)
+	position := class*len(d.ranks.customers) + customer
+	if combinations <= levels {
+		return position
 	}
-	return place * levels / all
+	return position * levels / combinations
 }
 
-// Urgencies is how many urgencies the document tells apart, given so many levels.
+// Urgencies returns the number of distinct urgencies in the document, at most levels.
 func (d *Document) Urgencies(levels int) int {
 	return min(len(d.ranks.customers)*len(d.ranks.routes), levels)
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,7 +1,7 @@
 package route
 
 // This file defines routes. The invariant: a route of a document that New returned
-// names a service, and allows an attempt at least.
+// has at least one service and allows at least one attempt.
 
 import (
 	"fmt"
@@ -9,47 +9,47 @@
 	"time"
 )
 
-// Repeat says whether a request may run more than once.
+// Repeat is the policy for executing a request more than once.
 type Repeat uint8
 
-// What a route says about running a request again.
+// Repeat policies of a route.
 const (
-	Once       Repeat = iota // at most one run
-	Repeatable               // any number of runs
-	Stream                   // a stream of events: one run, unless the route resumes
+	Once       Repeat = iota // executed at most once
+	Repeatable               // may be executed any number of times
+	Stream                   // a stream of events: executed once, unless the route is resumable
 )
 
-// Route is one class of request.
+// Route defines a class of requests by host and path prefix.
 type Route struct {
 	Name          string
 	Host          string // lower case, without a port
-	Prefix        string // of the path; begins and ends with a slash
+	Prefix        string // of the path; starts and ends with a slash
 	Repeat        Repeat
-	Resumable     bool          // a stream may go on at another upstream
-	Timeout       time.Duration // the longest a request is held
+	Resumable     bool          // an interrupted stream may continue on another upstream
+	Timeout       time.Duration // the longest time that a request is held
 	Target        time.Duration // the latency target
-	EventGap      time.Duration // the longest pause between events that is still in time; 0: none given
+	EventGap      time.Duration // target for the longest pause between events; 0: none
 	Rank          int           // 0 is the most urgent
-	MaxAttempts   int           // upstreams one request may be sent to
-	Public        bool          // needs no key
-	PromptCaching bool          // requests describe their prompts, and upstreams keep prompts in memory
-	Targets       []Target      // the services that share the route's requests
-	Homes         []string      // the regions whose upstreams may run its requests; none: all
+	MaxAttempts   int           // the most upstreams that one request may be sent to
+	Public        bool          // requests need no API key
+	PromptCaching bool          // requests describe their prompts, and upstreams cache prompts
+	Targets       []Target      // services that share the requests, by weight
+	Homes         []string      // regions whose upstreams may run its requests; empty: all regions
 }
 
-// Target is a service with its share of a route's requests.
+// Target is a service with its weight in a route's split.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// CanRepeat reports whether a request of the route may run a second time.
+// CanRepeat reports whether a request of the route may be executed more than once.
 func (r *Route) CanRepeat() bool { return r.Repeat == Repeatable || r.Repeat == Stream && r.Resumable }
 
 func (r *Route) check() error {
 	switch {
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
-		return fmt.Errorf("prefix %q does not begin and end with a slash", r.Prefix)
+		return fmt.Errorf("prefix %q does not start and end with a slash", r.Prefix)
 	case len(r.Targets) == 0:
 		return fmt.Errorf("route %q names no service", r.Name)
 	case r.MaxAttempts < 1:
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// Pick returns the service for a request: ticket, any number that differs from
-// request to request, falls on each service as often as its weight says.
+// Pick returns the service for a request. If ticket is evenly distributed over requests, such as a
+// counter, each service gets a share of the requests in proportion to its weight.
 func (r *Route) Pick(ticket uint64) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -68,12 +68,12 @@
 	if total <= 0 {
 		return r.Targets[0].Service
 	}
-	at := int(ticket % uint64(total))
+	offset := int(ticket % uint64(total))
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if offset < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		offset -= t.Weight
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
