--- a/core.go
+++ b/core.go
@@ -1,8 +1,9 @@
 package doormast
 
-// This file defines the core duty: the one goroutine that owns the node, tells
-// it what happens and does what it wants done. The invariant: a tick is handled
-// before what came during a pause, so that nothing is done on an old view.
+// This file defines the core goroutine, which owns the node: it passes events to the
+// node and executes the actions that the node returns. The invariant: after the process
+// was suspended, a tick is handled before the events that arrived meanwhile, so that
+// the node does not act on outdated state.
 
 import (
 	"context"
@@ -18,7 +19,7 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// noticeKind tells what a notice is.
+// noticeKind is the kind of a notice.
 type noticeKind uint8
 
 const (
@@ -26,18 +27,19 @@
 	noticeSending
 	noticeFirstToken
 	noticeFinished
-	noticeLeft
+	noticeCallerLeft
 	noticeReport
 	noticeTable
 	noticeList
 	noticeReadDone
 	noticePullDone
-	noticeMint
+	noticeMintKey
 	noticeDrain
 	noticeInspect
 )
 
-// notice is something that happened, on its way to the core.
+// notice is an event or a request for the core, queued in the ring of notices. Which fields are
+// set depends on its kind.
 type notice struct {
 	kind     noticeKind
 	request  uint64
@@ -52,18 +54,18 @@
 	done     chan struct{}
 }
 
-// mustTell enters a notice that must not be lost. The core empties the whole ring
-// in each round; if it is full all the same, the teller waits.
-func (b *Box) mustTell(n notice) {
+// notify queues a notice that must not be lost. The core empties the whole ring in
+// each iteration; while the ring is full, the caller is blocked.
+func (b *Box) notify(n notice) {
 	for !b.notices.TryPush(n) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// inspect runs f on the core's goroutine.
+// inspect runs f on the core goroutine and waits for its end, or for that of ctx.
 func (b *Box) inspect(ctx context.Context, f func(*cell.Node)) error {
 	done := make(chan struct{})
-	b.mustTell(notice{kind: noticeInspect, inspect: f, done: done})
+	b.notify(notice{kind: noticeInspect, inspect: f, done: done})
 	select {
 	case <-done:
 		return nil
@@ -72,8 +74,9 @@
 	}
 }
 
+// core is the loop of the core goroutine.
 func (b *Box) core(ctx context.Context) error {
-	ticks := b.timers.Subscribe(tickEvery)
+	ticks := b.timers.Subscribe(tickInterval)
 	var notices []notice
 	var arrivals []caller.Arrival
 	b.tick(timer.Tick{Now: b.clock.Boot(), Wall: b.clock.Wall()})
@@ -112,7 +115,7 @@
 	b.perform()
 }
 
-// handle tells the node of one notice.
+// handle passes one notice to the node.
 func (b *Box) handle(n *notice) {
 	now := b.clock.Boot()
 	switch n.kind {
@@ -127,9 +130,9 @@
 		b.firstToken(n.request, now)
 	case noticeFinished:
 		b.finished(now, n.request, n.result)
-	case noticeLeft:
+	case noticeCallerLeft:
 		b.node.CallerLeft(now, n.request)
-		b.callerGone(n.request)
+		b.dropCaller(n.request)
 	case noticeReport:
 		b.node.Report(now, n.report)
 	case noticeTable:
@@ -140,7 +143,7 @@
 		b.node.ReadDone(n.ok)
 	case noticePullDone:
 		b.node.PullDone()
-	case noticeMint:
+	case noticeMintKey:
 		n.minted <- b.node.Mint()
 	case noticeDrain:
 		b.node.Drain(now)
@@ -153,8 +156,8 @@
 
 func (b *Box) firstToken(id uint64, now time.Duration) {
 	b.node.FirstToken(now, id)
-	if r := b.runs[id]; r != nil && !r.seen {
-		r.seen = true
+	if r := b.runs[id]; r != nil && !r.firstTokenSeen {
+		r.firstTokenSeen = true
 		b.stats.firstToken(b.class(r.request.Class), now-r.arrived)
 	}
 }
@@ -166,8 +169,8 @@
 	return nil
 }
 
-// finished takes in the end of a run. The caller's final piece is pushed after
-// the node has decided, since the node may want to try again.
+// finished handles the end of a run. The node decides first whether to retry; the caller's
+// final response follows from its actions.
 func (b *Box) finished(now time.Duration, id uint64, result cell.Result) {
 	r := b.runs[id]
 	b.node.Finished(now, id, result)
@@ -175,12 +178,12 @@
 		return
 	}
 	r.cancel = nil
-	b.stats.ranOut(b.class(r.request.Class), result, r.delivered)
+	b.stats.wastedTokens(b.class(r.request.Class), result, r.delivered)
 	r.delivered = result.Tokens
 	if result.Outcome == decide.Answered {
 		b.stats.answered(b.class(r.request.Class), now-r.arrived, result.Tokens)
 		delete(b.runs, id)
-	} else if r.gone {
+	} else if r.callerDone {
 		delete(b.runs, id)
 	}
 }
@@ -196,7 +199,7 @@
 	if old != nil {
 		changes = len(table.Diff(old, t))
 	}
-	b.say("table").Infof("Table revision %d is in force, with %d changes.", t.Revision, changes)
+	b.logFor("table").Infof("adopted table revision %d with %d changes", t.Revision, changes)
 }
 
 func (b *Box) adoptList(l *platform.List) {
@@ -210,16 +213,16 @@
 			b.link.SetAddress(e.Name, e.Control)
 		}
 	}
-	b.say("members").Infof("List revision %d is in force, with %d boxes.", l.Revision, len(l.Boxes))
+	b.logFor("members").Infof("adopted list revision %d with %d boxes", l.Revision, len(l.Boxes))
 }
 
-// perform does what the node wants done. Messages are gathered for each box, so
-// that those of one round share a datagram.
+// perform executes the actions of the node. Messages are collected for each box, so
+// that those of one iteration share a datagram.
 func (b *Box) perform() {
 	for _, a := range b.node.TakeActions() {
 		switch a.Kind {
 		case cell.SendMessage:
-			b.outgoing(a.To, a.Message)
+			b.queueMessage(a.To, a.Message)
 		case cell.Dispatch:
 			b.dispatch(a)
 		case cell.CancelRun:
@@ -233,7 +236,7 @@
 				b.node.PullDone()
 			}
 		case cell.ReadPlatform:
-			b.startRead()
+			b.requestRead()
 		case cell.GiveOrder:
 			b.giveOrder(a.Order)
 		case cell.Record:
@@ -248,12 +251,12 @@
 	b.stats.event(e)
 }
 
-// endRequest gives a caller its final answer.
+// endRequest sends a caller the final response of its request.
 func (b *Box) endRequest(a cell.Action) {
 	r := b.runs[a.Request]
 	if r == nil {
 		return
 	}
 	r.exchange.Refuse(a.Final)
-	b.callerGone(a.Request)
+	b.dropCaller(a.Request)
 }
--- a/core_test.go
+++ b/core_test.go
@@ -15,14 +15,15 @@
 	"github.com/doormast/doormast/settings"
 )
 
-// gnet keeps a pool of workers of its own for the life of the process.
+// TestMain checks for leaked goroutines. Those of gnet's worker pool are ignored, since they run
+// until the process ends.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
 		goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"))
 }
 
-// TestCancelledRunIsKept cancels a run whose caller still waits, as happens after
-// a pause: the request is not forgotten, and its caller gets a final answer.
+// A run that is cancelled while its caller still waits, as happens after a pause, must keep
+// its request, so that the caller gets a final response.
 func TestCancelledRunIsKept(t *testing.T) {
 	is := is.New(t)
 	s := settings.Defaults()
@@ -39,6 +40,6 @@
 	b.endRequest(cell.Action{Request: 1, Final: cell.Final{Reason: decide.Late}})
 	is.Equal(len(b.runs), 0)
 	b.runs[2] = &run{box: b, exchange: x}
-	b.callerGone(2)
-	is.Equal(len(b.runs), 0) // and one whose caller has left is
+	b.dropCaller(2)
+	is.Equal(len(b.runs), 0) // a request without a run is removed when its caller disconnects
 }
--- a/docs_test.go
+++ b/docs_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// TestPromisesNameRealTests: every proof that docs/PROMISES.md names exists.
+// Every test that docs/PROMISES.md names must exist.
 func TestPromisesNameRealTests(t *testing.T) {
 	page, err := os.ReadFile("docs/PROMISES.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	proofs := regexp.MustCompile("`(\\./[a-z/0-9]+)`\\s`(Test\\w+)`").FindAllStringSubmatch(string(page), -1)
-	if len(proofs) < 30 {
-		t.Errorf("only %d proofs are named", len(proofs))
+	tests := regexp.MustCompile("`(\\./[a-z/0-9]+)`\\s`(Test\\w+)`").FindAllStringSubmatch(string(page), -1)
+	if len(tests) < 30 {
+		t.Errorf("docs/PROMISES.md names %d tests, want at least 30", len(tests))
 	}
-	for _, p := range proofs {
+	for _, p := range tests {
 		if !hasTest(t, p[1], p[2]) {
-			t.Errorf("%s has no %s", p[1], p[2])
+			t.Errorf("package %s has no test %s", p[1], p[2])
 		}
 	}
 }
--- a/doormast.go
+++ b/doormast.go
@@ -1,12 +1,11 @@
-// Package doormast is the router as a library: a Box is one entry box, with all
-// its duties. The daemon doormastd is a thin shell around it.
+// Package doormast implements the router as a library: a Box is one entry box, which
+// receives requests from callers. The daemon doormastd is a thin wrapper around it.
 //
-// A box has these duties, each with its own goroutine, joined by bounded rings:
-// the core owns the decisions (package cell and, below it, decide); the callers'
-// edge, the control link to other boxes, the platform's reader, the reader of
-// upstreams' reports and the operators' calls tell the core what happens and do
-// what it wants done. Each run on an upstream has a goroutine for as long as it
-// lasts.
+// A box has a fixed set of long-lived goroutines, called duties, connected by bounded
+// queues: the core makes the decisions (package cell and, below it, decide). The caller
+// server, the control link to other boxes, the platform reader, the reader of upstreams'
+// reports and the operator RPC server pass events to the core and execute its actions.
+// In addition, each run on an upstream has its own goroutine.
 package doormast
 
 import (
@@ -30,10 +29,10 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// Version is the release that this code belongs to.
+// Version is the release version.
 const Version = "0.1.0"
 
-// Config configures a Box. The zero value of a field takes the default.
+// Config configures a Box. Zero values of Log, Clock and Timing select the defaults.
 type Config struct {
 	Settings settings.Settings
 	Log      *logrus.Logger
@@ -41,13 +40,13 @@
 	Timing   cell.Timing
 }
 
-// Box is an entry box.
+// Box is one entry box of the router.
 type Box struct {
 	cfg      Config
 	boot     uint64
 	clock    timer.Clock
 	log      *logrus.Entry
-	node     *cell.Node // owned by the core duty
+	node     *cell.Node // owned by the core goroutine
 	arrivals *ring.Ring[caller.Arrival]
 	notices  *ring.Ring[notice]
 	reads    *ring.Ring[readRequest]
@@ -68,31 +67,31 @@
 	watched  atomic.Pointer[[]watchedUpstream]
 	leaving  atomic.Bool
 	requests atomic.Uint64
-	runs     map[uint64]*run           // owned by the core duty
-	outbox   map[string][]cell.Message // owned by the core duty
+	runs     map[uint64]*run           // owned by the core goroutine
+	outbox   map[string][]cell.Message // owned by the core goroutine
 	stop     context.CancelFunc
 	ended    chan dutyEnd
 	duties   int
 	drained  chan struct{}
 }
 
-// dutyEnd is what a duty reports when it ends.
+// dutyEnd is the result of a duty.
 type dutyEnd struct {
 	duty string
 	err  error
 }
 
 const (
-	tickStep    = 10 * time.Millisecond
-	tickEvery   = 50 * time.Millisecond
-	sweepEvery  = 50 * time.Millisecond
-	reportEvery = 250 * time.Millisecond
-	noticeRing  = 1 << 13
-	smallRing   = 64
+	timerStep      = 10 * time.Millisecond
+	tickInterval   = 50 * time.Millisecond
+	sweepInterval  = 50 * time.Millisecond
+	reportInterval = 250 * time.Millisecond
+	noticeRingSize = 1 << 13
+	smallRingSize  = 64
 )
 
-// Start starts a box. It listens and serves when Start returns; Close or Stop
-// ends it.
+// Start starts a box, which serves requests when Start returns; Close or Stop ends it. The
+// error is an Error of KindListen.
 func Start(ctx context.Context, cfg Config) (*Box, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = timer.SystemClock{}
@@ -105,11 +104,11 @@
 	}
 	b := newBox(cfg)
 	if err := b.open(ctx); err != nil {
-		b.closeEdges(0)
-		return nil, &Error{Op: "start", Kind: KindEdge, Err: err}
+		b.closeListeners(0)
+		return nil, &Error{Op: "start", Kind: KindListen, Err: err}
 	}
 	b.run()
-	b.say("box").Infof("Box %s of domain %s is up. Callers connect to %s.", cfg.Settings.Box, cfg.Settings.Domain, b.callers.Address())
+	b.logFor("box").Infof("box %s of domain %s started, listening for callers at %s", cfg.Settings.Box, cfg.Settings.Domain, b.callers.Address())
 	return b, nil
 }
 
@@ -122,9 +121,9 @@
 		clock:    cfg.Clock,
 		log:      cfg.Log.WithField("box", s.Box),
 		arrivals: ring.New[caller.Arrival](s.Limits.InProgress),
-		notices:  ring.New[notice](noticeRing),
-		reads:    ring.New[readRequest](smallRing),
-		pulls:    ring.New[string](smallRing),
+		notices:  ring.New[notice](noticeRingSize),
+		reads:    ring.New[readRequest](smallRingSize),
+		pulls:    ring.New[string](smallRingSize),
 		events:   timeline.NewRing(s.Timeline),
 		stats:    newStats(),
 		runs:     make(map[uint64]*run),
@@ -148,7 +147,7 @@
 	return b
 }
 
-// open opens the edges.
+// open starts the listeners for other boxes, operators and callers.
 func (b *Box) open(ctx context.Context) error {
 	s := b.cfg.Settings
 	var err error
@@ -182,11 +181,11 @@
 	return err
 }
 
-// run starts the duties.
+// run starts the duties of the box.
 func (b *Box) run() {
 	ctx, stop := context.WithCancel(context.Background())
 	b.stop = stop
-	b.timers = timer.Start(ctx, timer.Config{Clock: b.clock, Step: tickStep})
+	b.timers = timer.Start(ctx, timer.Config{Clock: b.clock, Step: timerStep})
 	b.duty(ctx, "core", b.core)
 	b.duty(ctx, "sweep", b.sweep)
 	b.duty(ctx, "platform", b.platformDuty)
@@ -194,52 +193,54 @@
 	b.duty(ctx, "report", b.reportDuty)
 }
 
+// duty starts a goroutine that runs f and reports its end.
 func (b *Box) duty(ctx context.Context, name string, f func(context.Context) error) {
 	b.duties++
 	go func() { b.ended <- dutyEnd{name, f(ctx)} }()
 }
 
-// partLog writes log lines that begin with the fixed prefix of a part.
-type partLog struct {
+// componentLog writes log lines with the name of a component as their prefix.
+type componentLog struct {
 	entry  *logrus.Entry
 	prefix string
 }
 
-// say returns the log of a part.
-func (b *Box) say(part string) partLog { return partLog{b.log, part + ": "} }
+// logFor returns the log of a component.
+func (b *Box) logFor(component string) componentLog { return componentLog{b.log, component + ": "} }
 
-func (p partLog) Infof(format string, args ...any)  { p.entry.Infof(p.prefix+format, args...) }
-func (p partLog) Warnf(format string, args ...any)  { p.entry.Warnf(p.prefix+format, args...) }
-func (p partLog) Errorf(format string, args ...any) { p.entry.Errorf(p.prefix+format, args...) }
+func (p componentLog) Infof(format string, args ...any)  { p.entry.Infof(p.prefix+format, args...) }
+func (p componentLog) Warnf(format string, args ...any)  { p.entry.Warnf(p.prefix+format, args...) }
+func (p componentLog) Errorf(format string, args ...any) { p.entry.Errorf(p.prefix+format, args...) }
 
-// Addresses returns where the box listens for callers and operators.
+// Addresses returns the addresses, IP:port, at which the box listens for callers and operators.
 func (b *Box) Addresses() (callers, operators string) {
 	return b.callers.Address(), b.ops.Address()
 }
 
-// Events returns the box's part of the time line.
+// Events returns the box's part of the timeline.
 func (b *Box) Events() []timeline.Event { return b.events.Events() }
 
-// Table returns the table in force, or nil.
+// Table returns the current table, or nil.
 func (b *Box) Table() *table.Table { return b.table.Load() }
 
-// Drain begins a planned stop: the balancer sees the box leave, its ownership
-// goes to others, and what is in progress goes on.
+// Drain starts a planned stop: the health check fails, so that the balancer sends no more
+// requests, other boxes take over the box's sets, and requests in progress continue.
 func (b *Box) Drain() {
 	if b.leaving.CompareAndSwap(false, true) {
-		b.say("box").Infof("Planned stop begins.")
-		b.mustTell(notice{kind: noticeDrain})
+		b.logFor("box").Infof("planned stop started")
+		b.notify(notice{kind: noticeDrain})
 	}
 }
 
-// Stop is a planned stop to its end: it returns when the last answer is complete
-// or ctx ends, and then closes the box.
+// Stop performs a planned stop: it drains the box, waits until the last response is complete, ctx
+// ends or the configured deadline passes, and then closes the box. The error is an Error of
+// KindDeadline if requests were aborted.
 func (b *Box) Stop(ctx context.Context) error {
 	b.Drain()
 	deadline, cancel := context.WithTimeout(ctx, b.cfg.Settings.Stop.Deadline.Std())
 	defer cancel()
 	wait(deadline, b.cfg.Settings.Stop.Notice.Std())
-	ticks := b.timers.Subscribe(tickEvery)
+	ticks := b.timers.Subscribe(tickInterval)
 	for b.callers.Open() > 0 && deadline.Err() == nil {
 		select {
 		case <-ticks:
@@ -249,10 +250,10 @@
 	left := b.callers.Open()
 	err := b.Close()
 	if left > 0 {
-		b.say("box").Warnf("The stop cut off %d requests.", left)
+		b.logFor("box").Warnf("planned stop aborted %d requests", left)
 		return &Error{Op: "stop", Kind: KindDeadline, Err: context.DeadlineExceeded}
 	}
-	b.say("box").Infof("Planned stop is complete.")
+	b.logFor("box").Infof("planned stop completed")
 	return err
 }
 
@@ -265,23 +266,24 @@
 	}
 }
 
-// Close ends the box at once and waits for all of its goroutines.
+// Close stops the box at once, aborts its requests, and waits for all of its duties.
 func (b *Box) Close() error {
 	b.stop()
 	for range b.duties {
 		end := <-b.ended
 		if end.err != nil {
-			b.say(end.duty).Errorf("The duty ended: %v.", end.err)
+			b.logFor(end.duty).Errorf("duty failed: %v", end.err)
 		}
 	}
 	err := b.timers.Close()
-	b.closeEdges(2 * time.Second)
+	b.closeListeners(2 * time.Second)
 	return err
 }
 
-func (b *Box) closeEdges(patience time.Duration) {
+// closeListeners closes all listeners and clients; grace bounds the wait for requests in progress.
+func (b *Box) closeListeners(grace time.Duration) {
 	if b.callers != nil {
-		_ = b.callers.Close(patience)
+		_ = b.callers.Close(grace)
 	}
 	if b.ops != nil {
 		_ = b.ops.Close()
@@ -295,9 +297,9 @@
 	}
 }
 
-// sweep looks for callers that have left.
+// sweep periodically detects callers that have disconnected.
 func (b *Box) sweep(ctx context.Context) error {
-	ticks := b.timers.Subscribe(sweepEvery)
+	ticks := b.timers.Subscribe(sweepInterval)
 	for {
 		select {
 		case <-ctx.Done():
@@ -308,27 +310,28 @@
 	}
 }
 
-// received takes in a datagram; a full ring drops it, as the network might.
+// received queues a datagram for the core. If the ring is full the datagram is dropped, which
+// senders must tolerate anyway.
 func (b *Box) received(r control.Received) {
 	if !b.notices.TryPush(notice{kind: noticeReceived, received: r}) {
 		b.stats.dropped(control.DropRingFull)
 	}
 }
 
-// callerCore is the box as the callers' edge sees it.
+// callerCore implements caller.Core for a Box.
 type callerCore Box
 
 var _ caller.Core = (*callerCore)(nil)
 
-// Table returns the table in force.
+// Table returns the current table.
 func (c *callerCore) Table() *table.Table { return c.table.Load() }
 
-// NextID makes a request id.
+// NextID returns a new request id.
 func (c *callerCore) NextID() uint64 {
 	return decide.RequestID(c.cfg.Settings.Box, c.boot, c.requests.Add(1))
 }
 
-// Arrive hands a request to the core.
+// Arrive queues a request for the core; false if the box has too many requests.
 func (c *callerCore) Arrive(a caller.Arrival) bool {
 	if c.callers.Open() > c.cfg.Settings.Limits.InProgress || !c.arrivals.TryPush(a) {
 		return false
@@ -336,15 +339,15 @@
 	return true
 }
 
-// Left says that a caller has left.
+// Left notifies the core that a caller has disconnected.
 func (c *callerCore) Left(id uint64) {
-	(*Box)(c).mustTell(notice{kind: noticeLeft, request: id})
+	(*Box)(c).notify(notice{kind: noticeCallerLeft, request: id})
 }
 
-// Mint asks the core for an idempotency key.
+// Mint returns a new idempotency key from the core, or an empty string if ctx ends.
 func (c *callerCore) Mint(ctx context.Context) string {
 	reply := make(chan string, 1)
-	(*Box)(c).mustTell(notice{kind: noticeMint, minted: reply})
+	(*Box)(c).notify(notice{kind: noticeMintKey, minted: reply})
 	select {
 	case key := <-reply:
 		return key
@@ -356,8 +359,8 @@
 // Healthy reports whether the balancer should send requests here.
 func (c *callerCore) Healthy() bool { return !c.leaving.Load() && c.table.Load() != nil }
 
-// Metrics writes the metrics.
+// Metrics returns the metrics in text format.
 func (c *callerCore) Metrics() []byte { return c.stats.text() }
 
-// Refused counts a refusal at the edge.
+// Refused counts a request that was refused before it reached the core.
 func (c *callerCore) Refused(reason decide.Reason) { c.stats.refusedAtEdge(reason) }
--- a/duties.go
+++ b/duties.go
@@ -1,7 +1,7 @@
 package doormast
 
-// This file defines the duties at the box's other edges: the platform, the
-// upstreams' reports, the pulls from other boxes, and the messages to them.
+// This file defines the goroutines and calls for communication with the platform, with
+// upstreams (load reports and orders), and with other boxes (pulls and messages).
 
 import (
 	"context"
@@ -21,16 +21,16 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// watchWait is how long a watch of the platform waits for something new.
+// watchWait is the longest time that a watch of the platform waits for a change.
 const watchWait = 5 * time.Second
 
-// readRequest is what a read of the platform has to beat.
+// readRequest holds the revisions known to the core; a read returns only newer ones.
 type readRequest struct {
 	table uint64
 	list  uint64
 }
 
-func (b *Box) startRead() {
+func (b *Box) requestRead() {
 	r := readRequest{list: b.node.Roster().Revision}
 	if t := b.node.Table(); t != nil {
 		r.table = t.Revision
@@ -40,26 +40,26 @@
 	}
 }
 
-// platformDuty reads the platform whenever the core wants it.
+// platformDuty reads the platform whenever the core requests it.
 func (b *Box) platformDuty(ctx context.Context) error {
 	var requests []readRequest
-	blind := false
+	failing := false
 	for {
 		var ok bool
 		if requests, ok = b.reads.Wait(ctx, requests[:0]); !ok {
 			return nil
 		}
 		err := b.read(ctx, requests[len(requests)-1])
-		if err != nil && !blind && ctx.Err() == nil {
-			b.say("platform").Warnf("The platform cannot be read: %v.", err)
+		if err != nil && !failing && ctx.Err() == nil {
+			b.logFor("platform").Warnf("cannot read the platform: %v", err)
 		}
-		blind = err != nil
-		b.mustTell(notice{kind: noticeReadDone, ok: !blind})
+		failing = err != nil
+		b.notify(notice{kind: noticeReadDone, ok: !failing})
 	}
 }
 
-// read watches the table and the list at once; what is new in one ends both
-// calls, so that the next watch starts without delay.
+// read watches the table and the list concurrently. A change of either ends both calls,
+// so that the next watch starts without delay.
 func (b *Box) read(ctx context.Context, r readRequest) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -67,46 +67,47 @@
 	go func() {
 		t, err := b.reader.Table(ctx, r.table, watchWait)
 		if t != nil {
-			b.mustTell(notice{kind: noticeTable, table: t})
+			b.notify(notice{kind: noticeTable, table: t})
 			cancel()
 		}
 		tables <- err
 	}()
 	l, listErr := b.reader.List(ctx, r.list, watchWait)
 	if l != nil {
-		b.mustTell(notice{kind: noticeList, list: l})
+		b.notify(notice{kind: noticeList, list: l})
 		cancel()
 	}
 	tableErr := <-tables
 	if errors.Is(tableErr, platform.ErrBadTable) {
-		b.say("table").Errorf("The platform's table is not taken, the last good one stays in force: %v.", tableErr)
+		b.logFor("table").Errorf("rejected the platform's table, keeping the last valid one: %v", tableErr)
 		b.recordEvent(timeline.Event{Kind: timeline.TableBad, Box: b.cfg.Settings.Box, Boot: b.boot, Reason: tableErr.Error()})
 		wait(ctx, watchWait)
 		return nil
 	}
-	// A call that was cancelled because the other brought something is no
-	// failure.
+	// A call that was cancelled since the other returned a change has not
+	// failed.
 	if ctx.Err() != nil {
 		return nil
 	}
 	return errors.Join(tableErr, listErr)
 }
 
-// tableHistory keeps what other boxes pull: the last tables, to make deltas
-// from, and the list.
+// tableHistory keeps the data that other boxes pull: the latest tables, from which deltas
+// are computed, and the list. It is safe for concurrent use.
 type tableHistory struct {
 	mu     sync.Mutex
 	tables []*table.Table
 	list   *platform.List
 }
 
-const historySize = 16
+// maxTables is the number of tables kept.
+const maxTables = 16
 
 func (h *tableHistory) add(t *table.Table) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tables = append(h.tables, t)
-	if len(h.tables) > historySize {
+	if len(h.tables) > maxTables {
 		h.tables = h.tables[1:]
 	}
 }
@@ -117,8 +118,8 @@
 	h.list = l
 }
 
-// answer makes the answer to a pull: a delta if the asker's revision is still
-// known and the delta is the shorter, or else the document.
+// answer returns the response to a pull: a delta, if the requester's revision is still kept
+// and the delta is shorter than the document, or else the document.
 func (h *tableHistory) answer(req *wire.PullRequest) (*wire.PullResponse, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -150,7 +151,7 @@
 	return out, nil
 }
 
-// pullDuty fetches from other boxes what they have and this one lacks.
+// pullDuty fetches newer tables and lists from the boxes that the core names.
 func (b *Box) pullDuty(ctx context.Context) error {
 	var boxes []string
 	for {
@@ -160,17 +161,17 @@
 		}
 		for _, box := range boxes {
 			if err := b.pull(ctx, box); err != nil && ctx.Err() == nil {
-				b.say("table").Warnf("Box %s cannot be pulled from: %v.", box, err)
+				b.logFor("table").Warnf("cannot pull from box %s: %v", box, err)
 			}
 		}
-		b.mustTell(notice{kind: noticePullDone})
+		b.notify(notice{kind: noticePullDone})
 	}
 }
 
 func (b *Box) pull(ctx context.Context, box string) error {
 	address := b.book.ops(box)
 	if address == "" {
-		return fmt.Errorf("its address is not known")
+		return fmt.Errorf("address unknown")
 	}
 	ctx, cancel := context.WithTimeout(ctx, b.cfg.Timing.PullTimeout)
 	defer cancel()
@@ -190,7 +191,7 @@
 	}
 	t, err := pulledTable(have, resp)
 	if err != nil {
-		// The delta does not fit: fetch the whole document.
+		// The delta cannot be applied: fetch the whole document.
 		req.HaveTable = 0
 		if resp, err = client.Pull(ctx, req); err != nil {
 			return err
@@ -200,19 +201,19 @@
 		}
 	}
 	if t != nil {
-		b.mustTell(notice{kind: noticeTable, table: t})
+		b.notify(notice{kind: noticeTable, table: t})
 	}
 	if len(resp.Roster) > 0 {
 		l := new(platform.List)
 		if err := json.Unmarshal(resp.Roster, l); err != nil {
 			return err
 		}
-		b.mustTell(notice{kind: noticeList, list: l})
+		b.notify(notice{kind: noticeList, list: l})
 	}
 	return nil
 }
 
-// pulledTable makes a table of the answer to a pull; nil means nothing newer.
+// pulledTable returns the table in the response to a pull; nil if the response has none.
 func pulledTable(have *table.Table, resp *wire.PullResponse) (*table.Table, error) {
 	switch {
 	case len(resp.Delta) > 0 && have != nil:
@@ -227,13 +228,13 @@
 	return nil, nil
 }
 
-// watchedUpstream is an engine whose reports are wanted.
+// watchedUpstream is an engine whose load reports the box fetches.
 type watchedUpstream struct {
 	name    string
 	address string
 }
 
-// publishWatched tells the report duty which engines this box decides for.
+// publishWatched passes to reportDuty the engines for which this box makes decisions.
 func (b *Box) publishWatched() {
 	var list []watchedUpstream
 	for _, name := range b.node.Watched() {
@@ -244,13 +245,13 @@
 	b.watched.Store(&list)
 }
 
-// reportsAtOnce bounds the report calls under way.
-const reportsAtOnce = 16
+// maxConcurrentReports is the most concurrent report calls.
+const maxConcurrentReports = 16
 
-// reportDuty asks the engines of this box's sets for their load.
+// reportDuty fetches the load reports of the engines in this box's sets.
 func (b *Box) reportDuty(ctx context.Context) error {
-	ticks := b.timers.Subscribe(reportEvery)
-	slots := make(chan struct{}, reportsAtOnce)
+	ticks := b.timers.Subscribe(reportInterval)
+	slots := make(chan struct{}, maxConcurrentReports)
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	for {
@@ -267,7 +268,7 @@
 			select {
 			case slots <- struct{}{}:
 			default:
-				continue // the engine is asked again at the next tick
+				continue // retried at the next tick
 			}
 			calls.Add(1)
 			go func() {
@@ -282,19 +283,19 @@
 func (b *Box) report(ctx context.Context, u watchedUpstream) {
 	r, err := b.runner.Report(ctx, u.address)
 	if err != nil {
-		return // its silence shows by itself: failed runs put it out
+		return // failed runs exclude an engine that does not respond
 	}
 	r.Upstream = u.name
 	b.notices.TryPush(notice{kind: noticeReport, report: r})
 }
 
-// giveOrder gives an engine an order. Its next report shows what came of it.
+// giveOrder sends an order to an engine. The engine's next report shows the result.
 func (b *Box) giveOrder(o decide.EngineOrder) {
 	u := b.upstream(o.Upstream)
 	if u == nil {
 		return
 	}
-	b.say("orders").Infof("Engine %s is to load %s, fence %d.", o.Upstream, o.Load, o.Fence)
+	b.logFor("orders").Infof("ordering engine %s to load %s with fence %d", o.Upstream, o.Load, o.Fence)
 	address := u.Address
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -302,44 +303,45 @@
 		r, err := b.runner.Order(ctx, address, upstream.Order{Fence: o.Fence, Load: o.Load})
 		switch {
 		case err != nil:
-			b.say("orders").Warnf("Engine %s did not take the order: %v.", o.Upstream, err)
+			b.logFor("orders").Warnf("order to engine %s failed: %v", o.Upstream, err)
 		case !r.Accepted:
-			b.say("orders").Warnf("Engine %s has seen fence %d and refused %d.", o.Upstream, r.Fence, o.Fence)
+			b.logFor("orders").Warnf("engine %s refused the order: it has seen fence %d, the order has fence %d", o.Upstream, r.Fence, o.Fence)
 		}
 	}()
 }
 
-// addressBook holds where other boxes listen.
+// addressBook holds the control and operator addresses of other boxes, each IP:port. It is safe
+// for concurrent use.
 type addressBook struct {
-	mu      sync.Mutex
-	control map[string]string
-	calls   map[string]string
+	mu        sync.Mutex
+	control   map[string]string
+	operators map[string]string
 }
 
-func (a *addressBook) set(box, control, calls string) {
+func (a *addressBook) set(box, control, operators string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.control == nil {
-		a.control, a.calls = make(map[string]string), make(map[string]string)
+		a.control, a.operators = make(map[string]string), make(map[string]string)
 	}
-	a.control[box], a.calls[box] = control, calls
+	a.control[box], a.operators[box] = control, operators
 }
 
 func (a *addressBook) ops(box string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.calls[box]
+	return a.operators[box]
 }
 
-// outgoing gathers a message for a box.
-func (b *Box) outgoing(to string, m cell.Message) {
+// queueMessage queues a message to a box.
+func (b *Box) queueMessage(to string, m cell.Message) {
 	if b.outbox == nil {
 		b.outbox = make(map[string][]cell.Message)
 	}
 	b.outbox[to] = append(b.outbox[to], m)
 }
 
-// flushSends sends what was gathered, one batch for each box.
+// flushSends sends the queued messages, one batch to each box.
 func (b *Box) flushSends() {
 	for to, messages := range b.outbox {
 		if len(messages) > 0 {
--- a/error.go
+++ b/error.go
@@ -2,22 +2,23 @@
 
 import "github.com/rotisserie/eris"
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // Kinds of error.
 const (
-	KindEdge     Kind = "edge"     // an address cannot be listened on
-	KindDeadline Kind = "deadline" // a stop took too long
+	KindListen   Kind = "edge"     // a server cannot listen on its address
+	KindDeadline Kind = "deadline" // a planned stop exceeded its deadline
 )
 
-// Error is the error of this package: what was being done, and what went wrong.
+// Error describes a failed operation; Op names the operation.
 type Error struct {
 	Op   string
 	Kind Kind
 	Err  error
 }
 
+// Error implements error.
 func (e *Error) Error() string {
 	return "doormast: " + e.Op + ": " + string(e.Kind) + ": " + e.Err.Error()
 }
--- a/operators.go
+++ b/operators.go
@@ -1,6 +1,7 @@
 package doormast
 
-// This file defines the box's answers to operators and to pulls of other boxes.
+// This file defines the RPC backend of a box: the responses to operators and to pulls from
+// other boxes.
 
 import (
 	"context"
@@ -12,12 +13,12 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// opsBackend is the box as the operators' edge sees it.
+// opsBackend implements ops.Backend for a Box.
 type opsBackend Box
 
 var _ ops.Backend = (*opsBackend)(nil)
 
-// Status sums up the box.
+// Status returns the state of the box and of its classes.
 func (o *opsBackend) Status(ctx context.Context) (*wire.StatusResponse, error) {
 	b := (*Box)(o)
 	out := &wire.StatusResponse{Box: b.cfg.Settings.Box, Domain: b.cfg.Settings.Domain, Boot: b.boot,
@@ -33,7 +34,7 @@
 	return out, err
 }
 
-// Timeline returns the events of the box's ring that match.
+// Timeline returns the events in the box's ring that match the request id and class.
 func (o *opsBackend) Timeline(_ context.Context, req *wire.TimelineRequest) (*wire.TimelineResponse, error) {
 	id := uint64(0)
 	if req.Request != "" {
@@ -49,7 +50,7 @@
 	return out, nil
 }
 
-// Drain begins a planned stop. The process itself ends when its owner says so.
+// Drain starts a planned stop. The process itself ends when its owner acts on DrainAsked.
 func (o *opsBackend) Drain(context.Context) (*wire.DrainResponse, error) {
 	b := (*Box)(o)
 	b.Drain()
@@ -60,12 +61,12 @@
 	return &wire.DrainResponse{InProgress: uint64(b.callers.Open())}, nil
 }
 
-// Pull answers another box.
+// Pull returns another box the table and list that it lacks.
 func (o *opsBackend) Pull(_ context.Context, req *wire.PullRequest) (*wire.PullResponse, error) {
 	return o.history.answer(req)
 }
 
-// DrainAsked is readable when an operator has asked for a planned stop.
+// DrainAsked returns a channel that receives a value when an operator requests a planned stop.
 func (b *Box) DrainAsked() <-chan struct{} { return b.drained }
 
 func eventToWire(e timeline.Event) *wire.TimelineEvent {
--- a/run.go
+++ b/run.go
@@ -1,7 +1,7 @@
 package doormast
 
-// This file defines the runs of requests on upstreams. The invariant: before the
-// first byte of a request leaves, the core has been told that it may have.
+// This file defines the runs of requests on upstreams. The invariant: before the first
+// byte of a request is sent, the core has been notified that the upstream may have it.
 
 import (
 	"context"
@@ -16,26 +16,26 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// run is a request that this box carries, with its current run if it has one.
-// Its fields belong to the core duty.
+// run is a request that this box handles, with its current run on an upstream, if any.
+// Its fields are owned by the core goroutine.
 type run struct {
-	box       *Box
-	request   cell.Request
-	exchange  *caller.Exchange
-	arrived   time.Duration
-	cancel    context.CancelFunc
-	address   string
-	delivered int  // tokens, by runs that have ended
-	seen      bool // the first token has come
-	gone      bool // its caller has had its final answer
+	box            *Box
+	request        cell.Request
+	exchange       *caller.Exchange
+	arrived        time.Duration
+	cancel         context.CancelFunc
+	address        string
+	delivered      int  // tokens delivered by runs that have ended
+	firstTokenSeen bool // the first token has arrived
+	callerDone     bool // its caller has disconnected or got its final response
 }
 
-// dispatch starts a run.
+// dispatch starts a run on the upstream that the action names.
 func (b *Box) dispatch(a cell.Action) {
 	r := b.runs[a.Request]
 	u := b.upstream(a.Upstream)
 	if r == nil || u == nil {
-		b.mustTell(notice{kind: noticeFinished, request: a.Request, result: cell.Result{Outcome: decide.Failed}})
+		b.notify(notice{kind: noticeFinished, request: a.Request, result: cell.Result{Outcome: decide.Failed}})
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -63,17 +63,17 @@
 	go b.runCall(ctx, c, x, a.Request)
 }
 
-// runCall is the goroutine of one run; the notice of its end is its report.
+// runCall executes one run in its own goroutine, and sends the core a notice of its end.
 func (b *Box) runCall(ctx context.Context, c upstream.Call, x *caller.Exchange, id uint64) {
 	s := &sink{box: b, exchange: x, id: id}
 	result := b.runner.Run(ctx, c, s)
 	if result.Outcome == decide.Answered {
 		x.Done()
 	}
-	b.mustTell(notice{kind: noticeFinished, request: id, result: result})
+	b.notify(notice{kind: noticeFinished, request: id, result: result})
 }
 
-// sink passes what comes from an upstream to the caller.
+// sink forwards the response of an upstream to the caller.
 type sink struct {
 	box      *Box
 	exchange *caller.Exchange
@@ -83,28 +83,29 @@
 
 var _ upstream.Sink = (*sink)(nil)
 
-// Sending tells the core, and forbids the sending if the caller has left.
+// Sending notifies the core before the request is sent; false if the caller has disconnected, and
+// the request must not be sent.
 func (s *sink) Sending() bool {
 	select {
 	case <-s.exchange.Left():
 		return false
 	default:
 	}
-	s.box.mustTell(notice{kind: noticeSending, request: s.id})
+	s.box.notify(notice{kind: noticeSending, request: s.id})
 	return true
 }
 
-// Event passes on one event.
+// Event forwards one event.
 func (s *sink) Event(data []byte) error {
 	if s.started.CompareAndSwap(false, true) {
-		s.box.mustTell(notice{kind: noticeFirstToken, request: s.id})
+		s.box.notify(notice{kind: noticeFirstToken, request: s.id})
 	}
 	return s.exchange.Event(data)
 }
 
-// Whole passes on the answer of a plain service.
+// Whole forwards the complete response of a plain service.
 func (s *sink) Whole(status int, contentType string, body []byte) error {
-	s.box.mustTell(notice{kind: noticeFirstToken, request: s.id})
+	s.box.notify(notice{kind: noticeFirstToken, request: s.id})
 	return s.exchange.Whole(status, contentType, body)
 }
 
@@ -127,19 +128,19 @@
 	}
 }
 
-// callerGone notes that nobody waits for the request any more.
-func (b *Box) callerGone(id uint64) {
+// dropCaller records that no caller waits for the request any more.
+func (b *Box) dropCaller(id uint64) {
 	r := b.runs[id]
 	if r == nil {
 		return
 	}
-	r.gone = true
+	r.callerDone = true
 	if r.cancel == nil {
 		delete(b.runs, id)
 	}
 }
 
-// pauseRun asks the upstream to pause; the run's own end tells the rest.
+// pauseRun asks the upstream to pause a run. The outcome arrives as the end of the run.
 func (b *Box) pauseRun(id uint64) {
 	r := b.runs[id]
 	if r == nil || r.cancel == nil {
@@ -150,13 +151,13 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if err := b.runner.Pause(ctx, address, text); err != nil {
-			b.say("upstream").Warnf("Request %s cannot be paused: %v.", text, err)
+			b.logFor("upstream").Warnf("cannot pause request %s: %v", text, err)
 		}
 	}()
 }
 
-// endRuns cancels all runs when the box closes, and gives their callers the
-// truth about them.
+// endRuns cancels all runs when the box closes. It refuses their requests and reports to each
+// caller whether the request may have been executed.
 func (b *Box) endRuns() {
 	for _, r := range b.runs {
 		ran := r.cancel != nil
--- a/stats.go
+++ b/stats.go
@@ -1,7 +1,7 @@
 package doormast
 
-// This file defines the metrics: counters and histograms by class and tier, in
-// the registry of go-metrics, and their text form for scrapers.
+// This file defines the metrics: counters and histograms by class and tier, in a
+// go-metrics registry, and their text format for scrapers.
 
 import (
 	"bytes"
@@ -21,7 +21,7 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// stats holds a box's metrics. It is safe for several goroutines.
+// stats holds a box's metrics. It is safe for concurrent use.
 type stats struct {
 	registry metrics.Registry
 	mu       sync.Mutex
@@ -36,10 +36,10 @@
 	running  metrics.Counter
 	answered metrics.Counter
 	inTarget metrics.Counter
-	wasted   metrics.Counter // tokens generated for nobody
+	wasted   metrics.Counter // tokens generated but not needed by a caller
 	tokens   metrics.Counter
 	first    metrics.Histogram // microseconds to the first token
-	whole    metrics.Histogram // microseconds to the whole answer
+	whole    metrics.Histogram // microseconds to the complete answer
 	refused  map[string]metrics.Counter
 	state    map[uint64]timeline.Kind // requests in progress
 }
@@ -53,11 +53,11 @@
 func (s *stats) class(name string, tier int) *classStats {
 	c := s.classes[name]
 	if c == nil {
-		counter := func(what string) metrics.Counter {
-			return metrics.GetOrRegisterCounter(what+"{class="+name+"}", s.registry)
+		counter := func(metric string) metrics.Counter {
+			return metrics.GetOrRegisterCounter(metric+"{class="+name+"}", s.registry)
 		}
-		histogram := func(what string) metrics.Histogram {
-			return metrics.GetOrRegisterHistogram(what+"{class="+name+"}", s.registry, metrics.NewExpDecaySample(sampleSize, 0.015))
+		histogram := func(metric string) metrics.Histogram {
+			return metrics.GetOrRegisterHistogram(metric+"{class="+name+"}", s.registry, metrics.NewExpDecaySample(sampleSize, 0.015))
 		}
 		c = &classStats{
 			offered: counter("offered"), waiting: counter("waiting"), running: counter("running"),
@@ -73,7 +73,7 @@
 	return c
 }
 
-// event counts what the time line says of a request.
+// event updates the metrics for a timeline event of a request.
 func (s *stats) event(e timeline.Event) {
 	if e.Request == 0 || e.Class == "" || e.Kind == timeline.Granted || e.Kind == timeline.PauseOrdered {
 		return
@@ -164,8 +164,9 @@
 	c.whole.Update(int64(after / time.Microsecond))
 }
 
-// ranOut counts the tokens of a run that helped nobody.
-func (s *stats) ranOut(row *table.Class, r cell.Result, before int) {
+// wastedTokens counts the tokens of an abandoned or failed run as wasted, except the first before
+// tokens, which were delivered earlier.
+func (s *stats) wastedTokens(row *table.Class, r cell.Result, before int) {
 	if row == nil || r.Outcome != decide.Abandoned && (r.Outcome != decide.Failed || !r.Ran) {
 		return
 	}
@@ -174,7 +175,7 @@
 	s.class(row.Name, row.Tier).wasted.Inc(int64(max(0, r.Tokens-before)))
 }
 
-// status sums up the classes for the operators' client.
+// status returns the counters of all classes for operators, ordered by tier and name.
 func (s *stats) status() []*wire.ClassStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,7 +200,7 @@
 	return out
 }
 
-// text writes all metrics in the format that scrapers read.
+// text returns all metrics in the text format for scrapers.
 func (s *stats) text() []byte {
 	s.mu.Lock()
 	tiers := make(map[string]int)
@@ -231,7 +232,7 @@
 	return b.Bytes()
 }
 
-// splitName takes the labels out of a metric's name and adds the class's tier.
+// splitName splits a metric's name into base name and labels, and adds the tier of its class.
 func splitName(name string, tiers map[string]int) (base string, labels []string) {
 	base, list, _ := strings.Cut(strings.TrimSuffix(name, "}"), "{")
 	if list == "" {
