--- a/table/check.go
+++ b/table/check.go
@@ -1,7 +1,7 @@
 package table
 
-// This file defines what makes a table acceptable. The invariant: a table that
-// passes check can be met as a whole, so that no two of its promises fight.
+// This file defines the validation of a table. The invariant: the limits and
+// floors of a table that passes check can all be met at the same time.
 
 import (
 	"encoding/hex"
@@ -13,27 +13,28 @@
 
 const (
 	maxTier = 8
-	// maxFloors is the share of a set that floors may take together. The rest
-	// is left to tier order; a set promised away whole has no tiers.
-	maxFloors = 0.5
+	// maxFloorSum limits the sum of the floors of the classes in one set. The
+	// rest of the set is shared out in tier order; floors that add up to the
+	// whole set would leave the tiers without effect.
+	maxFloorSum = 0.5
 )
 
 func (t *Table) check(c *jsonc.Checker) {
 	c.Want(len(t.Classes) > 0, "classes", "none", "want at least one class")
-	sets := make(map[string]int)
+	slotsBySet := make(map[string]int)
 	for _, u := range t.Upstreams {
-		sets[u.Set] += u.Slots
+		slotsBySet[u.Set] += u.Slots
 	}
 	names := make(map[string]bool)
 	for i := range t.Classes {
-		t.checkClass(c, i, sets, names)
+		t.checkClass(c, i, slotsBySet, names)
 	}
 	t.checkFloors(c)
 	t.checkCustomers(c, names)
 	t.checkUpstreams(c)
 }
 
-func (t *Table) checkClass(c *jsonc.Checker, i int, sets map[string]int, names map[string]bool) {
+func (t *Table) checkClass(c *jsonc.Checker, i int, slotsBySet map[string]int, names map[string]bool) {
 	row, path := t.Classes[i], fmt.Sprintf("classes[%d]", i)
 	c.Want(row.Name != "", path+".name", `""`, "want a name")
 	c.Want(!names[row.Name], path+".name", row.Name, "want a name that no other class has")
@@ -42,7 +43,7 @@
 	c.Want(row.FirstToken > 0, path+".first_token", row.FirstToken.Std(), "want a duration above 0")
 	c.Want(row.Whole == 0 || row.Whole >= row.FirstToken, path+".whole", row.Whole.Std(), "want 0 or at least first_token")
 	c.Want(row.Weight > 0, path+".weight", row.Weight, "want a number above 0")
-	c.Want(row.Floor > 0 && row.Floor <= maxFloors, path+".floor", row.Floor,
+	c.Want(row.Floor > 0 && row.Floor <= maxFloorSum, path+".floor", row.Floor,
 		"want a share above 0 and up to 0.5, so that the class cannot starve")
 	c.Want(row.Rate >= 0, path+".rate", row.Rate, "want 0 or more")
 	c.Want(row.Concurrency >= 0, path+".concurrency", row.Concurrency, "want 0 or more")
@@ -50,14 +51,14 @@
 	c.Want(row.MaxTokens >= 0, path+".max_tokens", row.MaxTokens, "want 0 or more")
 	c.Want(row.OnLate == Wait || row.OnLate == Refuse, path+".on_late", row.OnLate, `want "wait" or "refuse"`)
 	c.Want(row.Scope == ScopeDomain || row.Scope == ScopeAll, path+".scope", row.Scope, `want "domain" or "all"`)
-	slots, ok := sets[row.Set]
+	slots, ok := slotsBySet[row.Set]
 	c.Want(ok, path+".set", row.Set, "want a set that some upstream belongs to")
-	c.Want(!ok || row.Concurrency == 0 || float64(row.Concurrency) >= row.Floor*float64(slots)/float64(max(1, t.domains(row.Set))),
+	c.Want(!ok || row.Concurrency == 0 || float64(row.Concurrency) >= row.Floor*float64(slots)/float64(max(1, t.domainCount(row.Set))),
 		path+".concurrency", row.Concurrency, "want at least the class's floor of the set's slots, or the floor cannot be met")
 }
 
-// domains counts the failure domains in which a set has upstreams.
-func (t *Table) domains(set string) int {
+// domainCount returns the number of failure domains in which a set has upstreams.
+func (t *Table) domainCount(set string) int {
 	seen := make(map[string]bool)
 	for _, u := range t.Upstreams {
 		if u.Set == set {
@@ -67,13 +68,14 @@
 	return len(seen)
 }
 
-// checkFloors refuses floors that cannot be met together.
+// checkFloors reports the classes whose floors bring the sum of their set above
+// maxFloorSum.
 func (t *Table) checkFloors(c *jsonc.Checker) {
 	sums := make(map[string]float64)
 	for i, row := range t.Classes {
 		sums[row.Set] += row.Floor
-		c.Want(sums[row.Set] <= maxFloors+1e-9, fmt.Sprintf("classes[%d].floor", i), row.Floor,
-			fmt.Sprintf("floors of set %q add up to %.3g, want at most %.3g together", row.Set, sums[row.Set], maxFloors))
+		c.Want(sums[row.Set] <= maxFloorSum+1e-9, fmt.Sprintf("classes[%d].floor", i), row.Floor,
+			fmt.Sprintf("floors of set %q add up to %.3g, want at most %.3g together", row.Set, sums[row.Set], maxFloorSum))
 	}
 }
 
--- a/table/delta.go
+++ b/table/delta.go
@@ -1,9 +1,10 @@
 package table
 
-// This file defines what changes between two tables: for operators, in terms of
-// rows and columns, and for boxes, as a delta that is smaller than the whole.
-// The invariant: a delta is applied only to the table it was made from, and the
-// result has the digest of the table it was made to.
+// This file defines the difference between two tables: Diff lists it for
+// operators by row and column, and Delta encodes it for boxes in fewer bytes
+// than the whole document. The invariant: Apply accepts a delta only on the
+// revision it was computed from, and the resulting table has the digest of the
+// table it was computed to.
 
 import (
 	"encoding/json"
@@ -14,10 +15,10 @@
 
 // Change is one difference between two tables.
 type Change struct {
-	Row    string // such as class letters
-	Column string // "" where the whole row was added or removed
-	From   string
-	To     string
+	Row    string // kind and name of the row, such as "class chat"
+	Column string // JSON name of the column; "" where the whole row was added or removed
+	From   string // old value in JSON; "" where the row was added
+	To     string // new value in JSON; "" where the row was removed
 }
 
 func (c Change) String() string {
@@ -30,7 +31,7 @@
 	return fmt.Sprintf("%s: %s: %s -> %s", c.Row, c.Column, c.From, c.To)
 }
 
-// Diff lists what changes from a to b, row by row.
+// Diff lists the changes from a to b, row by row. It ignores the order of rows.
 func Diff(a, b *Table) []Change {
 	var out []Change
 	out = diffRows(out, "class ", a.Classes, b.Classes, func(r Class) string { return r.Name })
@@ -39,7 +40,7 @@
 	return diffRows(out, "upstream ", a.Upstreams, b.Upstreams, func(r Upstream) string { return r.Name })
 }
 
-func diffRows[R any](out []Change, what string, a, b []R, name func(R) string) []Change {
+func diffRows[R any](out []Change, kind string, a, b []R, name func(R) string) []Change {
 	before := make(map[string]R, len(a))
 	for _, r := range a {
 		before[name(r)] = r
@@ -47,15 +48,15 @@
 	for _, r := range b {
 		old, ok := before[name(r)]
 		if !ok {
-			out = append(out, Change{Row: what + name(r), To: "new"})
+			out = append(out, Change{Row: kind + name(r), To: "new"})
 			continue
 		}
 		delete(before, name(r))
-		out = diffColumns(out, what+name(r), old, r)
+		out = diffColumns(out, kind+name(r), old, r)
 	}
 	for _, r := range a {
-		if _, gone := before[name(r)]; gone {
-			out = append(out, Change{Row: what + name(r), From: "old"})
+		if _, removed := before[name(r)]; removed {
+			out = append(out, Change{Row: kind + name(r), From: "old"})
 		}
 	}
 	return out
@@ -67,14 +68,14 @@
 		x, y := va.Field(i).Interface(), vb.Field(i).Interface()
 		if !reflect.DeepEqual(x, y) {
 			column, _, _ := strings.Cut(va.Type().Field(i).Tag.Get("json"), ",")
-			out = append(out, Change{row, column, cell(x), cell(y)})
+			out = append(out, Change{row, column, encodeValue(x), encodeValue(y)})
 		}
 	}
 	return out
 }
 
-// cell writes a value as the document would.
-func cell(v any) string {
+// encodeValue returns a column's value in JSON, as in the document.
+func encodeValue(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Sprint(v)
@@ -82,25 +83,26 @@
 	return string(b)
 }
 
-// Delta is the rows of a table that differ from an older one.
+// Delta holds the rows of a table that differ from those of an older revision.
 type Delta struct {
-	From      uint64             `json:"from"`
-	To        uint64             `json:"to"`
-	Digest    uint64             `json:"digest,string"` // of the result
+	From      uint64             `json:"from"`          // revision that the delta applies to
+	To        uint64             `json:"to"`            // revision of the resulting table
+	Digest    uint64             `json:"digest,string"` // of the resulting table
 	Classes   RowDelta[Class]    `json:"classes"`
 	Customers RowDelta[Customer] `json:"customers"`
 	Sets      RowDelta[Set]      `json:"sets"`
 	Upstreams RowDelta[Upstream] `json:"upstreams"`
 }
 
-// RowDelta is how one list of rows changes. Order names all rows of the result
-// where their order or number changes.
+// RowDelta holds the changes of one list of rows. Changed has the added and
+// modified rows. Order has the names of all rows of the result if their order or
+// number changes, and is empty otherwise.
 type RowDelta[R any] struct {
 	Changed []R      `json:"changed,omitempty"`
 	Order   []string `json:"order,omitempty"`
 }
 
-// MakeDelta makes the delta from a to b.
+// MakeDelta returns the delta from a to b.
 func MakeDelta(a, b *Table) *Delta {
 	return &Delta{
 		From: a.Revision, To: b.Revision, Digest: b.Digest(),
@@ -132,11 +134,13 @@
 	return d
 }
 
-// Apply makes the table that a delta leads to from the one it was made from. An
-// error means that the whole document has to be fetched.
+// Apply returns the table that results from applying d to t, and leaves t
+// unchanged. It fails if d was computed from another revision or if the result
+// has another digest than d names; the caller then has to fetch the whole
+// document.
 func (t *Table) Apply(d *Delta) (*Table, error) {
 	if t.Revision != d.From || d.To <= d.From {
-		return nil, fmt.Errorf("table: delta from revision %d to %d does not follow %d", d.From, d.To, t.Revision)
+		return nil, fmt.Errorf("table: delta from revision %d to %d does not apply to revision %d", d.From, d.To, t.Revision)
 	}
 	n := &Table{
 		Revision:  d.To,
@@ -147,7 +151,7 @@
 	}
 	n.index()
 	if n.digest != d.Digest {
-		return nil, fmt.Errorf("table: delta to revision %d gives another digest", d.To)
+		return nil, fmt.Errorf("table: result of the delta to revision %d has the wrong digest", d.To)
 	}
 	return n, nil
 }
@@ -172,8 +176,8 @@
 	return out
 }
 
-// Undone lists the changes from base to current that an edit of base does not
-// hold, and so would undo if it were put in force.
+// Undone lists the changes from base to current that edit, a modified copy of
+// base, lacks and would therefore revert if it replaced current.
 func Undone(base, current, edit *Table) []Change {
 	inEdit := make(map[Change]bool)
 	for _, c := range Diff(base, edit) {
@@ -188,7 +192,7 @@
 	return out
 }
 
-// Size is the length of the delta as it is sent, in bytes.
+// Size returns the length of the JSON encoding of the delta, in bytes.
 func (d *Delta) Size() int {
 	b, err := json.Marshal(d)
 	if err != nil {
--- a/table/show.go
+++ b/table/show.go
@@ -1,6 +1,6 @@
 package table
 
-// This file defines how a table is printed: aligned, like a spreadsheet.
+// This file defines the text form of a table for operators, with aligned columns.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// Show prints the table.
+// Show writes the table to w as text.
 func (t *Table) Show(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	row := func(cells ...any) {
--- a/table/table.go
+++ b/table/table.go
@@ -1,8 +1,9 @@
-// Package table defines the one document that operators edit: a row for each
-// class of request, the customers with their keys, and the upstreams.
+// Package table defines the configuration document that operators edit. It has a
+// row for each class of request, each customer with its keys, each set and each
+// upstream.
 //
-// A Table is immutable once parsed. It is taken whole or not at all: Parse
-// returns either a table that passed every check or the list of its problems.
+// A Table is immutable once parsed. Parse returns either a table that passed
+// every check or the list of all problems found, and never a part of a table.
 package table
 
 import (
@@ -18,57 +19,58 @@
 	"github.com/doormast/doormast/internal/jsonc"
 )
 
-// MaxSize is the largest document that the platform holds, in bytes.
+// MaxSize is the largest document that the platform can store, in bytes.
 const MaxSize = 1 << 20
 
-// OnLate says what becomes of a request that cannot meet its target any more.
+// OnLate selects how a queued request is handled once it can no longer meet its
+// latency target.
 type OnLate string
 
 // Values of OnLate.
 const (
-	Wait   OnLate = "wait"   // it waits on and is never dropped for being late
-	Refuse OnLate = "refuse" // it is refused at once and told when to come back
+	Wait   OnLate = "wait"   // stays queued; it is never dropped for being late
+	Refuse OnLate = "refuse" // is refused at once, with the time after which to retry
 )
 
-// Scope says over which boxes a limit holds.
+// Scope selects the boxes that share a limit.
 type Scope string
 
 // Values of Scope.
 const (
-	ScopeDomain Scope = "domain" // each failure domain has the limit for itself
-	ScopeAll    Scope = "all"    // all failure domains together
+	ScopeDomain Scope = "domain" // the limit applies to each failure domain separately
+	ScopeAll    Scope = "all"    // the limit applies to all failure domains together
 )
 
-// Class is a row of the table.
+// Class holds the targets, share and limits of one class of request.
 type Class struct {
 	Name        string         `json:"name"`
-	Tier        int            `json:"tier"`        // 1 is sacrificed last
-	FirstToken  jsonc.Duration `json:"first_token"` // target for the first token
-	Whole       jsonc.Duration `json:"whole"`       // target for the whole answer; 0 is none
-	Weight      float64        `json:"weight"`      // share within the tier
-	Floor       float64        `json:"floor"`       // least share of the set's work, 0 to 1
+	Tier        int            `json:"tier"`        // priority; overload affects tier 1 last
+	FirstToken  jsonc.Duration `json:"first_token"` // latency target for the first token
+	Whole       jsonc.Duration `json:"whole"`       // latency target for the whole answer; 0 is none
+	Weight      float64        `json:"weight"`      // relative share within the tier
+	Floor       float64        `json:"floor"`       // guaranteed share of the set's work, 0 to 1
 	Rate        float64        `json:"rate"`        // requests a second; 0 is no limit
-	Concurrency int            `json:"concurrency"` // running at once in a domain; 0 is no limit
-	Queue       int            `json:"queue"`       // waiting at once in a domain; 0 is the set's
-	MaxTokens   int            `json:"max_tokens"`  // longest answer, in tokens; 0 is the engine's
-	Repeatable  bool           `json:"repeatable"`  // whether a request may run twice
+	Concurrency int            `json:"concurrency"` // requests running at once in a domain; 0 is no limit
+	Queue       int            `json:"queue"`       // requests waiting at once in a domain; 0 means the set's limit
+	MaxTokens   int            `json:"max_tokens"`  // longest answer, in tokens; 0 means the engine's limit
+	Repeatable  bool           `json:"repeatable"`  // whether a request may be executed more than once
 	OnLate      OnLate         `json:"on_late"`
-	Set         string         `json:"set"` // the upstreams that serve it
+	Set         string         `json:"set"` // name of the set of upstreams that serves the class
 	Scope       Scope          `json:"scope"`
 }
 
-// Customer is somebody whose callers hold keys.
+// Customer is an organization whose callers authenticate with its bearer keys.
 type Customer struct {
 	Name         string   `json:"name"`
 	KeyHashes    []string `json:"key_hashes,omitempty"` // SHA-256 of each bearer key, in hex
 	DefaultClass string   `json:"default_class"`
-	Classes      []string `json:"classes,omitempty"` // classes it may use; empty is all
-	Rate         float64  `json:"rate"`
-	Concurrency  int      `json:"concurrency"`
+	Classes      []string `json:"classes,omitempty"` // names of the classes it may use; empty means all
+	Rate         float64  `json:"rate"`              // requests a second; 0 is no limit
+	Concurrency  int      `json:"concurrency"`       // requests running at once; 0 is no limit
 	Scope        Scope    `json:"scope"`
 }
 
-// Kind tells engines from plain services.
+// Kind distinguishes model engines from plain services.
 type Kind string
 
 // Values of Kind.
@@ -85,33 +87,34 @@
 	Kind        Kind   `json:"kind"`
 	Set         string `json:"set"`
 	Model       string `json:"model"`
-	Slots       int    `json:"slots"`        // answers generated at once
-	ChecksFence bool   `json:"checks_fence"` // whether it refuses orders with an old fence
+	Slots       int    `json:"slots"`        // answers it can generate at once
+	ChecksFence bool   `json:"checks_fence"` // whether it rejects requests with an outdated fencing token
 }
 
-// Set holds what is common to the upstreams of one set.
+// Set holds the settings common to a named group of upstreams.
 type Set struct {
 	Name  string `json:"name"`
-	Queue int    `json:"queue"` // waiting at once in a domain, all classes together
+	Queue int    `json:"queue"` // requests of all classes waiting at once in a domain; 0 means DefaultQueue
 }
 
-// Table is the document.
+// Table is the parsed document.
 type Table struct {
-	Revision  uint64     `json:"revision"` // the platform's; set by the reader, not the operator
+	Revision  uint64     `json:"revision"` // assigned by the platform; set by the reader, not by the operator
 	Classes   []Class    `json:"classes,omitempty"`
 	Customers []Customer `json:"customers,omitempty"`
 	Sets      []Set      `json:"sets,omitempty"`
 	Upstreams []Upstream `json:"upstreams,omitempty"`
 
 	digest  uint64
-	classes map[string]*Class
-	keys    map[string]*Customer
+	classes map[string]*Class    // by name
+	keys    map[string]*Customer // by hash of the bearer key
 }
 
-// DefaultQueue is a set's queue limit where the table gives none.
+// DefaultQueue is the queue limit of a set whose row gives none, in requests.
 const DefaultQueue = 1000
 
-// Parse reads and checks a document. The error is of type jsonc.Problems.
+// Parse parses and validates a document; file is its name in error messages. The
+// error is of type jsonc.Problems.
 func Parse(file string, source []byte) (*Table, error) {
 	if len(source) > MaxSize {
 		return nil, jsonc.Problems{{File: file, Line: 1, Field: "document",
@@ -169,19 +172,19 @@
 	t.digest = xxhash.Sum64(t.Document())
 }
 
-// Digest identifies the content, the revision included.
+// Digest returns a 64-bit hash of the content, the revision included.
 func (t *Table) Digest() uint64 { return t.digest }
 
-// Document is the table as canonical JSON.
+// Document returns the table as canonical JSON.
 func (t *Table) Document() []byte {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
-	// A struct of strings and numbers always encodes.
+	// Encoding cannot fail: the struct holds only strings, booleans and numbers.
 	_ = e.Encode(t)
 	return b.Bytes()
 }
 
-// WithRevision returns a copy of t that carries the platform's revision.
+// WithRevision returns a copy of t with the revision that the platform assigned.
 func (t *Table) WithRevision(revision uint64) *Table {
 	c := *t
 	c.Revision = revision
@@ -208,13 +211,15 @@
 	return false
 }
 
-// HashKey is the form in which the table holds a bearer key.
+// HashKey returns the SHA-256 of a bearer key in hex, the form of
+// Customer.KeyHashes.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// QueueLimit is how many requests may wait for a set in one failure domain.
+// QueueLimit returns the number of requests that may wait for a set in one
+// failure domain.
 func (t *Table) QueueLimit(set string) int {
 	for i := range t.Sets {
 		if t.Sets[i].Name == set && t.Sets[i].Queue > 0 {
@@ -237,8 +242,8 @@
 	return models
 }
 
-// Longest is the largest latency target of any class; it bounds how long a
-// well-behaved request can be expected to stay.
+// Longest returns the largest latency target of any class, which bounds the
+// expected duration of a request that meets its target.
 func (t *Table) Longest() time.Duration {
 	var longest time.Duration
 	for i := range t.Classes {
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-const good = `{
+const validTable = `{
   // a small table
   "classes": [
     {"name": "letter", "tier": 1, "first_token": "2s", "floor": 0.2, "set": "chat", "repeatable": true},
@@ -21,38 +21,39 @@
 
 const hash = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b"
 
-func TestGood(t *testing.T) {
+func TestParseValid(t *testing.T) {
 	is := is.New(t)
-	tab, err := Parse("good", []byte(good))
+	parsed, err := Parse("valid", []byte(validTable))
 	is.NoErr(err)
-	is.Equal(tab.Class("letter").OnLate, Wait)
-	is.Equal(tab.Authenticate("secret").Name, "acme")
-	is.Equal(tab.Authenticate("wrong"), nil)
+	is.Equal(parsed.Class("letter").OnLate, Wait)
+	is.Equal(parsed.Authenticate("secret").Name, "acme")
+	is.Equal(parsed.Authenticate("wrong"), nil)
 	var b strings.Builder
-	is.NoErr(tab.Show(&b))
+	is.NoErr(parsed.Show(&b))
 	is.True(strings.Contains(b.String(), "question"))
-	again, err := Parse("again", tab.WithRevision(3).Document())
+	again, err := Parse("again", parsed.WithRevision(3).Document())
 	is.NoErr(err)
-	is.Equal(again.Digest(), tab.WithRevision(3).Digest())
+	is.Equal(again.Digest(), parsed.WithRevision(3).Digest())
 }
 
-// TestBad edits the good table and names what each problem must say.
-func TestBad(t *testing.T) {
+// TestParseInvalid breaks one part of the valid table at a time and checks that
+// the error names the line, the field, the value and what is allowed.
+func TestParseInvalid(t *testing.T) {
 	for _, c := range []struct {
 		name, from, to string
-		want           []string // in the error: line, field, value, what is allowed
+		want           []string // parts of the error message
 	}{
-		{"cut off", `"upstreams"`, "", []string{"bad:"}},
+		{"truncated", `"upstreams"`, "", []string{"bad:"}},
 		{"unknown field", `"tier": 1`, `"teir": 1`, []string{"bad:4", "classes[0].teir", `did you mean "tier"?`}},
-		{"given twice", `"tier": 1`, `"tier": 1, "tier": 2`, []string{"bad:4", "twice"}},
+		{"duplicate field", `"tier": 1`, `"tier": 1, "tier": 2`, []string{"bad:4", "twice"}},
 		{"wrong type", `"tier": 1`, `"tier": "one"`, []string{"bad:4", "classes[0].tier", `"one"`, "whole number"}},
 		{"bad duration", `"2s"`, `"2 seconds"`, []string{"bad:4", "first_token", "want a duration"}},
 		{"no floor", `"floor": 0.2, `, ``, []string{"bad:4", "classes[0].floor", "cannot starve"}},
-		{"floors not met together", `"floor": 0.2`, `"floor": 0.45`, []string{"bad:5", "classes[1].floor", "add up to 0.55"}},
+		{"sum of floors too large", `"floor": 0.2`, `"floor": 0.45`, []string{"bad:5", "classes[1].floor", "add up to 0.55"}},
 		{"unknown set", `"set": "chat", "on_late"`, `"set": "chit", "on_late"`, []string{"bad:5", `chit`, "some upstream"}},
-		{"name twice", `"question"`, `"letter"`, []string{"bad:5", "classes[1].name"}},
+		{"duplicate name", `"question"`, `"letter"`, []string{"bad:5", "classes[1].name"}},
 		{"unknown class", `"default_class": "letter"`, `"default_class": "x"`, []string{"bad:7", "customers[0].default_class"}},
-		{"key in the clear", hash, "secret", []string{"bad:7", "key_hashes[0]", "SHA-256"}},
+		{"plain text key", hash, "secret", []string{"bad:7", "key_hashes[0]", "SHA-256"}},
 		{"bad address", "127.0.0.1:1", "localhost", []string{"bad:8", "upstreams[0].address", "localhost", "IP:port"}},
 		{"no slots", `"slots": 8`, `"slots": 0`, []string{"bad:8", "upstreams[0].slots"}},
 		{"concurrency below the floor", `"on_late": "refuse"`, `"concurrency": 1, "floor": 0.1`, []string{"bad:5"}},
@@ -60,13 +61,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			source := strings.Replace(good, c.from, c.to, 1)
-			if c.name == "cut off" {
-				source, _, _ = strings.Cut(good, c.from)
+			source := strings.Replace(validTable, c.from, c.to, 1)
+			if c.name == "truncated" {
+				source, _, _ = strings.Cut(validTable, c.from)
 			}
 			_, err := Parse("bad", []byte(source))
 			if c.name == "concurrency below the floor" && err == nil {
-				return // 1 is not below a tenth of 8 slots
+				return // valid: 1 is above a tenth of 8 slots
 			}
 			is.True(err != nil)
 			for _, w := range c.want {
@@ -80,10 +81,11 @@
 	is.New(t).True(err != nil)
 }
 
-// TestDelta: any edit, as a delta, leads to the same table as the whole document.
+// TestDelta checks that applying the delta of a random edit gives the same table
+// as parsing the whole edited document.
 func TestDelta(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		a, err := Parse("a", []byte(good))
+		a, err := Parse("a", []byte(validTable))
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -110,22 +112,23 @@
 			rt.Fatal(err)
 		}
 		if got.Digest() != b.Digest() || string(got.Document()) != string(b.Document()) {
-			rt.Fatal("the delta leads elsewhere")
+			rt.Fatal("the result of the delta differs from the edited table")
 		}
 		if _, err := got.Apply(MakeDelta(a, b)); err == nil {
-			rt.Fatal("a delta is applied to a table that it was not made from")
+			rt.Fatal("a delta was applied to a revision other than its own")
 		}
 	})
 }
 
-// TestUndone: two operators edit at once.
+// TestUndone checks that the change of one operator is reported when another
+// operator is about to replace it with an edit of the same base.
 func TestUndone(t *testing.T) {
 	is := is.New(t)
-	base, err := Parse("base", []byte(good))
+	base, err := Parse("base", []byte(validTable))
 	is.NoErr(err)
-	mine, err := Parse("mine", []byte(strings.Replace(good, `"tier": 2`, `"tier": 3`, 1)))
+	mine, err := Parse("mine", []byte(strings.Replace(validTable, `"tier": 2`, `"tier": 3`, 1)))
 	is.NoErr(err)
-	theirs, err := Parse("theirs", []byte(strings.Replace(good, `"slots": 8`, `"slots": 9`, 1)))
+	theirs, err := Parse("theirs", []byte(strings.Replace(validTable, `"slots": 8`, `"slots": 9`, 1)))
 	is.NoErr(err)
 	undone := Undone(base, theirs, mine)
 	is.Equal(len(undone), 1)
@@ -134,15 +137,15 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validTable))
 	f.Add([]byte(`{"classes":[{}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		tab, err := Parse("fuzz", b)
+		parsed, err := Parse("fuzz", b)
 		if err != nil {
 			return
 		}
-		if _, err := Parse("again", tab.Document()); err != nil {
-			t.Errorf("a table that was taken is not taken again: %v", err)
+		if _, err := Parse("again", parsed.Document()); err != nil {
+			t.Errorf("the document of a parsed table does not parse: %v", err)
 		}
 	})
 }
