--- a/decide/retry.go
+++ b/decide/retry.go
@@ -16,9 +16,9 @@
 	started bool
 }
 
-// Attempt notes a first attempt, which earns credit. The burst is divided among so many boxes, and each may save up one retry
+// RecordAttempt notes a first attempt, which earns credit. The burst is divided among so many boxes, and each may save up one retry
 // at least.
-func (r *RetryBudget) Attempt(boxes int) {
+func (r *RetryBudget) RecordAttempt(boxes int) {
 	most := max(1, retryBurst/float64(max(boxes, 1)))
 	if !r.started {
 		r.started, r.credit = true, most
@@ -37,7 +37,7 @@
 
 // Failure describes an attempt that failed.
 type Failure struct {
-	Ran        bool // a byte may have left for the upstream
+	MayHaveRun bool // a byte may have left for the upstream
 	Repeatable bool // the request may run twice
 	Resumable  bool // an upstream can go on from what was delivered
 	Delivered  int  // tokens the caller has had
@@ -49,7 +49,7 @@
 // not repeatable and may have run is never tried again, whatever the budget.
 func MayRetry(f Failure, budget *RetryBudget) Reason {
 	switch {
-	case f.Ran && !f.Repeatable:
+	case f.MayHaveRun && !f.Repeatable:
 		return UpstreamFailed
 	case f.Delivered > 0 && !f.Resumable:
 		return UpstreamFailed
