--- a/cell/finish.go
+++ b/cell/finish.go
@@ -85,15 +85,15 @@
 
 // release returns the slot to its owner, unless this box keeps it.
 func (n *Node) release(l *localRequest, r Result) {
-	if r.Outcome == decide.Answered && !r.Said.Any() && n.keepSlot(l) {
+	if r.Outcome == decide.Answered && !r.Notice.Any() && n.keepSlot(l) {
 		return
 	}
 	outcome := r.Outcome
-	if r.Said.Leaving && r.Refused {
+	if r.Notice.Leaving && r.Refused {
 		outcome = decide.Draining
 	}
-	n.noteUpstreamNotice(l, r.Said)
-	m := &Release{Notice: r.Said, Set: l.set, ID: l.slot, Upstream: l.upstream, Tokens: r.Tokens, Outcome: outcome, Pace: r.Pace, First: r.First, Attempt: l.slotAttempt}
+	n.noteUpstreamNotice(l, r.Notice)
+	m := &Release{Notice: r.Notice, Set: l.set, ID: l.slot, Upstream: l.upstream, Tokens: r.Tokens, Outcome: outcome, Pace: r.Pace, First: r.First, Attempt: l.slotAttempt}
 	if l.owner != "" {
 		n.deliver(l.owner, m)
 	}
@@ -135,7 +135,7 @@
 		TimeLeft:   l.req.Deadline == 0 || n.now < l.arrived+l.req.Deadline,
 	}, n.budget(l.req.Class))
 	if reason != decide.NoReason {
-		n.end(l, Final{Reason: reason, Ran: l.ran, RetryAfter: max(time.Second, r.Said.Pause)})
+		n.end(l, Final{Reason: reason, Ran: l.ran, RetryAfter: max(time.Second, r.Notice.Pause)})
 		return
 	}
 	e := l.event(timeline.Retried)
--- a/cell/simulation_test.go
+++ b/cell/simulation_test.go
@@ -383,7 +383,7 @@
 		return
 	}
 	if e.leaving {
-		s.finish(b, boot, a.Request, Result{Outcome: decide.Failed, Refused: true, Tokens: r.tokens, Said: decide.AnswerNotice{Leaving: true}})
+		s.finish(b, boot, a.Request, Result{Outcome: decide.Failed, Refused: true, Tokens: r.tokens, Notice: decide.AnswerNotice{Leaving: true}})
 		return
 	}
 	b.node.Sending(s.now, a.Request)
@@ -419,7 +419,7 @@
 		s.endRun(r)
 		s.on(b, boot, func() {
 			s.answered++
-			s.finish(b, boot, id, Result{Outcome: decide.Answered, Ran: true, Tokens: r.total, Pace: r.engine.tokenTime, Said: decide.AnswerNotice{Leaving: r.engine.announcesLeaving}})
+			s.finish(b, boot, id, Result{Outcome: decide.Answered, Ran: true, Tokens: r.total, Pace: r.engine.tokenTime, Notice: decide.AnswerNotice{Leaving: r.engine.announcesLeaving}})
 		})
 		return
 	}
--- a/cell/types.go
+++ b/cell/types.go
@@ -239,7 +239,7 @@
 	Pace    time.Duration       // per token; 0 if unknown
 	First   time.Duration       // from sending to the first token; 0 if unknown
 	Refused bool                // the upstream itself reported that it did not run the request
-	Said    decide.AnswerNotice // what the upstream reported of itself, in its answer or in an earlier one for which nothing was sent
+	Notice  decide.AnswerNotice // what the upstream reported of itself, in its answer or in an earlier one for which nothing was sent
 	Ended   bool                // the upstream cut the run off, and its address no longer accepts connections
 }
 
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -90,7 +90,7 @@
 		open = h.dial
 	}
 	if s := h.quiet(c.Address); s.Any() {
-		return cell.Result{Outcome: decide.Unused, Tokens: c.From, Said: s}
+		return cell.Result{Outcome: decide.Unused, Tokens: c.From, Notice: s}
 	}
 	k, err := open(ctx, c.Address)
 	if err != nil {
@@ -102,12 +102,12 @@
 	said := h.quiet(c.Address) // it may have said something while the connection came up
 	if said.Any() || h.cfg.Clock.Boot() > c.StartBy || ctx.Err() != nil || !s.Sending() {
 		h.put(c.Address, k)
-		return cell.Result{Outcome: decide.Unused, Tokens: c.From, Said: said}
+		return cell.Result{Outcome: decide.Unused, Tokens: c.From, Notice: said}
 	}
 	// Closing the connection is what wakes a blocked read when ctx ends.
 	stop := context.AfterFunc(ctx, func() { _ = k.Close() })
 	r := h.runOn(k, run)
-	r.Tokens, r.Said = run.tokens, run.said
+	r.Tokens, r.Notice = run.tokens, run.said
 	r.Pace = run.pace(h.cfg.Clock.Boot())
 	if run.first > 0 {
 		r.First = run.first - run.sent
