--- a/decide/order.go
+++ b/decide/order.go
@@ -31,12 +31,12 @@
 
 // EngineState is what the orders need to know of an engine.
 type EngineState struct {
-	Upstream string
-	Want     string // model of its row; "" is any
-	Checks   bool   // whether it refuses orders with an old fence
-	Loaded   string // model that it reports
-	Loading  bool
-	Fence    uint64 // highest that it reports
+	Upstream    string
+	WantedModel string // model of its row; "" is any
+	Checks      bool   // whether it refuses orders with an old fence
+	Loaded      string // model that it reports
+	Loading     bool
+	Fence       uint64 // highest that it reports
 }
 
 // Orders decides on the orders to the engines of one set.
@@ -55,7 +55,7 @@
 
 // Observe takes in the state of an engine.
 func (o *Orders) Observe(s EngineState) {
-	if s.Loading || s.Loaded == s.Want {
+	if s.Loading || s.Loaded == s.WantedModel {
 		delete(o.given, s.Upstream)
 	}
 	o.states[s.Upstream] = s
@@ -77,14 +77,14 @@
 		if loading < loadsAtOnce && o.due(now, o.states[name]) {
 			loading++
 			o.given[name] = now
-			out = append(out, EngineOrder{name, o.states[name].Fence + 1, o.states[name].Want})
+			out = append(out, EngineOrder{name, o.states[name].Fence + 1, o.states[name].WantedModel})
 		}
 	}
 	return out
 }
 
 func (o *Orders) due(now Time, s EngineState) bool {
-	if s.Want == "" || s.Loaded == "" || s.Loading || s.Loaded == s.Want {
+	if s.WantedModel == "" || s.Loaded == "" || s.Loading || s.Loaded == s.WantedModel {
 		return false
 	}
 	if at, ok := o.given[s.Upstream]; ok && now-at < orderRepeat {
