--- a/cell/finish.go
+++ b/cell/finish.go
@@ -54,7 +54,7 @@
 	}
 	n.release(l, r)
 	l.tokens = max(l.tokens, r.Tokens)
-	if r.Ended {
+	if r.UpstreamCrashed {
 		n.noteUpstreamCrash(l)
 	}
 	if r.Refused {
--- a/cell/simulation_test.go
+++ b/cell/simulation_test.go
@@ -409,7 +409,7 @@
 	if r.engine.dead {
 		s.endRun(r)
 		s.on(b, boot, func() {
-			s.finish(b, boot, id, Result{Outcome: decide.Failed, Ran: true, Tokens: r.tokens, Ended: r.engine.notListening})
+			s.finish(b, boot, id, Result{Outcome: decide.Failed, Ran: true, Tokens: r.tokens, UpstreamCrashed: r.engine.notListening})
 		})
 		return
 	}
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -124,7 +124,7 @@
 		}
 	}
 	if r.Outcome == decide.Failed && r.Ran && !r.Refused && ctx.Err() == nil {
-		r.Ended = h.hasEnded(ctx, c.Address)
+		r.UpstreamCrashed = h.hasEnded(ctx, c.Address)
 	}
 	return r
 }
--- a/internal/upstream/http_test.go
+++ b/internal/upstream/http_test.go
@@ -259,7 +259,7 @@
 			r := h.Run(context.Background(), callTo(l.Addr().String(), false), &collector{})
 			is.Equal(r.Outcome, decide.Failed)
 			is.True(r.Ran)
-			is.Equal(r.Ended, ends)
+			is.Equal(r.UpstreamCrashed, ends)
 			<-done
 			is.NoErr(h.Close())
 			if !ends {
