--- a/cell/owner.go
+++ b/cell/owner.go
@@ -225,7 +225,7 @@
 		return
 	}
 	o := n.orders[u.Set]
-	o.Observe(decide.EngineState{Upstream: u.Name, WantedModel: u.Model, Checks: u.ChecksFence, Loaded: r.Loaded, Loading: r.Loading, Fence: r.Fence})
+	o.Observe(decide.EngineState{Upstream: u.Name, WantedModel: u.Model, ChecksFence: u.ChecksFence, Loaded: r.Loaded, Loading: r.Loading, Fence: r.Fence})
 	for _, next := range o.Next(n.now) {
 		n.record(timeline.Event{Kind: timeline.Ordered, Upstream: next.Upstream, Set: u.Set, Reason: next.Load, Revision: next.Fence})
 		n.addAction(Action{Kind: GiveOrder, Upstream: next.Upstream, Order: next})
--- a/decide/order.go
+++ b/decide/order.go
@@ -33,7 +33,7 @@
 type EngineState struct {
 	Upstream    string
 	WantedModel string // model of its row; "" is any
-	Checks      bool   // whether it refuses orders with an old fence
+	ChecksFence bool   // whether it refuses orders with an old fence
 	Loaded      string // model that it reports
 	Loading     bool
 	Fence       uint64 // highest that it reports
@@ -90,5 +90,5 @@
 	if at, ok := o.given[s.Upstream]; ok && now-at < orderRepeat {
 		return false
 	}
-	return s.Checks || now-o.owner >= o.quiet
+	return s.ChecksFence || now-o.owner >= o.quiet
 }
--- a/decide/order_test.go
+++ b/decide/order_test.go
@@ -11,13 +11,13 @@
 	is := is.New(t)
 	o := NewOrders(0, 5*time.Second)
 	for _, name := range []string{"a", "b", "c"} {
-		o.Observe(EngineState{Upstream: name, WantedModel: "new", Loaded: "old", Checks: true, Fence: 7})
+		o.Observe(EngineState{Upstream: name, WantedModel: "new", Loaded: "old", ChecksFence: true, Fence: 7})
 	}
 	first := o.Next(0)
 	is.Equal(len(first), loadsAtOnce) // the weight store's rate is shared
 	is.Equal(first[0], EngineOrder{"a", 8, "new"})
 	is.Equal(len(o.Next(time.Second)), 0)
-	o.Observe(EngineState{Upstream: "a", WantedModel: "new", Loaded: "new", Checks: true, Fence: 8})
+	o.Observe(EngineState{Upstream: "a", WantedModel: "new", Loaded: "new", ChecksFence: true, Fence: 8})
 	is.Equal(o.Next(2 * time.Second)[0].Upstream, "c") // one is done, the next may load
 }
 
