--- a/cell/types.go
+++ b/cell/types.go
@@ -197,15 +197,15 @@
 
 // Kinds of action.
 const (
-	SendMessage  ActionKind = iota // send Message to box To
-	Dispatch                       // send Request to Upstream, continuing after Tokens
-	CancelRun                      // cancel the run of Request
-	PauseRun                       // pause the run of Request
-	End                            // end the request with Final
-	PullFrom                       // fetch the table and the list from box To
-	ReadPlatform                   // read the table and the list from the platform
-	GiveOrder                      // send Order to Upstream
-	Record                         // append Event to the timeline
+	SendMessage    ActionKind = iota // send Message to box To
+	Dispatch                         // send Request to Upstream, continuing after Tokens
+	CancelRun                        // cancel the run of Request
+	PauseRun                         // pause the run of Request
+	End                              // end the request with Final
+	PullFrom                         // fetch the table and the list from box To
+	ReadPlatform                     // read the table and the list from the platform
+	IssueLoadOrder                   // send Order to Upstream
+	Record                           // append Event to the timeline
 )
 
 // Final describes how a request ended without a complete answer.
--- a/core.go
+++ b/core.go
@@ -234,7 +234,7 @@
 			}
 		case cell.ReadPlatform:
 			b.startRead()
-		case cell.GiveOrder:
+		case cell.IssueLoadOrder:
 			b.giveOrder(a.Order)
 		case cell.Record:
 			b.recordEvent(a.Event)
