--- a/cell/types.go
+++ b/cell/types.go
@@ -197,15 +197,15 @@
 
 // Kinds of action.
 const (
-	SendMessage  ActionKind = iota // send Message to box To
-	Dispatch                       // send Request to Upstream, continuing after Tokens
-	CancelRun                      // cancel the run of Request
-	PauseRun                       // pause the run of Request
-	End                            // end the request with Final
-	PullFrom                       // fetch the table and the list from box To
-	ReadPlatform                   // read the table and the list from the platform
-	GiveOrder                      // send Order to Upstream
-	Record                         // append Event to the timeline
+	SendMessage    ActionKind = iota // send Message to box To
+	Dispatch                         // send Request to Upstream, continuing after Tokens
+	CancelRun                        // cancel the run of Request
+	PauseRun                         // pause the run of Request
+	End                              // end the request with Final
+	PullFrom                         // fetch the table and the list from box To
+	ReadPlatform                     // read the table and the list from the platform
+	IssueLoadOrder                   // send Order to Upstream
+	Record                           // append Event to the timeline
 )
 
 // Final describes how a request ended without a complete answer.
@@ -233,14 +233,14 @@
 
 // Result describes how a run on an upstream ended.
 type Result struct {
-	Outcome decide.Outcome
-	Ran     bool                // a byte may have been sent to the upstream
-	Tokens  int                 // generated in total, including earlier runs
-	Pace    time.Duration       // per token; 0 if unknown
-	First   time.Duration       // from sending to the first token; 0 if unknown
-	Refused bool                // the upstream itself reported that it did not run the request
-	Said    decide.AnswerNotice // what the upstream reported of itself, in its answer or in an earlier one for which nothing was sent
-	Ended   bool                // the upstream cut the run off, and its address no longer accepts connections
+	Outcome         decide.Outcome
+	Ran             bool                // a byte may have been sent to the upstream
+	Tokens          int                 // generated in total, including earlier runs
+	Pace            time.Duration       // per token; 0 if unknown
+	First           time.Duration       // from sending to the first token; 0 if unknown
+	Refused         bool                // the upstream itself reported that it did not run the request
+	Notice          decide.AnswerNotice // what the upstream reported of itself, in its answer or in an earlier one for which nothing was sent
+	UpstreamCrashed bool                // the upstream cut the run off, and its address no longer accepts connections
 }
 
 // BoxEntry is a box on the platform's list.
--- a/core.go
+++ b/core.go
@@ -237,7 +237,7 @@
 			}
 		case cell.ReadPlatform:
 			b.requestRead()
-		case cell.GiveOrder:
+		case cell.IssueLoadOrder:
 			b.giveOrder(a.Order)
 		case cell.Record:
 			b.recordEvent(a.Event)
