--- a/cell/owner.go
+++ b/cell/owner.go
@@ -227,7 +227,7 @@
 	o := n.orders[u.Set]
 	o.Observe(decide.EngineState{Upstream: u.Name, WantedModel: u.Model, ChecksFence: u.ChecksFence, Loaded: r.Loaded, Loading: r.Loading, Fence: r.Fence})
 	for _, next := range o.Next(n.now) {
-		n.record(timeline.Event{Kind: timeline.Ordered, Upstream: next.Upstream, Set: u.Set, Reason: next.Load, Revision: next.Fence})
+		n.record(timeline.Event{Kind: timeline.Ordered, Upstream: next.Upstream, Set: u.Set, Reason: next.Model, Revision: next.Fence})
 		n.addAction(Action{Kind: IssueLoadOrder, Upstream: next.Upstream, Order: next})
 	}
 }
--- a/decide/order.go
+++ b/decide/order.go
@@ -26,7 +26,7 @@
 type EngineOrder struct {
 	Upstream string
 	Fence    uint64
-	Load     string
+	Model    string
 }
 
 // EngineState is what the orders need to know of an engine.
--- a/edges.go
+++ b/edges.go
@@ -294,12 +294,12 @@
 	if u == nil {
 		return
 	}
-	b.say("orders").Infof("Engine %s is to load %s, fence %d.", o.Upstream, o.Load, o.Fence)
+	b.say("orders").Infof("Engine %s is to load %s, fence %d.", o.Upstream, o.Model, o.Fence)
 	address := u.Address
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		r, err := b.runner.Order(ctx, address, upstream.Order{Fence: o.Fence, Load: o.Load})
+		r, err := b.runner.Order(ctx, address, upstream.Order{Fence: o.Fence, Load: o.Model})
 		switch {
 		case err != nil:
 			b.say("orders").Warnf("Engine %s did not take the order: %v.", o.Upstream, err)
