--- a/internal/caller/serve.go
+++ b/internal/caller/serve.go
@@ -25,7 +25,7 @@
 // serve hands the request over and answers the caller with what comes back.
 func (s *Server) serve(ctx *fasthttp.RequestCtx, req cell.Request, x *Exchange, stream bool) {
 	x.ID = req.ID
-	req.Content = content.Of(req.Customer, x.Body, x.Method, x.Path)
+	req.Content = content.Hash(req.Customer, x.Body, x.Method, x.Path)
 	ctx.Response.Header.Set(HeaderRequest, timeline.RequestText(req.ID))
 	if own := ctx.Request.Header.Peek(HeaderOwn); len(own) > 0 && len(own) <= 128 {
 		ctx.Response.Header.SetBytesV(HeaderOwn, own)
--- a/internal/content/content.go
+++ b/internal/content/content.go
@@ -5,9 +5,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Of is a hash of a request's customer, of parts such as its method and path, which hold no
+// Hash is a hash of a request's customer, of parts such as its method and path, which hold no
 // zero bytes, and of its body. It is never 0, which stands for one that is not known.
-func Of(customer string, body []byte, parts ...string) uint64 {
+func Hash(customer string, body []byte, parts ...string) uint64 {
 	h := xxhash.New()
 	for _, part := range append(parts, customer) {
 		_, _ = h.WriteString(part)
--- a/relay/content.go
+++ b/relay/content.go
@@ -19,7 +19,7 @@
 		return hash
 	}
 	req := x.request
-	hash := content.Of(x.customerName(), req.body, req.method, strings.ToLower(req.host), req.uri)
+	hash := content.Hash(x.customerName(), req.body, req.method, strings.ToLower(req.host), req.uri)
 	x.contentHash.Store(hash)
 	return hash
 }
