--- a/duties.go
+++ b/duties.go
@@ -295,12 +295,12 @@
 	if u == nil {
 		return
 	}
-	b.logFor("orders").Infof("ordering engine %s to load %s with fence %d", o.Upstream, o.Load, o.Fence)
+	b.logFor("orders").Infof("ordering engine %s to load %s with fence %d", o.Upstream, o.Model, o.Fence)
 	address := u.Address
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		r, err := b.runner.Order(ctx, address, upstream.Order{Fence: o.Fence, Load: o.Load})
+		r, err := b.runner.Order(ctx, address, upstream.Order{Fence: o.Fence, Load: o.Model})
 		switch {
 		case err != nil:
 			b.logFor("orders").Warnf("order to engine %s failed: %v", o.Upstream, err)
