--- a/cell/holder.go
+++ b/cell/holder.go
@@ -198,7 +198,7 @@
 		n.bid(l)
 		return
 	}
-	l.slot, l.slotAttempt, l.keepFor, l.slotExpires = l.req.ID, m.Attempt, m.Keep, n.now+decide.RetainedSlotLifetime
+	l.slot, l.slotAttempt, l.keepFor, l.slotExpires = l.req.ID, m.Attempt, m.KeepFor, n.now+decide.RetainedSlotLifetime
 	n.lease(l, m.Upstream, l.firstBid+m.StartBy)
 }
 
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -357,7 +357,7 @@
 	switch v.Kind {
 	case decide.GrantSlot:
 		n.record(timeline.Event{Kind: timeline.Granted, Request: v.ID, Class: v.Class, Tier: v.Tier, Upstream: v.Upstream, Set: set})
-		n.deliver(v.Box, &Grant{Set: set, ID: v.ID, Upstream: v.Upstream, StartBy: v.Queued + n.timing.StartBy, Keep: v.RetainFor, Attempt: v.Attempt})
+		n.deliver(v.Box, &Grant{Set: set, ID: v.ID, Upstream: v.Upstream, StartBy: v.Queued + n.timing.StartBy, KeepFor: v.RetainFor, Attempt: v.Attempt})
 	case decide.RefuseBid:
 		r := &Refusal{Set: set, ID: v.ID, Reason: v.Reason, RetryAfter: v.RetryAfter,
 			LowerWaiting: v.LowerWaiting, LowerRunning: v.LowerRunning}
--- a/cell/types.go
+++ b/cell/types.go
@@ -59,7 +59,7 @@
 	ID       uint64
 	Upstream string
 	StartBy  time.Duration
-	Keep     time.Duration // how long the slot may be kept after the answer
+	KeepFor  time.Duration // how long the slot may be kept after the answer
 	Attempt  uint32        // attempt of the bid that it answers
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -34,7 +34,7 @@
 		&cell.Bid{Set: "s", Bid: decide.Bid{ID: 1, Class: "c", Customer: "u", Waited: time.Second, Remaining: time.Minute, Work: 7, Prefix: 8, FromOtherDomain: true, Resume: "e", Attempt: 3}},
 		&cell.Withdraw{Set: "s", ID: 1},
 		&cell.Ends{All: true, Suspects: []balance.Suspect{{Content: 1, Ended: []uint32{2, 3}, Round: 4, Age: time.Second}}},
-		&cell.Grant{Set: "s", ID: 1, Upstream: "e", StartBy: time.Second, Keep: time.Second, Attempt: 3},
+		&cell.Grant{Set: "s", ID: 1, Upstream: "e", StartBy: time.Second, KeepFor: time.Second, Attempt: 3},
 		&cell.Recall{Set: "s"},
 		&cell.Refusal{Set: "s", ID: 1, Reason: decide.Late, RetryAfter: time.Second, LowerWaiting: 1, LowerRunning: 2, Redirect: "b"},
 		&cell.Preempt{Set: "s", ID: 1},
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -37,7 +37,7 @@
 		return &wire.Message{Body: &wire.Message_Withdraw{Withdraw: &wire.Withdraw{Id: m.ID, Set: m.Set}}}
 	case *cell.Grant:
 		return &wire.Message{Body: &wire.Message_Grant{Grant: &wire.Grant{
-			Id: m.ID, Set: m.Set, Upstream: m.Upstream, StartBy: micros(m.StartBy), Keep: micros(m.Keep), Attempt: m.Attempt}}}
+			Id: m.ID, Set: m.Set, Upstream: m.Upstream, StartBy: micros(m.StartBy), Keep: micros(m.KeepFor), Attempt: m.Attempt}}}
 	case *cell.Recall:
 		return &wire.Message{Body: &wire.Message_Recall{Recall: &wire.Recall{Set: m.Set}}}
 	case *cell.Refusal:
@@ -105,7 +105,7 @@
 	case *wire.Message_Withdraw:
 		return &cell.Withdraw{Set: b.Withdraw.Set, ID: b.Withdraw.Id}
 	case *wire.Message_Grant:
-		return &cell.Grant{Set: b.Grant.Set, ID: b.Grant.Id, Upstream: b.Grant.Upstream, StartBy: span(b.Grant.StartBy), Keep: span(b.Grant.Keep), Attempt: b.Grant.Attempt}
+		return &cell.Grant{Set: b.Grant.Set, ID: b.Grant.Id, Upstream: b.Grant.Upstream, StartBy: span(b.Grant.StartBy), KeepFor: span(b.Grant.Keep), Attempt: b.Grant.Attempt}
 	case *wire.Message_Recall:
 		return &cell.Recall{Set: b.Recall.Set}
 	case *wire.Message_Refusal:
