--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -152,7 +152,7 @@
 		p := decide.NewPool(decide.PoolConfig{})
 		var list []decide.Backend
 		for i := range n {
-			list = append(list, decide.Backend{Name: fmt.Sprintf("runner-%04d", i), Slots: 165, Pausing: true})
+			list = append(list, decide.Backend{Name: fmt.Sprintf("runner-%04d", i), Slots: 165, CanPause: true})
 		}
 		p.SetBackends(0, list)
 		return p
@@ -232,7 +232,7 @@
 	p.SetRules(0, []decide.Rule{{Class: "c", Tier: 1, Weight: 1, Floor: 0.1, FirstToken: time.Hour, Repeatable: true}}, 1<<20)
 	var list []decide.Backend
 	for i := range upstreams {
-		list = append(list, decide.Backend{Name: fmt.Sprintf("runner-%04d", i), Slots: slots, Pausing: true})
+		list = append(list, decide.Backend{Name: fmt.Sprintf("runner-%04d", i), Slots: slots, CanPause: true})
 	}
 	p.SetBackends(0, list)
 	return p
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -165,7 +165,7 @@
 		if u.Set != set || u.Domain != n.cfg.Domain {
 			continue
 		}
-		b := decide.Backend{Name: u.Name, Slots: u.Slots, Pausing: u.Kind == table.Engine, Model: u.Model,
+		b := decide.Backend{Name: u.Name, Slots: u.Slots, CanPause: u.Kind == table.Engine, Model: u.Model,
 			Leaving: slices.Contains(n.roster.Leaving, u.Name)}
 		if n.cfg.StaticSplit {
 			b.Slots = n.fixedPart(u.Name, u.Slots)
--- a/decide/pause.go
+++ b/decide/pause.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		for j := len(c.leases) - 1; j >= 0; j-- {
-			if l := c.leases[j]; !l.gone && !l.pausing && l.backend.Pausing {
+			if l := c.leases[j]; !l.gone && !l.pausing && l.backend.CanPause {
 				l.pausing, l.pausedAt = true, now
 				c.pausing++
 				p.pausing = append(p.pausing, l)
--- a/decide/place.go
+++ b/decide/place.go
@@ -12,11 +12,11 @@
 
 // Backend describes an upstream to a pool.
 type Backend struct {
-	Name    string
-	Slots   int
-	Leaving bool
-	Pausing bool   // whether it can pause and resume an answer
-	Model   string // that it has to have loaded; "" is any
+	Name     string
+	Slots    int
+	Leaving  bool
+	CanPause bool   // whether it can pause and resume an answer
+	Model    string // that it has to have loaded; "" is any
 }
 
 // Report is what an upstream said of its own load, some time ago.
--- a/decide/pool_test.go
+++ b/decide/pool_test.go
@@ -19,7 +19,7 @@
 func testPool(slots int, rules ...Rule) *Pool {
 	p := NewPool(PoolConfig{Learn: time.Second})
 	p.SetRules(0, rules, 100)
-	p.SetBackends(0, []Backend{{Name: "a", Slots: slots, Pausing: true}, {Name: "b", Slots: slots, Pausing: true}})
+	p.SetBackends(0, []Backend{{Name: "a", Slots: slots, CanPause: true}, {Name: "b", Slots: slots, CanPause: true}})
 	return p
 }
 
