--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Longest is what a longer time counts as. An upstream that asks for more is likely to be replaced before.
-const Longest = time.Hour
+// MaxDelay is what a longer time counts as. An upstream that asks for more is likely to be replaced before.
+const MaxDelay = time.Hour
 
 // Error says why a header asks for nothing.
 type Error struct {
@@ -40,7 +40,7 @@
 
 func parse(text, dated string, now time.Time) (length time.Duration, ok bool) {
 	if seconds, isNumber := Decimal(text); isNumber {
-		return time.Duration(min(seconds, Longest.Seconds()) * float64(time.Second)), true
+		return time.Duration(min(seconds, MaxDelay.Seconds()) * float64(time.Second)), true
 	}
 	end, err := http.ParseTime(text)
 	if err != nil {
@@ -49,7 +49,7 @@
 	if from, err := http.ParseTime(dated); err == nil {
 		now = from
 	}
-	return min(end.Sub(now), Longest), true
+	return min(end.Sub(now), MaxDelay), true
 }
 
 // Decimal reads a decimal number that is not below 0: digits, and a point among them at the most.
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -26,13 +26,13 @@
 		{"empty", "", 0, nonsense},
 		{"an exponent", "1e3", 0, nonsense},
 		{"infinite", "inf", 0, nonsense},
-		{"a year", "31536000", Longest, ""},
-		{"beyond all numbers", "1" + strings.Repeat("0", 400), Longest, ""},
+		{"a year", "31536000", MaxDelay, ""},
+		{"beyond all numbers", "1" + strings.Repeat("0", 400), MaxDelay, ""},
 		{"a date", "Thu, 03 Dec 2026 10:00:02 GMT", 2 * time.Second, ""},
 		{"an older form of it", "Thursday, 03-Dec-26 10:00:02 GMT", 2 * time.Second, ""},
 		{"C's form", "Thu Dec  3 10:00:02 2026", 2 * time.Second, ""},
 		{"a date that is past", "Thu, 03 Dec 2026 09:59:00 GMT", 0, noTime},
-		{"a date in years", "Thu, 03 Dec 2099 10:00:00 GMT", Longest, ""},
+		{"a date in years", "Thu, 03 Dec 2099 10:00:00 GMT", MaxDelay, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
