--- a/cell/heartbeat.go
+++ b/cell/heartbeat.go
@@ -83,7 +83,7 @@
 
 func (n *Node) heartbeat(full bool) *Heartbeat {
 	h := n.members.heartbeat(full)
-	h.Leaving, h.Blind, h.Roster, h.Withheld = n.draining, n.platformUnreachable, n.roster.Revision, n.withheldDigest
+	h.Leaving, h.PlatformUnreachable, h.Roster, h.Withheld = n.draining, n.platformUnreachable, n.roster.Revision, n.withheldDigest
 	if n.table != nil {
 		h.Table, h.Digest = n.table.Revision, n.table.Digest()
 	}
--- a/cell/member.go
+++ b/cell/member.go
@@ -156,7 +156,7 @@
 		p.gossipLeft = m.gossipRepeats()
 	}
 	p.counter = max(p.counter, h.Counter)
-	p.leaving, p.blind, p.table = h.Leaving, h.Blind, h.Table
+	p.leaving, p.blind, p.table = h.Leaving, h.PlatformUnreachable, h.Table
 	p.roster = max(p.roster, h.Roster)
 	p.lastHeard, p.probedSince, p.tries = now, 0, 0
 	m.setState(now, p, memberAlive)
--- a/cell/types.go
+++ b/cell/types.go
@@ -16,18 +16,18 @@
 // Heartbeat reports that the sender is alive and passes on its view of the
 // other boxes.
 type Heartbeat struct {
-	Counter   uint64
-	Table     uint64 // revision in force
-	Digest    uint64 // of that table
-	Roster    uint64 // revision of the platform's list of boxes
-	Leaving   bool
-	Blind     bool   // the sender's last read of the platform failed
-	Probe     bool   // the receiver must answer
-	Joining   bool   // the answer must list every known box
-	Announce  bool   // the receiver should pass on the sender's state
-	Withheld  uint64 // digest of the requests that the sender withholds
-	Full      bool   // Sightings lists every box that the sender knows
-	Sightings []Sighting
+	Counter             uint64
+	Table               uint64 // revision in force
+	Digest              uint64 // of that table
+	Roster              uint64 // revision of the platform's list of boxes
+	Leaving             bool
+	PlatformUnreachable bool   // the sender's last read of the platform failed
+	Probe               bool   // the receiver must answer
+	Joining             bool   // the answer must list every known box
+	Announce            bool   // the receiver should pass on the sender's state
+	Withheld            uint64 // digest of the requests that the sender withholds
+	Full                bool   // Sightings lists every box that the sender knows
+	Sightings           []Sighting
 }
 
 // Sighting is the newest known state of a third box.
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -29,7 +29,7 @@
 // messages are one of each kind, with every field set.
 func messages() []cell.Message {
 	return []cell.Message{
-		&cell.Heartbeat{Counter: 1, Table: 2, Digest: 3, Roster: 4, Leaving: true, Blind: true, Probe: true, Joining: true, Announce: true, Full: true, Withheld: 9,
+		&cell.Heartbeat{Counter: 1, Table: 2, Digest: 3, Roster: 4, Leaving: true, PlatformUnreachable: true, Probe: true, Joining: true, Announce: true, Full: true, Withheld: 9,
 			Sightings: []cell.Sighting{{Box: "x", Boot: 1, Counter: 2, Roster: 3, Leaving: true, State: 2}}},
 		&cell.Bid{Set: "s", Bid: decide.Bid{ID: 1, Class: "c", Customer: "u", Waited: time.Second, Remaining: time.Minute, Work: 7, Prefix: 8, FromOtherDomain: true, Resume: "e", Attempt: 3}},
 		&cell.Withdraw{Set: "s", ID: 1},
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -75,7 +75,7 @@
 
 func heartbeatToWire(m *cell.Heartbeat) *wire.Heartbeat {
 	h := &wire.Heartbeat{Counter: m.Counter, TableRevision: m.Table, TableDigest: m.Digest,
-		RosterRevision: m.Roster, Leaving: m.Leaving, Blind: m.Blind,
+		RosterRevision: m.Roster, Leaving: m.Leaving, Blind: m.PlatformUnreachable,
 		Probe: m.Probe, Joining: m.Joining, Full: m.Full, Announce: m.Announce, WithheldDigest: m.Withheld}
 	for _, s := range m.Sightings {
 		h.Sightings = append(h.Sightings, &wire.Sighting{Box: s.Box, Boot: s.Boot, Counter: s.Counter, Leaving: s.Leaving, RosterRevision: s.Roster, State: uint32(s.State)})
@@ -185,7 +185,7 @@
 
 func heartbeatFromWire(w *wire.Heartbeat) cell.Message {
 	h := &cell.Heartbeat{Counter: w.Counter, Table: w.TableRevision, Digest: w.TableDigest,
-		Roster: w.RosterRevision, Leaving: w.Leaving, Blind: w.Blind,
+		Roster: w.RosterRevision, Leaving: w.Leaving, PlatformUnreachable: w.Blind,
 		Probe: w.Probe, Joining: w.Joining, Full: w.Full, Announce: w.Announce, Withheld: w.WithheldDigest}
 	for _, s := range w.Sightings {
 		h.Sightings = append(h.Sightings, cell.Sighting{Box: s.GetBox(), Boot: s.GetBoot(), Counter: s.GetCounter(), Roster: s.GetRosterRevision(), Leaving: s.GetLeaving(), State: uint8(min(s.GetState(), 255))})
