--- a/decide/pool_test.go
+++ b/decide/pool_test.go
@@ -370,7 +370,7 @@
 				if v.Upstream == "slow" {
 					d = slow
 				}
-				p.Release(0, v.ID, Usage{Tokens: 100, Pace: d})
+				p.Release(0, v.ID, Usage{Tokens: 100, TimePerToken: d})
 			}
 		}
 		p.refresh(0)
