--- a/cell/owner.go
+++ b/cell/owner.go
@@ -165,7 +165,7 @@
 		if u.Set != set || u.Domain != n.cfg.Domain {
 			continue
 		}
-		b := decide.Backend{Name: u.Name, Slots: u.Slots, Pausing: u.Kind == table.Engine, Model: u.Model,
+		b := decide.Backend{Name: u.Name, Slots: u.Slots, CanPause: u.Kind == table.Engine, Model: u.Model,
 			Leaving: slices.Contains(n.roster.Leaving, u.Name)}
 		if n.cfg.StaticSplit {
 			b.Slots = n.fixedPart(u.Name, u.Slots)
@@ -273,7 +273,7 @@
 func (n *Node) onRelease(m *Release) {
 	if p := n.pools[m.Set]; p != nil {
 		p.ApplyNotice(n.now, m.Upstream, m.Notice)
-		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, Pace: m.Pace, First: m.First, Attempt: m.Attempt})
+		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, TimePerToken: m.Pace, First: m.First, Attempt: m.Attempt})
 		n.dirty[m.Set] = true
 	}
 }
