--- a/table/table.go
+++ b/table/table.go
@@ -242,9 +242,9 @@
 	return models
 }
 
-// Longest returns the largest latency target of any class, which bounds the
+// LongestTarget returns the largest latency target of any class, which bounds the
 // expected duration of a request that meets its target.
-func (t *Table) Longest() time.Duration {
+func (t *Table) LongestTarget() time.Duration {
 	var longest time.Duration
 	for i := range t.Classes {
 		longest = max(longest, t.Classes[i].FirstToken.Std(), t.Classes[i].Whole.Std())
