--- a/cell/claim.go
+++ b/cell/claim.go
@@ -9,9 +9,9 @@
 	"github.com/doormast/doormast/decide"
 )
 
-// Mint creates an idempotency key that only this incarnation of the box
+// MintKey creates an idempotency key that only this incarnation of the box
 // grants.
-func (n *Node) Mint() string { return n.claims.Mint(n.now) }
+func (n *Node) MintKey() string { return n.claims.Mint(n.now) }
 
 // claimOrBid continues with a request that has passed its limits: it claims
 // the request's key, or bids if there is no key.
--- a/cell/node_test.go
+++ b/cell/node_test.go
@@ -214,7 +214,7 @@
 				s.startAll()
 				s.waitReady()
 				key := fmt.Sprintf("dmd1:d0:%d:n%d", (epoch + s.now).Milliseconds(), seed)
-				minted := s.boxes[s.names[0]].node.Mint()
+				minted := s.boxes[s.names[0]].node.MintKey()
 				for round := range 4 {
 					for i, name := range s.names {
 						s.arrive(name, "pay", key)
@@ -379,7 +379,7 @@
 				} else if class == "pay" {
 					key = fmt.Sprintf("dmd1:%s:%d:%d", b.domain, (epoch + s.now).Milliseconds(), len(keys))
 					if rapid.Bool().Draw(rt, "mint key") {
-						key = b.node.Mint()
+						key = b.node.MintKey()
 					}
 					keys = append(keys, key)
 				}
--- a/core.go
+++ b/core.go
@@ -144,7 +144,7 @@
 	case noticePullDone:
 		b.node.PullDone()
 	case noticeMintKey:
-		n.minted <- b.node.Mint()
+		n.minted <- b.node.MintKey()
 	case noticeDrain:
 		b.node.Drain(now)
 	case noticeInspect:
