--- a/decide/pool.go
+++ b/decide/pool.go
@@ -281,11 +281,11 @@
 
 // Usage is how a lease was used.
 type Usage struct {
-	Outcome      Outcome
-	Tokens       int           // generated
-	TimePerToken time.Duration // for one token; 0 if unknown
-	First        time.Duration // from sending to the first token; 0 if unknown
-	Attempt      uint32        // of the bid that the slot was granted for
+	Outcome          Outcome
+	Tokens           int           // generated
+	TimePerToken     time.Duration // for one token; 0 if unknown
+	TimeToFirstToken time.Duration // from sending to the first token; 0 if unknown
+	Attempt          uint32        // of the bid that the slot was granted for
 }
 
 // Release gives a slot back.
@@ -301,8 +301,8 @@
 		if u.TimePerToken > 0 {
 			b.sample(u.TimePerToken.Seconds())
 		}
-		if u.First > 0 {
-			p.first += time.Duration(firstMemory * float64(u.First-p.first))
+		if u.TimeToFirstToken > 0 {
+			p.first += time.Duration(firstMemory * float64(u.TimeToFirstToken-p.first))
 		}
 	case Failed:
 		b.failed(now)
