--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -164,11 +164,11 @@
 	req.Header.Set(HeaderOnce, "1")
 	req.Header.Set(HeaderKey, "mine")
 	req.Header.Set(HeaderDeadline, "30s")
-	req.Header.Set(HeaderOwn, "own-id")
+	req.Header.Set(HeaderClientRequest, "own-id")
 	resp, err := http.DefaultClient.Do(req)
 	is.NoErr(err)
 	_ = resp.Body.Close()
-	is.Equal(resp.Header.Get(HeaderOwn), "own-id")
+	is.Equal(resp.Header.Get(HeaderClientRequest), "own-id")
 	r := core.requests[0]
 	is.Equal(r.Class, "c")
 	is.Equal(r.Repeatable, false)
--- a/internal/caller/serve.go
+++ b/internal/caller/serve.go
@@ -27,8 +27,8 @@
 	x.ID = req.ID
 	req.Content = content.Hash(req.Customer, x.Body, x.Method, x.Path)
 	ctx.Response.Header.Set(HeaderRequest, timeline.RequestText(req.ID))
-	if own := ctx.Request.Header.Peek(HeaderOwn); len(own) > 0 && len(own) <= 128 {
-		ctx.Response.Header.SetBytesV(HeaderOwn, own)
+	if own := ctx.Request.Header.Peek(HeaderClientRequest); len(own) > 0 && len(own) <= 128 {
+		ctx.Response.Header.SetBytesV(HeaderClientRequest, own)
 	}
 	s.open.Add(1)
 	s.watch(req.ID, ctx.Conn(), x)
