--- a/relay/move_test.go
+++ b/relay/move_test.go
@@ -69,7 +69,7 @@
 	m.fast = newStub(t, "fast", m.respondRest)
 	m.testBox = newTestBoxWithProtocol(t, movingProtocol(), m.slow)
 	document := testDocument(2)
-	document.Services[0].Moves = true
+	document.Services[0].TransfersKV = true
 	m.publisher.set("document", document, false)
 	m.waitFor(func() bool { return m.relay.documentVersion() == 2 })
 	m.trainFleet()
--- a/relay/runs.go
+++ b/relay/runs.go
@@ -114,7 +114,7 @@
 // canFetchPrompts reports whether the service's upstreams can fetch cached prompts from each other.
 func (x *exchange) canFetchPrompts() bool {
 	s := x.doc.Service(x.service)
-	return s != nil && s.Moves
+	return s != nil && s.TransfersKV
 }
 
 // cameBackShare is the share of the route's timeout below which the remaining time marks a request as
--- a/route/document.go
+++ b/route/document.go
@@ -22,7 +22,7 @@
 	ColdFor        time.Duration // how long an upstream is cold after its start
 	ColdPerSecond  float64       // requests per second that a cold upstream can take; 0: no limit
 	Memory         int           // capacity of an upstream's KV cache in tokens; 0: unknown
-	Moves          bool          // its upstreams can transfer KV cache contents to each other
+	TransfersKV    bool          // its upstreams can transfer KV cache contents to each other
 }
 
 // Customer is a sender of requests, identified by API keys.
