--- a/cell/owner.go
+++ b/cell/owner.go
@@ -76,8 +76,8 @@
 func (n *Node) takeOwnership(set string) {
 	cfg := n.cfg.Pool
 	cfg.Learn = n.timing.Learn
-	if cfg.KeepAbove == 0 {
-		cfg.KeepAbove = keepSlotsAbove
+	if cfg.RetainAbove == 0 {
+		cfg.RetainAbove = keepSlotsAbove
 	}
 	cfg.Seed = n.cfg.Seed ^ n.cfg.Boot
 	p := decide.NewPool(cfg)
--- a/decide/keep.go
+++ b/decide/keep.go
@@ -18,7 +18,7 @@
 // kept when slots are short, nor of a class whose concurrency is limited.
 func (p *Pool) keep(c *classQueue) time.Duration {
 	busy := float64(len(p.leases)) > keepBusy*float64(p.slots)
-	if p.cfg.KeepAbove == 0 || len(p.leases) < p.cfg.KeepAbove || busy || c.rule.Concurrency != 0 {
+	if p.cfg.RetainAbove == 0 || len(p.leases) < p.cfg.RetainAbove || busy || c.rule.Concurrency != 0 {
 		return 0
 	}
 	return keepTime
--- a/decide/pool.go
+++ b/decide/pool.go
@@ -20,9 +20,9 @@
 	Learn time.Duration
 	// NoPause turns the pausing of lower tiers off, to measure what it is worth.
 	NoPause bool
-	// KeepAbove is the number of slots held from which on holders may keep slots
+	// RetainAbove is the number of slots held from which on holders may keep slots
 	// for their next requests, while the pool has slots to spare; 0 is never.
-	KeepAbove int
+	RetainAbove int
 	// Seed makes the jitter of RetryAfter repeatable.
 	Seed uint64
 }
