--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -28,7 +28,7 @@
 	HeaderClass         = "X-Doormast-Class"
 	HeaderRequest       = "X-Request-Id"        // the system's id, out
 	HeaderClientRequest = "X-Client-Request-Id" // the caller's id, in and out
-	HeaderOnce          = "X-Doormast-Not-Repeatable"
+	HeaderNotRepeatable = "X-Doormast-Not-Repeatable"
 	HeaderKey           = "Idempotency-Key"
 	HeaderDeadline      = "X-Doormast-Deadline" // a duration, such as 30s
 	HeaderRan           = "X-Doormast-Ran"      // no or unknown, in refusals
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -161,7 +161,7 @@
 	req, err := http.NewRequest("POST", "http://"+s.Address()+pathChat, strings.NewReader(`{"max_tokens":90,"messages":[{"a":1},{"b":2}]}`))
 	is.NoErr(err)
 	req.Header.Set("Authorization", "Bearer k")
-	req.Header.Set(HeaderOnce, "1")
+	req.Header.Set(HeaderNotRepeatable, "1")
 	req.Header.Set(HeaderKey, "mine")
 	req.Header.Set(HeaderDeadline, "30s")
 	req.Header.Set(HeaderClientRequest, "own-id")
--- a/internal/caller/request.go
+++ b/internal/caller/request.go
@@ -142,7 +142,7 @@
 		return cell.Request{}, nil
 	}
 	req := cell.Request{ID: s.cfg.Core.NextID(), Class: name, Customer: customer.Name, Repeatable: class.Repeatable}
-	if once := string(h.Peek(HeaderOnce)); once == "1" || once == "true" {
+	if once := string(h.Peek(HeaderNotRepeatable)); once == "1" || once == "true" {
 		req.Repeatable = false
 	}
 	if key := string(h.Peek(HeaderKey)); key != "" {
