--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,57 +1,61 @@
-// Package account bounds what a process holds in sum on behalf of others.
+// Package account limits the total of a resource, such as bytes of memory, that a
+// process holds for its clients.
 //
-// An Account has a bound; whoever holds something takes a Lease, grows it before it
-// holds more, and gives it back. How much of the bound a lease may fill is said with
-// each growth, so that what matters least is turned away first.
+// An Account has a limit. Each holder opens a Lease, grows it before it allocates
+// and shrinks or closes it afterwards. Each growth names the share of the limit up
+// to which it may fill the account, so that less important holders are refused
+// first.
 package account
 
-// This file defines the account. The invariant: what is held is never below zero, and
-// never above the bound; a lease that was closed holds nothing.
+// This file defines Account and Lease. The invariant: the total is never below zero
+// and never above the limit, and a closed lease holds nothing.
 
 import (
 	"context"
 	"sync"
 )
 
-// Account is what is held in sum.
+// Account tracks the total held by its leases. It is safe for concurrent use.
 type Account struct {
 	bound int64
 
 	mu    sync.Mutex
 	used  int64
 	peak  int64
-	freed chan struct{} // closed when something is given back; nil while nobody waits
+	freed chan struct{} // closed at the next decrease of used; nil while nobody waits
 }
 
-// New returns an account with a bound; with 0 it only counts.
+// New returns an account with a limit; 0 means no limit, only accounting.
 func New(bound int64) *Account { return &Account{bound: bound} }
 
-// Bound is the most that may be held; 0: there is none.
+// Bound returns the limit; 0 means none.
 func (a *Account) Bound() int64 { return a.bound }
 
-// Used is what is held.
+// Used returns the current total.
 func (a *Account) Used() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.used
 }
 
-// Peak is the most that was held at once.
+// Peak returns the highest total so far.
 func (a *Account) Peak() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.peak
 }
 
-// Lease returns a lease that holds nothing yet.
+// Lease returns a new, empty lease.
 func (a *Account) Lease() *Lease { return &Lease{account: a} }
 
-// fits reports whether n more stay within the share of the bound; mu is held.
+// fits reports whether the total plus n stays within the share of the limit. The
+// caller holds mu.
 func (a *Account) fits(n int64, share float64) bool {
 	return a.bound == 0 || a.used+n <= int64(min(share, 1)*float64(a.bound))
 }
 
-// add changes what is held by n, which may be negative; mu is held.
+// add changes the total by n, which may be negative, and wakes waiters on a
+// decrease. The caller holds mu.
 func (a *Account) add(n int64) {
 	a.used += n
 	a.peak = max(a.peak, a.used)
@@ -61,7 +65,8 @@
 	}
 }
 
-// waitForFree returns what is closed when something is given back; mu is held.
+// waitForFree returns a channel that is closed at the next decrease of the total.
+// The caller holds mu.
 func (a *Account) waitForFree() <-chan struct{} {
 	if a.freed == nil {
 		a.freed = make(chan struct{})
@@ -69,15 +74,15 @@
 	return a.freed
 }
 
-// Lease is what one holder has of an account. Its methods may be called from several
-// goroutines.
+// Lease is one holder's part of an account. It is safe for concurrent use.
 type Lease struct {
 	account *Account
 	held    int64
 	closed  bool
 }
 
-// Grow takes n more, where that stays within the share of the bound.
+// Grow adds n to the lease and reports true if the total stays within the share of
+// the limit, from 0 to 1. Otherwise, or if the lease is closed, it changes nothing.
 func (l *Lease) Grow(n int64, share float64) bool {
 	a := l.account
 	a.mu.Lock()
@@ -94,7 +99,7 @@
 	return true
 }
 
-// Fits reports whether n more would stay within the share of the bound.
+// Fits reports whether Grow would succeed with the same arguments now.
 func (l *Lease) Fits(n int64, share float64) bool {
 	a := l.account
 	a.mu.Lock()
@@ -102,8 +107,8 @@
 	return !l.closed && a.fits(n, share)
 }
 
-// Await is Grow, but waits until what is taken fits or ctx ends; false means that
-// nothing was taken.
+// Await is like Grow but waits until n fits. It returns false, with the lease
+// unchanged, if ctx ends or the lease is closed.
 func (l *Lease) Await(ctx context.Context, n int64, share float64) bool {
 	for {
 		freed, ok := l.growOrWait(n, share)
@@ -118,7 +123,8 @@
 	}
 }
 
-// growOrWait takes n more, or returns what to wait for; neither where the lease is closed.
+// growOrWait grows the lease, or returns the channel to wait on before the next
+// attempt. For a closed lease it returns nil and false.
 func (l *Lease) growOrWait(n int64, share float64) (<-chan struct{}, bool) {
 	a := l.account
 	a.mu.Lock()
@@ -132,14 +138,14 @@
 	return a.waitForFree(), false
 }
 
-// Held is what the lease has.
+// Held returns the amount that the lease holds.
 func (l *Lease) Held() int64 {
 	l.account.mu.Lock()
 	defer l.account.mu.Unlock()
 	return l.held
 }
 
-// Shrink gives back all but n.
+// Shrink reduces the lease to n; a lease that holds less stays as it is.
 func (l *Lease) Shrink(n int64) {
 	l.account.mu.Lock()
 	defer l.account.mu.Unlock()
@@ -154,7 +160,7 @@
 	l.held = n
 }
 
-// Close gives everything back; the lease takes nothing from then on.
+// Close releases everything; later growth fails.
 func (l *Lease) Close() {
 	l.account.mu.Lock()
 	defer l.account.mu.Unlock()
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -9,9 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever holders do, the sum is that of what they hold, within the bound, and all is
-// given back in the end.
-func TestTheSumStaysWithinTheBound(t *testing.T) {
+// TestTotalStaysWithinBound runs random operations and checks that the account's
+// total equals the sum of its leases, stays within the limit, and is 0 once all
+// leases are closed.
+func TestTotalStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.Int64Range(0, 1000).Draw(t, "bound")
 		a := New(bound)
@@ -43,24 +44,24 @@
 			sum := int64(0)
 			for i, l := range leases {
 				if l.Held() != held[i] {
-					t.Fatalf("lease %d holds %d, not %d", i, l.Held(), held[i])
+					t.Fatalf("lease %d holds %d, want %d", i, l.Held(), held[i])
 				}
 				sum += held[i]
 			}
 			if a.Used() != sum || a.Used() < 0 || bound > 0 && (a.Used() > bound || a.Peak() > bound) {
-				t.Fatalf("used %d, held %d, peak %d, bound %d", a.Used(), sum, a.Peak(), bound)
+				t.Fatalf("used %d, sum of leases %d, peak %d, bound %d", a.Used(), sum, a.Peak(), bound)
 			}
 		}
 		for _, l := range leases {
 			l.Close()
 		}
 		if a.Used() != 0 {
-			t.Fatalf("%d left", a.Used())
+			t.Fatalf("%d still held after all leases were closed", a.Used())
 		}
 	})
 }
 
-func TestTheLastOfTheBoundIsForWhatMattersMost(t *testing.T) {
+func TestLowerSharesAreRefusedFirst(t *testing.T) {
 	is := is.New(t)
 	a := New(100)
 	l := a.Lease()
@@ -68,10 +69,10 @@
 	is.True(!l.Grow(1, 0.5))
 	is.True(l.Grow(40, 0.9))
 	is.True(l.Grow(10, 1))
-	is.True(!l.Grow(1, 1.5)) // never more than the bound
+	is.True(!l.Grow(1, 1.5)) // a share above 1 does not exceed the limit
 }
 
-func TestWhoWaitsIsLetInWhenSomethingIsGivenBack(t *testing.T) {
+func TestAwaitGrowsAfterRelease(t *testing.T) {
 	is := is.New(t)
 	a := New(100)
 	first := a.Lease()
@@ -94,7 +95,7 @@
 	is.True(a.Lease().Grow(100, 1))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.True(!a.Lease().Await(ctx, 1, 1)) // gives up
+	is.True(!a.Lease().Await(ctx, 1, 1)) // the context has ended
 	closed := a.Lease()
 	closed.Close()
 	is.True(!closed.Await(context.Background(), 1, 1))
--- a/internal/account/seed_test.go
+++ b/internal/account/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The seed is fixed, so that a failure can be played again.
+// A fixed seed makes failures of the property tests reproducible.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,8 +1,8 @@
-// Package chart interprets state charts that are written in files.
+// Package chart implements finite state machines that are defined in JSON files.
 //
-// A chart is compiled into a table once, so that a step costs an index. The
-// libraries for state machines keep a map and a lock for every machine; a
-// request is such a machine, and a box carries thousands.
+// Load compiles a chart into a transition table once, so that a step is an array
+// access. Libraries for state machines keep a map and a lock for each machine,
+// which is too much here: each request is a machine, and a box has thousands.
 package chart
 
 import (
@@ -11,19 +11,19 @@
 	"slices"
 )
 
-// State is a state of one chart; 0 is its start.
+// State is a state of one chart; 0 is the start state.
 type State uint8
 
-// Chart is a compiled state chart.
+// Chart is a compiled state chart. It is immutable.
 type Chart struct {
 	Name   string
 	states []string
 	events []string
 	next   [][]int16 // by state and event; -1 where the event is not allowed
-	ends   []bool
+	ends   []bool    // by state; whether it is an end state
 }
 
-// file is how a chart is written.
+// file is the JSON form of a chart.
 type file struct {
 	Name   string                       `json:"name"`
 	Start  string                       `json:"start"`
@@ -32,20 +32,20 @@
 	Steps  map[string]map[string]string `json:"steps"` // event to state to next state
 }
 
-// Load compiles a chart from its file's content.
+// Load parses and compiles a chart from the content of its file.
 func Load(source []byte) (*Chart, error) {
 	var f file
 	if err := json.Unmarshal(source, &f); err != nil {
 		return nil, fmt.Errorf("chart: %w", err)
 	}
 	if len(f.States) == 0 || f.States[0] != f.Start {
-		return nil, fmt.Errorf("chart %s: the first state must be the start %q", f.Name, f.Start)
+		return nil, fmt.Errorf("chart %s: the first state must be the start state %q", f.Name, f.Start)
 	}
 	c := &Chart{Name: f.Name, states: f.States, ends: make([]bool, len(f.States))}
 	for _, end := range f.Ends {
 		i := slices.Index(f.States, end)
 		if i < 0 {
-			return nil, fmt.Errorf("chart %s: unknown end %q", f.Name, end)
+			return nil, fmt.Errorf("chart %s: unknown end state %q", f.Name, end)
 		}
 		c.ends[i] = true
 	}
@@ -68,10 +68,10 @@
 		for from, to := range f.Steps[event] {
 			i, k := slices.Index(c.states, from), slices.Index(c.states, to)
 			if i < 0 || k < 0 {
-				return fmt.Errorf("chart %s: event %s goes from %q to %q, one is unknown", c.Name, event, from, to)
+				return fmt.Errorf("chart %s: event %s has a transition from %q to %q, of which one is an unknown state", c.Name, event, from, to)
 			}
 			if c.ends[i] {
-				return fmt.Errorf("chart %s: event %s leaves the end %q", c.Name, event, from)
+				return fmt.Errorf("chart %s: event %s has a transition from the end state %q", c.Name, event, from)
 			}
 			c.next[i][j] = int16(k)
 		}
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// MustLoad is Load for charts that are part of the program.
+// MustLoad is like Load but panics on an error. It is for charts embedded in the
+// program.
 func MustLoad(source []byte) *Chart {
 	c, err := Load(source)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return c
 }
 
-// Event returns the number of an event, for Step.
+// Event returns the index of an event for Step. It panics if there is none.
 func (c *Chart) Event(name string) int {
 	i := slices.Index(c.events, name)
 	if i < 0 {
@@ -97,7 +98,7 @@
 	return i
 }
 
-// State returns the state called name.
+// State returns the state called name. It panics if there is none.
 func (c *Chart) State(name string) State {
 	i := slices.Index(c.states, name)
 	if i < 0 {
@@ -106,7 +107,8 @@
 	return State(i)
 }
 
-// Step returns the state after an event, and whether the event is allowed.
+// Step returns the state that follows s after an event, and whether the event is
+// allowed in s. If it is not, the state stays s.
 func (c *Chart) Step(s State, event int) (State, bool) {
 	n := c.next[s][event]
 	if n < 0 {
@@ -115,7 +117,7 @@
 	return State(n), true
 }
 
-// Ended reports whether s is an end.
+// Ended reports whether s is an end state.
 func (c *Chart) Ended(s State) bool { return c.ends[s] }
 
 // StateName returns the name of a state.
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -17,16 +17,16 @@
 	is.True(!ok)
 }
 
-func TestBadCharts(t *testing.T) {
+func TestLoadInvalid(t *testing.T) {
 	for name, source := range map[string]string{
-		"no JSON":       `{`,
-		"no start":      `{"start":"a","states":["b"]}`,
-		"unknown end":   `{"start":"a","states":["a"],"ends":["z"]}`,
-		"unknown state": `{"start":"a","states":["a"],"steps":{"go":{"a":"z"}}}`,
-		"leaves an end": `{"start":"a","states":["a","b"],"ends":["b"],"steps":{"go":{"b":"a"}}}`,
+		"malformed JSON":         `{`,
+		"start is not first":     `{"start":"a","states":["b"]}`,
+		"unknown end state":      `{"start":"a","states":["a"],"ends":["z"]}`,
+		"unknown next state":     `{"start":"a","states":["a"],"steps":{"go":{"a":"z"}}}`,
+		"transition from an end": `{"start":"a","states":["a","b"],"ends":["b"],"steps":{"go":{"b":"a"}}}`,
 	} {
 		if _, err := Load([]byte(source)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: Load succeeded, want an error", name)
 		}
 	}
 }
--- a/internal/content/content.go
+++ b/internal/content/content.go
@@ -1,12 +1,13 @@
-// Package content tells requests apart by what they are, and not by their ids: the same request, sent
-// again by the same customer, has the same number whatever id it has and whichever box it
-// comes to.
+// Package content identifies requests by a hash of their content. A request that
+// the same customer sends again has the same hash, whatever its id and whichever
+// box receives it.
 package content
 
 import "github.com/cespare/xxhash/v2"
 
-// Hash is a hash of a request's customer, of parts such as its method and path, which hold no
-// zero bytes, and of its body. It is never 0, which stands for one that is not known.
+// Hash returns a 64-bit hash of a request's customer, its body, and parts such as its
+// method and path, which must not contain zero bytes. The result is never 0, which
+// stands for an unknown hash.
 func Hash(customer string, body []byte, parts ...string) uint64 {
 	h := xxhash.New()
 	for _, part := range append(parts, customer) {
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,10 +1,10 @@
-// Package datagram receives and sends datagrams: gnet receives them, and a plain
-// socket sends, since gnet answers on its own sockets only and its client dials a
-// connection for each peer.
+// Package datagram receives and sends UDP datagrams. It receives with gnet and sends
+// on a separate socket, since a gnet server can only reply to a received datagram and
+// a gnet client needs a connection for each peer.
 package datagram
 
-// This file defines the socket. The invariant: a datagram comes whole or not at all,
-// and sending one never waits for whom it goes to.
+// This file defines Socket. The invariants: a datagram is delivered as a whole or not
+// at all, and sending never waits for the receiver.
 
 import (
 	"context"
@@ -21,40 +21,42 @@
 // Config configures a Socket.
 type Config struct {
 	Address string // IP:port to listen on, UDP
-	// Handler takes a datagram, on the receiving goroutine. The bytes are only
-	// valid until it returns.
+	// Handler is called with each datagram, on the receiving goroutine. The bytes
+	// are only valid until it returns.
 	Handler func([]byte)
-	// ReceiveBuffer is the kernel's buffer in bytes; 0 leaves it as it is.
+	// ReceiveBuffer is the size of the kernel's receive buffer in bytes; 0 keeps the
+	// system's default.
 	ReceiveBuffer int
 }
 
-// Socket receives and sends datagrams.
+// Socket receives and sends UDP datagrams.
 type Socket struct {
 	gnet.BuiltinEventEngine
 	cfg    Config
 	engine gnet.Engine
-	booted chan struct{}
-	done   chan error
-	out    *net.UDPConn
+	booted chan struct{} // closed when gnet has opened its socket
+	done   chan error    // receives the result of gnet.Run
+	out    *net.UDPConn  // sends
 }
 
 const (
-	// readBuffer is the most bytes a datagram may have.
+	// readBuffer is the largest size of a datagram, in bytes.
 	readBuffer = 64 << 10
-	// stopWait is the longest that gnet may take to stop.
-	stopWait = 5 * time.Second
+	// stopTimeout limits how long Close waits for gnet to stop.
+	stopTimeout = 5 * time.Second
 )
 
 var _ gnet.EventHandler = (*Socket)(nil)
 
-// Listen opens a socket; Close ends it.
+// Listen opens a socket. ctx limits only how long it takes to open. The caller must
+// call Close.
 func Listen(ctx context.Context, cfg Config) (*Socket, error) {
 	out, err := net.ListenUDP("udp4", &net.UDPAddr{})
 	if err != nil {
 		return nil, err
 	}
 	s := &Socket{cfg: cfg, booted: make(chan struct{}), done: make(chan error, 1), out: out}
-	options := []gnet.Option{gnet.WithLogger(quiet()), gnet.WithReadBufferCap(readBuffer)}
+	options := []gnet.Option{gnet.WithLogger(discardLogger()), gnet.WithReadBufferCap(readBuffer)}
 	if cfg.ReceiveBuffer > 0 {
 		options = append(options, gnet.WithSocketRecvBuffer(cfg.ReceiveBuffer))
 	}
@@ -71,17 +73,18 @@
 	}
 }
 
-// quiet keeps gnet's own log lines away: the process has one log.
-func quiet() logging.Logger { return zap.NewNop().Sugar() }
+// discardLogger returns a logger that drops gnet's log lines, which would mix with the
+// log of the process.
+func discardLogger() logging.Logger { return zap.NewNop().Sugar() }
 
-// OnBoot is called by gnet when the socket is open.
+// OnBoot implements gnet.EventHandler; gnet calls it when the socket is open.
 func (s *Socket) OnBoot(engine gnet.Engine) gnet.Action {
 	s.engine = engine
 	close(s.booted)
 	return gnet.None
 }
 
-// OnTraffic is called by gnet for each datagram.
+// OnTraffic implements gnet.EventHandler; gnet calls it for each datagram.
 func (s *Socket) OnTraffic(c gnet.Conn) gnet.Action {
 	if b, err := c.Next(-1); err == nil {
 		s.cfg.Handler(b)
@@ -89,18 +92,18 @@
 	return gnet.None
 }
 
-// Send sends a datagram, as a hint: what cannot be sent is lost, as it might be on
-// the way. It reports whether it was sent.
+// Send sends a datagram without a guarantee of delivery and reports whether the kernel
+// accepted it. One that cannot be sent is dropped, as the network might do.
 func (s *Socket) Send(to netip.AddrPort, b []byte) bool {
 	_, err := s.out.WriteToUDPAddrPort(b, to)
 	return err == nil
 }
 
-// Close stops receiving and sending and waits for the receiver to end. It does not wait for
-// gnet's Stop, which only looks each 500 ms whether the receiver has ended: a box whose
-// planned stop used up its grace was killed meanwhile.
+// Close stops receiving and sending and waits until the receiver has ended. It does not wait
+// for gnet's Stop, which polls only each 500 ms whether the receiver has ended; a box whose
+// planned stop had used up its grace period was killed during that wait.
 func (s *Socket) Close() error {
-	ctx, cancel := context.WithTimeout(context.Background(), stopWait)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.engine.Stop(ctx) }()
 	var err error
--- a/internal/jsonc/check.go
+++ b/internal/jsonc/check.go
@@ -1,29 +1,29 @@
 package jsonc
 
-// This file defines how a document is read and checked in one step. The invariant: a
-// document that ParseChecked accepts has passed every check that its reader made.
+// This file defines parsing and validation in one step. The invariant: a document that
+// ParseChecked accepts has passed every check of its check function.
 
 import (
 	"fmt"
 	"os"
 )
 
-// Checker gathers what is wrong with a parsed document.
+// Checker collects the problems of a parsed document.
 type Checker struct {
 	doc      *Document
 	problems Problems
 }
 
-// Want notes a problem with the field at path unless ok holds; found is its value, and
-// allowed says what would have been right.
+// Want records a problem with the field at path unless ok is true. found is the field's
+// value, and allowed describes the values that are valid.
 func (c *Checker) Want(ok bool, path string, found any, allowed string) {
 	if !ok {
 		c.problems = append(c.problems, c.doc.Problem(path, fmt.Sprint(found), allowed))
 	}
 }
 
-// ParseChecked reads source into target and has check look at it. The error is of type
-// Problems.
+// ParseChecked parses source into target and then calls check to validate it; file is the
+// name in error messages. The error is of type Problems.
 func ParseChecked(file string, source []byte, target any, check func(*Checker)) error {
 	doc, err := Parse(file, source, target)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// LoadChecked is ParseChecked of a file. The error is of type Problems, or says why the
-// file cannot be read.
+// LoadChecked is ParseChecked for the content of a file. The error is of type Problems, or
+// the error of reading the file.
 func LoadChecked(file string, target any, check func(*Checker)) error {
 	source, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/jsonc/check_test.go
+++ b/internal/jsonc/check_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// pool is a document of tests.
+// pool is a document type for the tests.
 type pool struct {
 	Name  string `json:"name"`
 	Slots int    `json:"slots"`
@@ -24,17 +24,17 @@
 	for _, test := range []struct {
 		name, source, want string
 	}{
-		{"sound", `{"name": "a", "slots": 4}`, ""},
-		{"all problems are told", "{\"name\": \"\",\n\"slots\": -1}",
+		{"valid", `{"name": "a", "slots": 4}`, ""},
+		{"several problems", "{\"name\": \"\",\n\"slots\": -1}",
 			"pool.json:1: name: found \"\": want a name\npool.json:2: slots: found -1: want 1 or more"},
-		{"a missing field", `{"name": "a"}`, "pool.json:1: slots: found 0: want 1 or more"},
-		{"no document", `[`, ""},
+		{"missing field", `{"name": "a"}`, "pool.json:1: slots: found 0: want 1 or more"},
+		{"malformed JSON", `[`, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			var p pool
 			err := ParseChecked("pool.json", []byte(test.source), &p, p.check)
-			if test.name == "no document" {
+			if test.name == "malformed JSON" {
 				is.True(err != nil)
 				return
 			}
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestLoadCheckedNamesAMissingFile(t *testing.T) {
+func TestLoadCheckedMissingFile(t *testing.T) {
 	is := is.New(t)
 	var p pool
 	err := LoadChecked(filepath.Join(t.TempDir(), "none.json"), &p, p.check)
--- a/internal/jsonc/jsonc.go
+++ b/internal/jsonc/jsonc.go
@@ -1,8 +1,8 @@
-// Package jsonc reads JSON with comments into structs, strictly: every problem
+// Package jsonc strictly decodes JSON with comments into structs. Every problem
 // names the file, the line, the field, the value found and what is allowed.
 //
-// Syntax is left to hujson; this package only walks the parsed tree beside the
-// Go type it is read into.
+// Package hujson parses the syntax; this package compares the parsed tree with the
+// Go type of the target.
 package jsonc
 
 import (
@@ -16,13 +16,13 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one thing wrong with a document.
+// Problem is one error in a document.
 type Problem struct {
 	File    string // as given to Parse
-	Line    int    // counted from 1; 0 where no line applies
-	Field   string // path such as classes[2].tier
-	Found   string // the value in the document, shortened
-	Allowed string // what would have been right
+	Line    int    // counted from 1; 0 if no line applies
+	Field   string // path, such as classes[2].tier
+	Found   string // value in the document, shortened
+	Allowed string // description of the valid values
 }
 
 func (p Problem) String() string {
@@ -33,7 +33,7 @@
 	return s + ": " + p.Allowed
 }
 
-// Problems is a list of problems that serves as an error.
+// Problems is a list of problems that implements error, with one line for each.
 type Problems []Problem
 
 func (ps Problems) Error() string {
@@ -44,13 +44,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// Duration is a span of time written as "250ms" or "2m" in documents.
+// Duration is a duration that documents write as a string, such as "250ms" or "2m".
 type Duration time.Duration
 
-// Std returns d as the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// UnmarshalJSON reads a quoted duration.
+// UnmarshalJSON parses a duration string.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -61,21 +61,21 @@
 	return err
 }
 
-// MarshalJSON writes a quoted duration.
+// MarshalJSON encodes d as a duration string.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// Document is a parsed document that can still tell where each field stood.
+// Document is a parsed document with the position of each field.
 type Document struct {
 	file     string
 	source   []byte
-	offsets  map[string]int
+	offsets  map[string]int // of values in source, in bytes, by path
 	problems Problems
 }
 
-// Parse reads source into target, a pointer to a struct with json tags. The
-// error, if any, is of type Problems.
+// Parse decodes source into target, a pointer to a struct with json tags; file is
+// the name in error messages. The error is of type Problems.
 func Parse(file string, source []byte, target any) (*Document, error) {
 	d := &Document{file: file, source: source, offsets: make(map[string]int)}
 	tree, err := hujson.Parse(source)
@@ -93,8 +93,8 @@
 	return d, nil
 }
 
-// Problem makes a problem for the field at path, on the line where it stands
-// or, where it is missing, where the nearest enclosing value stands.
+// Problem returns a problem with the field at path. Its line is that of the field
+// or, if the field is missing, of the nearest enclosing value.
 func (d *Document) Problem(path, found, allowed string) Problem {
 	at := path
 	for {
@@ -123,7 +123,8 @@
 
 var durationType = reflect.TypeOf(Duration(0))
 
-// walk compares the value at path with the type it is to be read into.
+// walk records the position of the value at path and reports where it does not
+// match the target type t.
 func (d *Document) walk(path string, v hujson.Value, t reflect.Type) {
 	d.offsets[path] = v.StartOffset
 	for t.Kind() == reflect.Pointer {
@@ -238,12 +239,13 @@
 	return path + "." + name
 }
 
-// nearest names the known field closest to name, if one is close.
+// nearest returns a hint with the known field closest to name, or "" if every
+// known field has an edit distance of 4 or more.
 func nearest(name string, fields map[string]reflect.Type) string {
-	best, least := "", 4
+	best, bestDistance := "", 4
 	for f := range fields {
-		if n := distance(name, f); n < least || n == least && f < best {
-			best, least = f, n
+		if n := distance(name, f); n < bestDistance || n == bestDistance && f < best {
+			best, bestDistance = f, n
 		}
 	}
 	if best == "" {
@@ -252,7 +254,7 @@
 	return fmt.Sprintf("; did you mean %q?", best)
 }
 
-// distance is the Levenshtein distance between a and b.
+// distance returns the Levenshtein distance between a and b, in bytes.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
@@ -273,7 +275,8 @@
 	return row[len(b)]
 }
 
-// lineOf takes the line number out of a hujson syntax error.
+// lineOf returns the line number that a hujson syntax error names in its text, or 1
+// if it names none.
 func lineOf(err error) int {
 	_, after, ok := strings.Cut(err.Error(), "line ")
 	if !ok {
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,7 @@
-// Package ops serves and makes the operators' calls, and the bulk transfer of
-// the table and list between boxes, over connect.
+// Package ops defines the server and the client of the operators' API, and of the
+// transfer of the table and the list between boxes, over Connect RPC.
+//
+// The invariant: each call is authorized by a bearer key before its handler runs.
 package ops
 
 import (
@@ -16,7 +18,7 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// Backend answers the calls.
+// Backend implements the calls.
 type Backend interface {
 	Status(ctx context.Context) (*wire.StatusResponse, error)
 	Timeline(ctx context.Context, req *wire.TimelineRequest) (*wire.TimelineResponse, error)
@@ -24,21 +26,20 @@
 	Pull(ctx context.Context, req *wire.PullRequest) (*wire.PullResponse, error)
 }
 
-// maxMessage bounds a request; maxAnswer what a client takes.
 const (
-	maxMessage = 64 << 10
-	maxAnswer  = 64 << 20
+	maxRequest  = 64 << 10 // largest request that a server accepts, in bytes
+	maxResponse = 64 << 20 // largest response that a client accepts, in bytes
 )
 
 // Config configures a Server.
 type Config struct {
-	Address string
-	OpsKey  string // of operators: every call
-	PeerKey string // of boxes: Pull only
+	Address string // IP:port to listen on, TCP
+	OpsKey  string // key of operators, valid for every call
+	PeerKey string // key of boxes, valid for Pull only
 	Backend Backend
 }
 
-// Server serves the calls.
+// Server serves the operators' API.
 type Server struct {
 	backend  Backend
 	server   *http.Server
@@ -48,7 +49,7 @@
 
 var _ wire.BoxesHandler = (*Server)(nil)
 
-// Listen starts a server; Close ends it.
+// Listen starts a server. The caller must call Close.
 func Listen(cfg Config) (*Server, error) {
 	l, err := net.Listen("tcp", cfg.Address)
 	if err != nil {
@@ -56,7 +57,7 @@
 	}
 	s := &Server{backend: cfg.Backend, listener: l, done: make(chan error, 1)}
 	path, handler := wire.NewBoxesHandler(s,
-		connect.WithInterceptors(authorizer(cfg)), connect.WithReadMaxBytes(maxMessage))
+		connect.WithInterceptors(authorizer(cfg)), connect.WithReadMaxBytes(maxRequest))
 	mux := http.NewServeMux()
 	mux.Handle(path, handler)
 	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second}
@@ -64,76 +65,79 @@
 	return s, nil
 }
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close stops the server and waits for the calls in progress.
+// Close stops the server and waits up to 5 s for the calls in progress.
 func (s *Server) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	err := s.server.Shutdown(ctx)
-	if end := <-s.done; !errors.Is(end, http.ErrServerClosed) {
-		err = errors.Join(err, end)
+	if serveErr := <-s.done; !errors.Is(serveErr, http.ErrServerClosed) {
+		err = errors.Join(err, serveErr)
 	}
 	return err
 }
 
-var errKey = errors.New("want the operators' key")
+var errUnauthorized = errors.New("want the operators' key")
 
-// authorizer lets a call pass only with the right key.
+// authorizer returns an interceptor that rejects calls without a valid key.
 func authorizer(cfg Config) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			key, _ := strings.CutPrefix(req.Header().Get("Authorization"), "Bearer ")
 			pull := req.Spec().Procedure == wire.BoxesPullProcedure
-			allowed := same(key, cfg.OpsKey) || pull && same(key, cfg.PeerKey)
+			allowed := equalKeys(key, cfg.OpsKey) || pull && equalKeys(key, cfg.PeerKey)
 			if !allowed {
-				return nil, connect.NewError(connect.CodeUnauthenticated, errKey)
+				return nil, connect.NewError(connect.CodeUnauthenticated, errUnauthorized)
 			}
 			return next(ctx, req)
 		}
 	}
 }
 
-func same(a, b string) bool { return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1 }
+// equalKeys compares keys in constant time.
+func equalKeys(a, b string) bool { return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1 }
 
-// Status answers a call.
+// Status implements wire.BoxesHandler.
 func (s *Server) Status(ctx context.Context, _ *connect.Request[wire.StatusRequest]) (*connect.Response[wire.StatusResponse], error) {
-	return answer(s.backend.Status(ctx))
+	return newResponse(s.backend.Status(ctx))
 }
 
-// Timeline answers a call.
+// Timeline implements wire.BoxesHandler.
 func (s *Server) Timeline(ctx context.Context, r *connect.Request[wire.TimelineRequest]) (*connect.Response[wire.TimelineResponse], error) {
-	return answer(s.backend.Timeline(ctx, r.Msg))
+	return newResponse(s.backend.Timeline(ctx, r.Msg))
 }
 
-// Drain answers a call.
+// Drain implements wire.BoxesHandler.
 func (s *Server) Drain(ctx context.Context, _ *connect.Request[wire.DrainRequest]) (*connect.Response[wire.DrainResponse], error) {
-	return answer(s.backend.Drain(ctx))
+	return newResponse(s.backend.Drain(ctx))
 }
 
-// Pull answers a call.
+// Pull implements wire.BoxesHandler.
 func (s *Server) Pull(ctx context.Context, r *connect.Request[wire.PullRequest]) (*connect.Response[wire.PullResponse], error) {
-	return answer(s.backend.Pull(ctx, r.Msg))
+	return newResponse(s.backend.Pull(ctx, r.Msg))
 }
 
-func answer[T any](m *T, err error) (*connect.Response[T], error) {
+// newResponse wraps a backend's message, or returns its error as CodeUnavailable.
+func newResponse[T any](m *T, err error) (*connect.Response[T], error) {
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
 	return connect.NewResponse(m), nil
 }
 
-// Client makes calls to one box.
+// Client calls the operators' API of one box.
 type Client struct {
 	boxes wire.BoxesClient
 	http  *http.Client
 }
 
-// Dial returns a client of the box at address, IP:port.
+// Dial returns a client for the box at address, an IP:port, that authenticates with
+// key. It opens no connection before the first call.
 func Dial(address, key string) *Client {
 	h := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{IdleConnTimeout: 10 * time.Second}}
-	c := wire.NewBoxesClient(h, "http://"+address, connect.WithReadMaxBytes(maxAnswer),
+	c := wire.NewBoxesClient(h, "http://"+address, connect.WithReadMaxBytes(maxResponse),
 		connect.WithInterceptors(connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 			return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 				req.Header().Set("Authorization", "Bearer "+key)
@@ -149,26 +153,27 @@
 	return nil
 }
 
-// Status asks for a box's status.
+// Status returns the box's status.
 func (c *Client) Status(ctx context.Context) (*wire.StatusResponse, error) {
 	return message(c.boxes.Status(ctx, connect.NewRequest(&wire.StatusRequest{})))
 }
 
-// Timeline asks for a box's events.
+// Timeline returns the events of the box's timeline that r selects.
 func (c *Client) Timeline(ctx context.Context, r *wire.TimelineRequest) (*wire.TimelineResponse, error) {
 	return message(c.boxes.Timeline(ctx, connect.NewRequest(r)))
 }
 
-// Drain begins a planned stop.
+// Drain begins a planned stop of the box.
 func (c *Client) Drain(ctx context.Context) (*wire.DrainResponse, error) {
 	return message(c.boxes.Drain(ctx, connect.NewRequest(&wire.DrainRequest{})))
 }
 
-// Pull fetches what is newer than the revisions held.
+// Pull fetches the table and the list if they are newer than the revisions in r.
 func (c *Client) Pull(ctx context.Context, r *wire.PullRequest) (*wire.PullResponse, error) {
 	return message(c.boxes.Pull(ctx, connect.NewRequest(r)))
 }
 
+// message returns the message of a response.
 func message[T any](r *connect.Response[T], err error) (*T, error) {
 	if err != nil {
 		return nil, err
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,8 +1,8 @@
-// Package platform reads what the platform publishes: the table and the list of
-// boxes and upstreams. Nothing is ever written to it.
+// Package platform reads the table and the list of boxes and upstreams that the
+// platform publishes. It never writes to the platform.
 //
-// Each read is one call that waits for something newer than what is known, so
-// that a reader costs the platform one waiting watch and no polling.
+// Each read is a long poll: the call waits for a revision newer than the known one,
+// so that a reader costs the platform one waiting call instead of frequent polls.
 package platform
 
 import (
@@ -20,32 +20,34 @@
 	"github.com/doormast/doormast/table"
 )
 
-// Reader reads what the platform publishes.
+// Reader reads the documents that the platform publishes.
 type Reader interface {
-	// Table waits for a table newer than the revision, for at most wait. It
-	// returns nil if there is none.
+	// Table waits up to wait for a table with a revision above after. It returns
+	// nil if there is none.
 	Table(ctx context.Context, after uint64, wait time.Duration) (*table.Table, error)
-	// List waits for a list newer than the revision.
+	// List waits up to wait for a list with a revision above after. It returns nil
+	// if there is none.
 	List(ctx context.Context, after uint64, wait time.Duration) (*List, error)
 }
 
-// List is the platform's lagging list of boxes and upstreams, with addresses.
+// List is the platform's list of boxes, with their addresses, and of the upstreams
+// that are leaving. It may lag behind the actual state.
 type List struct {
 	Revision uint64   `json:"revision"`
 	Boxes    []Box    `json:"boxes"`
-	Leaving  []string `json:"leaving_upstreams"`
+	Leaving  []string `json:"leaving_upstreams"` // names
 }
 
 // Box is an entry box on the list.
 type Box struct {
 	Name    string `json:"name"`
 	Domain  string `json:"domain"`
-	Control string `json:"control"` // IP:port, UDP
-	Ops     string `json:"ops"`     // IP:port of the operators' calls
-	Leaving bool   `json:"leaving"`
+	Control string `json:"control"` // IP:port of the messages between boxes, UDP
+	Ops     string `json:"ops"`     // IP:port of the operators' API, TCP
+	Leaving bool   `json:"leaving"` // whether the box is about to stop
 }
 
-// Roster is the list as the decisions see it.
+// Roster converts the list to the form that package cell uses, without addresses.
 func (l *List) Roster() cell.Roster {
 	r := cell.Roster{Revision: l.Revision, Leaving: l.Leaving}
 	for _, b := range l.Boxes {
@@ -54,25 +56,25 @@
 	return r
 }
 
-// ErrBadTable means that the platform serves a table that cannot be accepted.
+// ErrBadTable reports that the platform serves a table that fails validation.
 var ErrBadTable = errors.New("platform: bad table")
 
-// HTTP reads the stand-in platform, which speaks HTTP.
+// HTTP reads a platform over HTTP.
 type HTTP struct {
 	base   string
 	client *http.Client
-	calls  atomic.Uint64
+	calls  atomic.Uint64 // number of calls made
 }
 
 var _ Reader = (*HTTP)(nil)
 
-// NewHTTP returns a reader of the platform at address, IP:port.
+// NewHTTP returns a reader for the platform at address, an IP:port.
 func NewHTTP(address string) *HTTP {
 	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}
 	return &HTTP{base: "http://" + address, client: &http.Client{Transport: transport}}
 }
 
-// Calls is how many calls were made.
+// Calls returns the number of calls made.
 func (h *HTTP) Calls() uint64 { return h.calls.Load() }
 
 // Close closes the idle connections.
@@ -81,13 +83,14 @@
 	return nil
 }
 
-// grace is how much longer than its wait a call may take.
-const grace = 2 * time.Second
+// callGrace is added to the wait of a call to get its timeout.
+const callGrace = 2 * time.Second
 
-// get makes a call; nil means that there is nothing new.
+// get makes a call and returns the body of the response, or nil if the platform has
+// no newer revision.
 func (h *HTTP) get(ctx context.Context, path string, after uint64, wait time.Duration) ([]byte, error) {
 	h.calls.Add(1)
-	ctx, cancel := context.WithTimeout(ctx, wait+grace)
+	ctx, cancel := context.WithTimeout(ctx, wait+callGrace)
 	defer cancel()
 	url := h.base + path + "?after=" + strconv.FormatUint(after, 10) + "&wait=" + wait.String()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -111,7 +114,7 @@
 	return body, nil
 }
 
-// Table waits for a newer table.
+// Table implements Reader. The error wraps ErrBadTable if the table is invalid.
 func (h *HTTP) Table(ctx context.Context, after uint64, wait time.Duration) (*table.Table, error) {
 	body, err := h.get(ctx, "/v1/table", after, wait)
 	if err != nil || body == nil {
@@ -124,7 +127,7 @@
 	return t, nil
 }
 
-// List waits for a newer list.
+// List implements Reader.
 func (h *HTTP) List(ctx context.Context, after uint64, wait time.Duration) (*List, error) {
 	body, err := h.get(ctx, "/v1/list", after, wait)
 	if err != nil || body == nil {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -17,34 +17,34 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const good = `{"revision":3,"classes":[{"name":"c","tier":1,"first_token":"1s","floor":0.1,"set":"s"}],
+const validTable = `{"revision":3,"classes":[{"name":"c","tier":1,"first_token":"1s","floor":0.1,"set":"s"}],
 	"upstreams":[{"name":"e","domain":"d","address":"127.0.0.1:1","set":"s","slots":1}]}`
 
-// TestTable is the fault table of the platform's edge.
+// TestTable covers the responses and failures of the platform.
 func TestTable(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		status  int
 		body    string
-		cut     bool
+		cut     bool   // connection ends before Content-Length bytes
 		want    uint64 // revision; 0 is none
 		wantErr bool
-		bad     bool
+		bad     bool // the error wraps ErrBadTable
 	}{
-		{"new", 200, good, false, 3, false, false},
-		{"nothing new", 304, "", false, 0, false, false},
-		{"down", 503, "down", false, 0, true, false},
-		{"garbage", 200, "<html>", false, 0, true, true},
-		{"impossible rows", 200, strings.Replace(good, `"floor":0.1`, `"floor":3`, 1), false, 0, true, true},
-		{"cut off", 200, good[:50], false, 0, true, true},
-		{"connection lost", 200, good, true, 0, true, false},
-		{"too large", 200, strings.Repeat(" ", table.MaxSize+1) + good, false, 0, true, true},
+		{"newer table", 200, validTable, false, 3, false, false},
+		{"not modified", 304, "", false, 0, false, false},
+		{"unavailable", 503, "down", false, 0, true, false},
+		{"not JSON", 200, "<html>", false, 0, true, true},
+		{"invalid row", 200, strings.Replace(validTable, `"floor":0.1`, `"floor":3`, 1), false, 0, true, true},
+		{"truncated document", 200, validTable[:50], false, 0, true, true},
+		{"connection lost", 200, validTable, true, 0, true, false},
+		{"too large", 200, strings.Repeat(" ", table.MaxSize+1) + validTable, false, 0, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.FormValue("after") != "2" || r.FormValue("wait") != "1s" {
-					t.Errorf("asked with %s", r.URL.RawQuery)
+					t.Errorf("unexpected query %s", r.URL.RawQuery)
 				}
 				if c.cut {
 					w.Header().Set("Content-Length", "100000")
@@ -57,7 +57,7 @@
 			defer func() { is.NoErr(h.Close()) }()
 			got, err := h.Table(context.Background(), 2, time.Second)
 			is.Equal(err != nil, c.wantErr)
-			is.Equal(errors.Is(err, ErrBadTable), c.bad) // a bad table is told from a platform that fails
+			is.Equal(errors.Is(err, ErrBadTable), c.bad) // an invalid table is distinguished from a failed call
 			if c.want > 0 {
 				is.Equal(got.Revision, c.want)
 			} else {
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,7 +1,8 @@
-// Package ring joins duties: a bounded queue that never makes its writers wait.
+// Package ring implements a bounded queue between goroutines whose writers never
+// block.
 //
-// A full ring is a refusal or a dropped and counted hint; the decision which of
-// the two lies with the writer.
+// A write to a full ring fails and is counted. The writer decides whether to
+// refuse the work or to drop the item.
 package ring
 
 import (
@@ -10,7 +11,7 @@
 	"sync/atomic"
 )
 
-// Ring is a bounded queue from several goroutines to one.
+// Ring is a bounded FIFO queue with several writers and one reader.
 type Ring[T any] struct {
 	mu      sync.Mutex
 	items   []T
@@ -25,7 +26,8 @@
 	return &Ring[T]{items: make([]T, max(size, 1)), ready: make(chan struct{}, 1)}
 }
 
-// TryPush enters an item, or returns false and counts if the ring is full.
+// TryPush appends an item. If the ring is full it counts the item as dropped and
+// returns false.
 func (r *Ring[T]) TryPush(item T) bool {
 	r.mu.Lock()
 	if r.count == len(r.items) {
@@ -43,10 +45,10 @@
 	return true
 }
 
-// Ready is readable when there may be items.
+// Ready returns a channel that receives a value when there may be items.
 func (r *Ring[T]) Ready() <-chan struct{} { return r.ready }
 
-// Drain moves all items to the end of buf and returns it.
+// Drain removes all items, appends them to buf and returns it.
 func (r *Ring[T]) Drain(buf []T) []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,8 +61,8 @@
 	return buf
 }
 
-// Wait blocks until there are items and moves them to buf; false means that ctx
-// has ended.
+// Wait blocks until there are items and drains them to the end of buf. It returns
+// false if ctx ends first.
 func (r *Ring[T]) Wait(ctx context.Context, buf []T) ([]T, bool) {
 	for {
 		if buf = r.Drain(buf); len(buf) > 0 {
@@ -74,12 +76,13 @@
 	}
 }
 
-// Len is how many items wait.
+// Len returns the number of queued items.
 func (r *Ring[T]) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.count
 }
 
-// Dropped is how many items found the ring full.
+// Dropped returns the number of items that were not queued because the ring was
+// full.
 func (r *Ring[T]) Dropped() uint64 { return r.dropped.Load() }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -12,7 +12,7 @@
 	r := New[int](2)
 	is.True(r.TryPush(1))
 	is.True(r.TryPush(2))
-	is.True(!r.TryPush(3)) // full: told, not waited for
+	is.True(!r.TryPush(3)) // a full ring fails at once
 	is.Equal(r.Dropped(), uint64(1))
 	got, ok := r.Wait(context.Background(), nil)
 	is.True(ok)
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,5 +1,5 @@
-// Package signals takes the signals of a daemon from its start on. The invariant: none that comes while the other packages are
-// initialized or the settings are read ends the process; it waits.
+// Package signals receives the signals of a daemon from package initialization on. The invariant: a signal that arrives while other
+// packages are initialized or the settings are read is queued instead of ending the process.
 package signals
 
 import (
@@ -8,12 +8,12 @@
 	"syscall"
 )
 
-// most is how many signals may wait while one is dealt with.
-const most = 4
+// queueSize is the number of signals that may wait while one is handled.
+const queueSize = 4
 
-var channel = make(chan os.Signal, most)
+var channel = make(chan os.Signal, queueSize)
 
 func init() { signal.Notify(channel, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) }
 
-// Channel is where SIGTERM, SIGINT and SIGHUP come.
+// Channel returns the channel that receives SIGTERM, SIGINT and SIGHUP.
 func Channel() <-chan os.Signal { return channel }
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// A box was told that its settings had changed while it started, and ended: nobody listened for that signal yet.
-func TestSignalsOfTheStartAreTaken(t *testing.T) {
+// TestSignalsDuringStartAreQueued guards against a box that ends when it receives SIGHUP, for changed settings, during its start,
+// before a handler for the signal is installed.
+func TestSignalsDuringStartAreQueued(t *testing.T) {
 	is := is.New(t)
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
 		is.NoErr(syscall.Kill(os.Getpid(), s))
--- a/internal/timer/timer.go
+++ b/internal/timer/timer.go
@@ -1,8 +1,8 @@
-// Package timer is the timer service that the parts of a process subscribe to,
-// and the clocks that they go by.
+// Package timer defines the clocks of a process and a service that sends periodic
+// ticks to its subscribers.
 //
-// Leases end by a clock that also counts the time for which the machine was
-// suspended, so a process that is woken late sees how late it is.
+// Leases expire by the boot clock, which also counts the time for which the
+// machine was suspended, so that a process that resumes late sees the elapsed time.
 package timer
 
 import (
@@ -13,14 +13,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time in two ways: since the machine's start, suspension
-// included, and since 1970.
+// Clock provides the monotonic and the wall time.
 type Clock interface {
-	Boot() time.Duration
+	Boot() time.Duration // since the machine's boot, time in suspension included
 	Wall() time.Time
 }
 
-// SystemClock is the machine's own clock.
+// SystemClock is the clock of the operating system.
 type SystemClock struct{}
 
 var _ Clock = SystemClock{}
@@ -29,21 +28,21 @@
 func (SystemClock) Boot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic("timer: the machine has no CLOCK_BOOTTIME: " + err.Error())
+		panic("timer: cannot read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
 }
 
-// Wall reads the wall clock.
+// Wall returns the wall-clock time.
 func (SystemClock) Wall() time.Time { return time.Now() }
 
-// Tick is what subscribers get.
+// Tick holds the time at which a tick was sent.
 type Tick struct {
-	Now  time.Duration // the boot clock
+	Now  time.Duration // boot clock
 	Wall time.Time
 }
 
-// Service ticks its subscribers.
+// Service sends ticks to its subscribers.
 type Service struct {
 	clock Clock
 	step  time.Duration
@@ -62,10 +61,10 @@
 // Config configures a Service.
 type Config struct {
 	Clock Clock
-	Step  time.Duration // the finest interval
+	Step  time.Duration // resolution of the service, its shortest interval
 }
 
-// Start starts a service; Close ends it.
+// Start starts a service, which runs until ctx ends or Close is called.
 func Start(ctx context.Context, cfg Config) *Service {
 	ctx, stop := context.WithCancel(ctx)
 	s := &Service{clock: cfg.Clock, step: cfg.Step, stop: stop, done: make(chan struct{})}
@@ -73,8 +72,8 @@
 	return s
 }
 
-// Subscribe returns a channel that gets a tick each interval. A subscriber that
-// is behind gets one tick, not the missed ones.
+// Subscribe returns a channel that receives a tick at each interval. A subscriber
+// that falls behind receives one pending tick; the missed ones are dropped.
 func (s *Service) Subscribe(every time.Duration) <-chan Tick {
 	sub := &subscription{every: every, ticks: make(chan Tick, 1)}
 	s.mu.Lock()
--- a/internal/timer/timer_test.go
+++ b/internal/timer/timer_test.go
@@ -7,28 +7,28 @@
 	"github.com/matryer/is"
 )
 
-// TestSubscribe ticks a service by hand: each subscriber has its own interval,
-// and one that is behind gets one tick, not the missed ones.
+// TestSubscribe calls tick directly and checks that each subscriber has its own
+// interval and that one that falls behind receives one tick, not the missed ones.
 func TestSubscribe(t *testing.T) {
 	is := is.New(t)
 	s := &Service{step: 10 * time.Millisecond}
 	fast, slow := s.Subscribe(10*time.Millisecond), s.Subscribe(50*time.Millisecond)
-	n, m := 0, 0
+	fastTicks, slowTicks := 0, 0
 	for now := time.Duration(0); now < 100*time.Millisecond; now += 10 * time.Millisecond {
 		s.tick(Tick{Now: now})
 		select {
 		case <-fast:
-			n++
+			fastTicks++
 		default:
 		}
 		select {
 		case <-slow:
-			m++
+			slowTicks++
 		default:
 		}
 	}
-	is.Equal(n, 10)
-	is.Equal(m, 2)
+	is.Equal(fastTicks, 10)
+	is.Equal(slowTicks, 2)
 	for now := time.Second; now < 2*time.Second; now += 100 * time.Millisecond {
 		s.tick(Tick{Now: now})
 	}
@@ -36,9 +36,9 @@
 	is.Equal(len(slow), 0)
 }
 
-func TestBootClockGoesOn(t *testing.T) {
+func TestBootClockIsMonotonic(t *testing.T) {
 	var c SystemClock
 	if a, b := c.Boot(), c.Boot(); b < a || a <= 0 {
-		t.Errorf("the clock says %v and then %v", a, b)
+		t.Errorf("consecutive readings are %v and %v", a, b)
 	}
 }
