--- a/internal/control/codec.go
+++ b/internal/control/codec.go
@@ -1,8 +1,8 @@
 package control
 
-// This file defines the datagrams between boxes. The invariants: a datagram that
-// does not carry the right MAC is dropped before it is parsed; one of an older
-// incarnation, or seen before, is dropped as well.
+// This file defines the encoding of datagrams between boxes. The invariants: a
+// datagram without a valid MAC is dropped before it is parsed; a datagram of an older
+// incarnation of its sender, or one that was received before, is dropped as well.
 
 import (
 	"crypto/hmac"
@@ -19,17 +19,18 @@
 
 const (
 	macSize = 16
-	// maxDatagram keeps a datagram within what UDP over loopback and jumbo
-	// frames carries; full lists are split to fit.
+	// maxDatagram is the largest datagram sent, in bytes, so that it fits a UDP
+	// packet over loopback or in a jumbo frame. Encode splits longer batches.
 	maxDatagram = 8 << 10
-	// replayWindow is how far a datagram may come after a later one.
+	// replayWindow is the number of latest sequence numbers of a sender that are
+	// tracked; datagrams that arrive later than that are dropped.
 	replayWindow = 64
 )
 
-// Drop says why a datagram was dropped.
+// Drop is the reason for which a datagram or message was dropped.
 type Drop string
 
-// Reasons of a drop.
+// Values of Drop.
 const (
 	DropNone     Drop = ""
 	DropSize     Drop = "size"
@@ -42,42 +43,43 @@
 	DropRingFull Drop = "ring_full"
 )
 
-// Received is what a datagram held.
+// Received is the content of a datagram.
 type Received struct {
-	Sender   string
-	Boot     uint64
+	Sender   string // name of the box
+	Boot     uint64 // incarnation of the sender
 	Messages []cell.Message
-	Unknown  int // messages of a kind that this version does not know
-	Stamp    timeline.Stamp
+	Unknown  int            // messages of an unknown kind or with a field out of range
+	Stamp    timeline.Stamp // time of sending
 }
 
-// Codec makes and reads the datagrams of one incarnation of a box. It is safe
-// for one writer and one reader at a time.
+// Codec encodes and decodes the datagrams of one incarnation of a box. It is safe
+// for concurrent use.
 type Codec struct {
 	sender   string
 	boot     uint64
 	key      []byte
 	stamp    func() timeline.Stamp
-	writing  sync.Mutex
-	sequence uint64
-	reading  sync.Mutex
+	writing  sync.Mutex // guards sequence
+	sequence uint64     // of the last datagram sent
+	reading  sync.Mutex // guards seen
 	seen     map[string]*window
 }
 
-// window remembers which sequence numbers of a sender were seen.
+// window records the sequence numbers received from a sender.
 type window struct {
 	boot    uint64
 	highest uint64
-	bits    uint64
+	bits    uint64 // bit i is set if highest-i was received
 }
 
-// NewCodec returns a codec; key is the secret that the boxes share, and stamp
-// gives the time that each datagram carries.
+// NewCodec returns a codec for the incarnation boot of the box called sender. key
+// is the secret that the boxes share, and stamp returns the time for a datagram.
 func NewCodec(sender string, boot uint64, key []byte, stamp func() timeline.Stamp) *Codec {
 	return &Codec{sender: sender, boot: boot, key: key, stamp: stamp, seen: make(map[string]*window)}
 }
 
-// Encode makes the datagrams for a batch of messages, appended to out.
+// Encode encodes a batch of messages into one or more datagrams and appends them to
+// out.
 func (c *Codec) Encode(out [][]byte, messages []cell.Message) ([][]byte, error) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
@@ -88,7 +90,7 @@
 		if w == nil {
 			continue
 		}
-		n := framed(proto.Size(w))
+		n := elementSize(proto.Size(w))
 		if size+n > maxDatagram-256 && len(d.Messages) > 0 {
 			var err error
 			if out, err = c.seal(out, d); err != nil {
@@ -105,6 +107,8 @@
 	return c.seal(out, d)
 }
 
+// seal assigns the next sequence number and the time to d, and appends its encoding
+// with the MAC to out.
 func (c *Codec) seal(out [][]byte, d *wire.Datagram) ([][]byte, error) {
 	c.sequence++
 	d.Sequence = c.sequence
@@ -123,7 +127,7 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// Decode reads a datagram, or says why it is dropped.
+// Decode verifies and decodes a datagram, or returns the reason to drop it.
 func (c *Codec) Decode(b []byte) (Received, Drop) {
 	if len(b) <= macSize || len(b) > 64<<10 {
 		return Received{}, DropSize
@@ -153,7 +157,8 @@
 	return r, DropNone
 }
 
-// accept notes a sequence number as seen.
+// accept records a sequence number as received, or returns the reason to drop its
+// datagram.
 func (c *Codec) accept(sender string, boot, sequence uint64) Drop {
 	c.reading.Lock()
 	defer c.reading.Unlock()
@@ -177,8 +182,9 @@
 	return DropNone
 }
 
-// Size is how many bytes a message takes within a datagram.
-func Size(m cell.Message) int { return framed(proto.Size(toWire(m))) }
+// Size returns the number of bytes that a message takes in a datagram.
+func Size(m cell.Message) int { return elementSize(proto.Size(toWire(m))) }
 
-// framed adds the tag and the length of an element of n bytes.
-func framed(n int) int { return 1 + protowire.SizeBytes(n) }
+// elementSize returns the size of a repeated protobuf field's element of n bytes,
+// with its tag and length.
+func elementSize(n int) int { return 1 + protowire.SizeBytes(n) }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,8 +1,8 @@
-// Package control carries the messages between boxes over UDP, by package datagram.
+// Package control sends and receives the messages between boxes over UDP.
 //
-// A datagram may be lost, come twice or late; the messages are made for that. The
-// invariant: what is handed on came from a box that knows the shared key, in an
-// incarnation not older than any seen.
+// A datagram may be lost, duplicated or delayed; the protocol of the messages
+// tolerates that. The invariant: a message is passed to the handler only if its
+// sender knows the shared key and is of the newest incarnation seen, or a newer one.
 package control
 
 import (
@@ -14,7 +14,8 @@
 	"github.com/doormast/doormast/internal/datagram"
 )
 
-// Handler takes in what was received, on the receiving goroutine.
+// Handler is called with the content of each accepted datagram, on the receiving
+// goroutine.
 type Handler func(Received)
 
 // Config configures a Link.
@@ -22,30 +23,34 @@
 	Address string // IP:port to listen on, UDP
 	Codec   *Codec
 	Handler Handler
-	// Dropped counts a dropped datagram.
+	// Dropped is called with the reason for each dropped datagram, and once for a
+	// datagram with messages that were skipped.
 	Dropped func(Drop)
-	// Sent counts the bytes of sent datagrams, headers of IP and UDP included.
+	// Sent is called with the size of each sent datagram in bytes, IP and UDP
+	// headers included.
 	Sent func(bytes int)
 }
 
 const (
-	// headerBytes is what IP and UDP add to a datagram.
+	// headerBytes is the size of the IPv4 and UDP headers of a datagram.
 	headerBytes = 28
-	// receiveBuffer holds what arrives while the receiver is busy, in bytes.
+	// receiveBuffer is the size of the kernel's receive buffer in bytes, which holds
+	// datagrams that arrive while the receiver is busy.
 	receiveBuffer = 1 << 20
 )
 
-// Link is a box's connection to the others.
+// Link is the UDP endpoint of a box for messages to and from the other boxes.
 type Link struct {
 	cfg    Config
 	socket *datagram.Socket
 
 	mu        sync.Mutex
-	addresses map[string]netip.AddrPort
-	buffer    [][]byte
+	addresses map[string]netip.AddrPort // by box
+	buffer    [][]byte                  // encoded datagrams, reused by Send
 }
 
-// Listen opens a link; Close ends it.
+// Listen opens a link. ctx limits only how long it takes to open. The caller must
+// call Close.
 func Listen(ctx context.Context, cfg Config) (*Link, error) {
 	l := &Link{cfg: cfg, addresses: make(map[string]netip.AddrPort)}
 	var err error
@@ -56,7 +61,7 @@
 	return l, nil
 }
 
-// received takes a datagram.
+// received decodes a datagram and passes its content to the handler.
 func (l *Link) received(b []byte) {
 	r, drop := l.cfg.Codec.Decode(b)
 	if drop != DropNone {
@@ -69,21 +74,21 @@
 	l.cfg.Handler(r)
 }
 
-// SetAddress says where a box listens. An address that cannot be parsed is
-// forgotten.
+// SetAddress sets the address, an IP:port, on which a box listens. An invalid
+// address removes the entry of the box.
 func (l *Link) SetAddress(box, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a, err := netip.ParseAddrPort(address)
+	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
 		delete(l.addresses, box)
 		return
 	}
-	l.addresses[box] = a
+	l.addresses[box] = parsed
 }
 
-// Send sends messages to a box, as a hint: what cannot be sent is lost, as it
-// might be on the way.
+// Send sends messages to a box without a guarantee of delivery. Messages that cannot
+// be sent, also for lack of an address, are dropped, as the network might do.
 func (l *Link) Send(box string, messages []cell.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,5 +107,5 @@
 	}
 }
 
-// Close stops receiving and sending and waits for the receiver to end.
+// Close stops receiving and sending and waits until the receiver has ended.
 func (l *Link) Close() error { return l.socket.Close() }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -18,6 +18,7 @@
 	"github.com/doormast/doormast/timeline"
 )
 
+// A fixed seed makes failures of the property tests reproducible.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
 
 var key = []byte("a key for the tests")
@@ -26,7 +27,7 @@
 	return NewCodec(name, boot, key, func() timeline.Stamp { return timeline.Stamp{Wall: 5, Logical: 6} })
 }
 
-// messages are one of each kind, with every field set.
+// messages returns one message of each kind, with every field set.
 func messages() []cell.Message {
 	return []cell.Message{
 		&cell.Heartbeat{Counter: 1, Table: 2, Digest: 3, Roster: 4, Leaving: true, PlatformUnreachable: true, Probe: true, Joining: true, Announce: true, Full: true, Withheld: 9,
@@ -85,7 +86,7 @@
 	is.Equal(n, 500)
 }
 
-// TestDrops is the fault table of the control edge.
+// TestDrops covers the reasons for which a datagram is dropped.
 func TestDrops(t *testing.T) {
 	one := func(c *Codec) []byte {
 		grams, err := c.Encode(nil, []cell.Message{&cell.Recall{Set: "s"}})
@@ -104,19 +105,19 @@
 		{"garbage", func(*Codec) []byte { return []byte("some text that is no datagram at all") }, DropMAC},
 		{"another key", func(*Codec) []byte { return one(codec("a", 1, []byte("another key entirely"))) }, DropMAC},
 		{"truncated", func(*Codec) []byte { g := one(codec("a", 1, key)); return g[:len(g)-1] }, DropMAC},
-		{"a bit turned", func(*Codec) []byte { g := one(codec("a", 1, key)); g[3] ^= 1; return g }, DropMAC},
-		{"own", func(*Codec) []byte { return one(codec("b", 1, key)) }, DropOwn},
-		{"nameless", func(*Codec) []byte { return one(codec("", 1, key)) }, DropGarbage},
+		{"flipped bit", func(*Codec) []byte { g := one(codec("a", 1, key)); g[3] ^= 1; return g }, DropMAC},
+		{"own datagram", func(*Codec) []byte { return one(codec("b", 1, key)) }, DropOwn},
+		{"empty sender", func(*Codec) []byte { return one(codec("", 1, key)) }, DropGarbage},
 		{"old incarnation", func(b *Codec) []byte {
 			b.Decode(one(codec("a", 2, key)))
 			return one(codec("a", 1, key))
 		}, DropOldBoot},
-		{"twice", func(b *Codec) []byte {
+		{"duplicate", func(b *Codec) []byte {
 			g := one(codec("a", 1, key))
 			b.Decode(g)
 			return g
 		}, DropReplay},
-		{"far behind", func(b *Codec) []byte {
+		{"reordered beyond the replay window", func(b *Codec) []byte {
 			a := codec("a", 1, key)
 			old := one(a)
 			for range replayWindow + 1 {
@@ -124,7 +125,7 @@
 			}
 			return old
 		}, DropReplay},
-		{"a little out of order", func(b *Codec) []byte {
+		{"reordered within the replay window", func(b *Codec) []byte {
 			a := codec("a", 1, key)
 			first := one(a)
 			b.Decode(one(a))
@@ -139,18 +140,19 @@
 	}
 }
 
-// TestReplayWindow: whatever the order, each datagram is taken at most once.
+// TestReplayWindow checks that each sequence number is accepted at most once, in
+// whatever order the datagrams arrive.
 func TestReplayWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := codec("b", 1, key)
-		taken := make(map[uint64]bool)
+		accepted := make(map[uint64]bool)
 		for range 300 {
 			n := rapid.Uint64Range(1, 150).Draw(rt, "sequence")
 			if b.accept("a", 1, n) == DropNone {
-				if taken[n] {
-					rt.Fatalf("%d taken twice", n)
+				if accepted[n] {
+					rt.Fatalf("sequence number %d accepted twice", n)
 				}
-				taken[n] = true
+				accepted[n] = true
 			}
 		}
 	})
@@ -164,7 +166,7 @@
 	f.Add(grams[0][:len(grams[0])-macSize])
 	f.Fuzz(func(_ *testing.T, body []byte) {
 		b := codec("b", 1, key)
-		// Sealed rightly, so that the parser behind the MAC is reached.
+		// A valid MAC lets the body reach the parser.
 		b.Decode(append(append([]byte(nil), body...), b.mac(body)...))
 	})
 }
@@ -182,13 +184,13 @@
 		is.NoErr(err)
 		return l
 	}
-	free := func() string {
+	freeAddress := func() string {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		is.NoErr(err)
 		defer func() { _ = c.Close() }()
 		return c.LocalAddr().String()
 	}
-	addressA, addressB := free(), free()
+	addressA, addressB := freeAddress(), freeAddress()
 	a, b := listen("a", addressA), listen("b", addressB)
 	a.SetAddress("b", addressB)
 	a.Send("b", []cell.Message{&cell.Recall{Set: "s"}})
@@ -196,10 +198,10 @@
 	is.Equal(r.Sender, "a")
 	c, err := net.Dial("udp", addressB)
 	is.NoErr(err)
-	_, err = c.Write([]byte("garbage of a stranger, longer than a MAC"))
+	_, err = c.Write([]byte("no valid datagram, and longer than a MAC"))
 	is.NoErr(err)
 	a.Send("b", []cell.Message{&cell.Recall{Set: "t"}})
-	is.Equal((<-got).Messages[0].(*cell.Recall).Set, "t") // still served
+	is.Equal((<-got).Messages[0].(*cell.Recall).Set, "t") // the link still works
 	mu.Lock()
 	is.Equal(drops[DropMAC], 1)
 	mu.Unlock()
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -1,7 +1,8 @@
 package control
 
-// This file converts between the decisions' messages and the wire's. The
-// invariant: what decode accepts, encode made; fields out of range are errors.
+// This file defines the conversion between the messages of package cell and those of
+// package wire. The invariant: fromWire returns only messages that toWire can produce.
+// It rejects or clamps fields that are out of range.
 
 import (
 	"slices"
@@ -13,17 +14,20 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// limitScale is how limits, which may be fractions, are written on the wire.
+// limitScale converts limits, which may be fractions, to integers on the wire, which
+// are in thousandths.
 const limitScale = 1000
 
+// micros returns d in microseconds; a negative duration becomes 0.
 func micros(d time.Duration) uint64 { return uint64(max(0, d) / time.Microsecond) }
 
-func span(us uint64) time.Duration {
-	const longest = uint64(24 * time.Hour / time.Microsecond)
-	return time.Duration(min(us, longest)) * time.Microsecond
+// fromMicros returns a duration of us microseconds, 24 hours at most.
+func fromMicros(us uint64) time.Duration {
+	const maxMicros = uint64(24 * time.Hour / time.Microsecond)
+	return time.Duration(min(us, maxMicros)) * time.Microsecond
 }
 
-// toWire converts a message for sending.
+// toWire converts a message to its wire form, or returns nil for an unknown kind.
 func toWire(m cell.Message) *wire.Message {
 	switch m := m.(type) {
 	case *cell.Heartbeat:
@@ -92,7 +96,7 @@
 	return h
 }
 
-// fromWire converts a received message; nil means that its kind is unknown or a
+// fromWire converts a received message. It returns nil if the kind is unknown or a
 // field is out of range.
 func fromWire(m *wire.Message) cell.Message {
 	switch b := m.Body.(type) {
@@ -100,17 +104,17 @@
 		return heartbeatFromWire(b.Heartbeat)
 	case *wire.Message_Bid:
 		w := b.Bid
-		return &cell.Bid{Set: w.Set, Bid: decide.Bid{ID: w.Id, Class: w.Class, Customer: w.Customer, Waited: span(w.Waited),
-			Remaining: span(w.Remaining), Work: float64(max(1, w.Work)), Prefix: w.Prefix, FromOtherDomain: w.Visitor, Resume: w.Resume, Attempt: w.Attempt}}
+		return &cell.Bid{Set: w.Set, Bid: decide.Bid{ID: w.Id, Class: w.Class, Customer: w.Customer, Waited: fromMicros(w.Waited),
+			Remaining: fromMicros(w.Remaining), Work: float64(max(1, w.Work)), Prefix: w.Prefix, FromOtherDomain: w.Visitor, Resume: w.Resume, Attempt: w.Attempt}}
 	case *wire.Message_Withdraw:
 		return &cell.Withdraw{Set: b.Withdraw.Set, ID: b.Withdraw.Id}
 	case *wire.Message_Grant:
-		return &cell.Grant{Set: b.Grant.Set, ID: b.Grant.Id, Upstream: b.Grant.Upstream, StartBy: span(b.Grant.StartBy), KeepFor: span(b.Grant.Keep), Attempt: b.Grant.Attempt}
+		return &cell.Grant{Set: b.Grant.Set, ID: b.Grant.Id, Upstream: b.Grant.Upstream, StartBy: fromMicros(b.Grant.StartBy), KeepFor: fromMicros(b.Grant.Keep), Attempt: b.Grant.Attempt}
 	case *wire.Message_Recall:
 		return &cell.Recall{Set: b.Recall.Set}
 	case *wire.Message_Refusal:
 		w := b.Refusal
-		return &cell.Refusal{Set: w.Set, ID: w.Id, Reason: decide.Reason(min(w.Reason, 255)), RetryAfter: span(w.RetryAfter),
+		return &cell.Refusal{Set: w.Set, ID: w.Id, Reason: decide.Reason(min(w.Reason, 255)), RetryAfter: fromMicros(w.RetryAfter),
 			LowerWaiting: int(w.LowerWaiting), LowerRunning: int(w.LowerRunning), Redirect: w.Redirect}
 	case *wire.Message_Preempt:
 		return &cell.Preempt{Set: b.Preempt.Set, ID: b.Preempt.Id}
@@ -119,8 +123,8 @@
 		if w.Outcome > uint32(decide.Draining) {
 			return nil
 		}
-		return &cell.Release{Set: w.Set, ID: w.Id, Upstream: w.Upstream, Tokens: int(w.Tokens), Outcome: decide.Outcome(w.Outcome), Pace: span(w.Pace), First: span(w.First), Attempt: w.Attempt,
-			Notice: decide.AnswerNotice{Leaving: w.Leaving, Pause: span(w.Pause), Age: span(w.SaidAge)}}
+		return &cell.Release{Set: w.Set, ID: w.Id, Upstream: w.Upstream, Tokens: int(w.Tokens), Outcome: decide.Outcome(w.Outcome), Pace: fromMicros(w.Pace), First: fromMicros(w.First), Attempt: w.Attempt,
+			Notice: decide.AnswerNotice{Leaving: w.Leaving, Pause: fromMicros(w.Pause), Age: fromMicros(w.SaidAge)}}
 	case *wire.Message_Holding:
 		return holdingFromWire(b.Holding)
 	case *wire.Message_HoldingAsk:
@@ -135,7 +139,7 @@
 	case *wire.Message_Ask:
 		return &cell.Ask{Limit: b.Ask.Limit, Want: float64(b.Ask.WantMilli) / limitScale}
 	case *wire.Message_Lend:
-		return &cell.Lend{Limit: b.Lend.Limit, Amount: float64(b.Lend.Milli) / limitScale, Life: span(b.Lend.Life)}
+		return &cell.Lend{Limit: b.Lend.Limit, Amount: float64(b.Lend.Milli) / limitScale, Life: fromMicros(b.Lend.Life)}
 	case *wire.Message_Spare:
 		w := b.Spare
 		return &cell.Spare{Set: w.Set, Domain: w.Domain, Slots: slotsFromWire(w.Slots), Owner: w.Owner, PassedOn: w.PassedOn}
@@ -159,7 +163,7 @@
 	m := &cell.Ends{All: w.All}
 	for _, s := range w.Suspects {
 		ended := slices.Compact(slices.Sorted(slices.Values(s.GetEnded())))
-		m.Suspects = append(m.Suspects, balance.Suspect{Content: s.GetContent(), Ended: ended, Round: s.GetRound(), Age: span(s.GetAge())})
+		m.Suspects = append(m.Suspects, balance.Suspect{Content: s.GetContent(), Ended: ended, Round: s.GetRound(), Age: fromMicros(s.GetAge())})
 	}
 	return m
 }
@@ -172,7 +176,7 @@
 	return out
 }
 
-// maxSpare bounds what another domain may claim to have.
+// maxSpare limits each number of spare slots that another failure domain may report.
 const maxSpare = 1 << 20
 
 func slotsFromWire(slots []uint32) []int {
--- a/internal/control/main_test.go
+++ b/internal/control/main_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// gnet keeps a pool of workers of its own for the life of the process.
+// TestMain ignores the goroutines of gnet's worker pool, which run until the process ends.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
 		goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"))
--- a/internal/control/node_fuzz_test.go
+++ b/internal/control/node_fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/doormast/doormast/table"
 )
 
-// FuzzNode gives a node whatever a box that knows the key may say: it must not
-// break.
+// FuzzNode passes arbitrary datagrams with a valid MAC to a node, which must not
+// panic.
 func FuzzNode(f *testing.F) {
 	grams, err := codec("a", 1, key).Encode(nil, messages())
 	if err != nil {
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -1,8 +1,8 @@
 package upstream
 
-// This file defines how an upstream's answer is read and passed on, whole or event by event.
-// The invariant: only a stream that came to its end mark, or a body that was read to its end,
-// counts as answered.
+// This file defines how an upstream's answer is read and passed to the sink, as a whole or
+// event by event. The invariant: only a stream with its end marker, or a body that was read to
+// its end, counts as answered.
 
 import (
 	"bufio"
@@ -18,6 +18,7 @@
 	"github.com/doormast/doormast/decide"
 )
 
+// bodyOf returns a reader of the body of a response, streamed or not.
 func bodyOf(resp *fasthttp.Response) io.Reader {
 	if s := resp.BodyStream(); s != nil {
 		return s
@@ -25,7 +26,8 @@
 	return bytes.NewReader(resp.Body())
 }
 
-// readWhole passes on the answer of a plain service. Only a whole one counts.
+// readWhole reads the answer of a plain service and passes it to the sink once it is
+// complete. A refusal by the upstream, which did not run the request, is not passed on.
 func (h *HTTP) readWhole(resp *fasthttp.Response, r *run) cell.Result {
 	body, err := io.ReadAll(io.LimitReader(bodyOf(resp), int64(h.cfg.MaxAnswer)+1))
 	if err != nil || len(body) > h.cfg.MaxAnswer {
@@ -42,8 +44,8 @@
 	return cell.Result{Outcome: decide.Answered, Ran: true}
 }
 
-// readStream passes on the events of a stream. Only a stream that comes to its
-// end mark is whole.
+// readStream passes the events of a stream to the sink. A stream that ends without
+// its end marker or the marker of a paused run has failed.
 func (h *HTTP) readStream(k *conn, resp *fasthttp.Response, r *run) cell.Result {
 	failed := cell.Result{Outcome: decide.Failed, Ran: true}
 	lines := bufio.NewReaderSize(bodyOf(resp), lineBuffer)
@@ -57,7 +59,7 @@
 		if !ok {
 			continue
 		}
-		if string(data) == endMark {
+		if string(data) == endMarker {
 			r.whole = true
 			_, err := io.Copy(io.Discard, lines)
 			r.clean = err == nil && !resp.ConnectionClose()
@@ -78,7 +80,8 @@
 	}
 }
 
-// readLine reads a line of a bounded length, without its end.
+// readLine returns the next line without its line ending. It fails for a line longer
+// than maxEvent. The bytes are only valid until the next read.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
--- a/internal/upstream/control.go
+++ b/internal/upstream/control.go
@@ -1,7 +1,7 @@
 package upstream
 
-// This file defines the calls to an engine that run nothing: pause, cancel, report, order. The
-// invariant: a call ends within the time for control calls.
+// This file defines the control calls to an engine: pause, cancel, report and order. The
+// invariant: a call ends within HTTPConfig.CallTimeout.
 
 import (
 	"context"
@@ -15,7 +15,8 @@
 	"github.com/doormast/doormast/decide"
 )
 
-// control makes a short call and returns the body of its answer.
+// control makes a control call and returns the body of the response. An error response is
+// returned as an error, with its body.
 func (h *HTTP) control(ctx context.Context, address, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.CallTimeout)
 	defer cancel()
@@ -35,26 +36,26 @@
 	}
 	_ = k.SetDeadline(time.Time{})
 	h.put(address, k)
-	h.note(address, &resp)
+	h.recordNotice(address, &resp)
 	if resp.StatusCode() >= 300 {
 		return resp.Body(), fmt.Errorf("upstream %s: %s %s: status %d", address, method, path, resp.StatusCode())
 	}
 	return resp.Body(), nil
 }
 
-// Pause stops a run and lets the engine keep its state.
+// Pause implements Runner.
 func (h *HTTP) Pause(ctx context.Context, address, id string) error {
 	_, err := h.control(ctx, address, "POST", "/control/pause?id="+id, nil)
 	return err
 }
 
-// Cancel stops a run for good.
+// Cancel implements Runner.
 func (h *HTTP) Cancel(ctx context.Context, address, id string) error {
 	_, err := h.control(ctx, address, "POST", "/control/cancel?id="+id, nil)
 	return err
 }
 
-// engineReport is an engine's report as it is written.
+// engineReport is the JSON form of an engine's report.
 type engineReport struct {
 	AgeMillis int64        `json:"age_ms"`
 	Running   int          `json:"running"`
@@ -63,20 +64,21 @@
 	Loaded    string       `json:"loaded"`
 	Loading   bool         `json:"loading"`
 	Fence     uint64       `json:"fence"`
-	First     uint64       `json:"first_event"` // oldest cache event still held
+	First     uint64       `json:"first_event"` // oldest cache event that the engine still has
 	Last      uint64       `json:"last_event"`
 	Events    []cacheEvent `json:"events"`
 }
 
+// cacheEvent reports a prompt prefix that entered or left an engine's cache.
 type cacheEvent struct {
 	Sequence uint64 `json:"sequence"`
-	Prefix   uint64 `json:"prefix,string"`
+	Prefix   uint64 `json:"prefix,string"` // hash
 	Evicted  bool   `json:"evicted,omitempty"`
 }
 
-// Report asks an engine for its load and its cache events since the last time.
+// Report implements Runner. It asks for the cache events since the last report.
 func (h *HTTP) Report(ctx context.Context, address string) (decide.Report, error) {
-	if h.quiet(address).Pause > 0 {
+	if h.activeNotice(address).Pause > 0 {
 		return decide.Report{}, errPaused
 	}
 	h.mu.Lock()
@@ -107,7 +109,7 @@
 	return r, nil
 }
 
-// Order gives an engine a fenced order.
+// Order implements Runner.
 func (h *HTTP) Order(ctx context.Context, address string, o Order) (OrderResult, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -1,8 +1,10 @@
 package upstream
 
-// This file defines the adapter for upstreams that speak HTTP: fasthttp writes
-// requests and reads answers, on connections that this file owns, so that it is
-// known whether a byte has left and a cancel can close a connection at once.
+// This file defines the runner for upstreams that speak HTTP. It uses fasthttp only
+// to encode requests and decode responses, and manages the connections itself, so
+// that it knows whether a byte of a request was sent and can close the connection
+// at once to cancel a run. The invariant: a result says that the upstream did not
+// run the request only if no byte was sent or the upstream said so.
 
 import (
 	"context"
@@ -19,53 +21,53 @@
 	"github.com/doormast/doormast/internal/timer"
 )
 
-// Headers that upstreams know.
+// Headers of requests to upstreams and of their responses.
 const (
 	HeaderID       = "X-Request-Id"
 	HeaderKey      = "Idempotency-Key"
 	HeaderPriority = "X-Priority"
-	HeaderFrom     = "X-Resume-From"
+	HeaderFrom     = "X-Resume-From" // number of tokens already delivered
 	HeaderResume   = "X-Resume"
-	HeaderRan      = "X-Ran" // "no" in a refusal: the upstream did not run it
-	HeaderLeaving  = "X-Leaving"
+	HeaderRan      = "X-Ran"     // "no" in a refusal: the upstream did not run the request
+	HeaderLeaving  = "X-Leaving" // present if the upstream is leaving
 )
 
 const (
-	maxIdle  = 16 // idle connections kept for an upstream
-	maxEvent = 64 << 10
-	// The buffers of a connection are small, since thousands are open at once; a
-	// long body or event passes through them in pieces.
+	maxIdle  = 16       // idle connections kept for each upstream
+	maxEvent = 64 << 10 // longest event of a stream, in bytes
+	// Buffer sizes in bytes. They are small since thousands of connections are open
+	// at once; longer bodies and events pass through them in pieces.
 	readBuffer   = 4 << 10
 	writeBuffer  = 1 << 10
 	lineBuffer   = 2 << 10
-	endMark      = "[DONE]"
-	finishPaused = "paused" // the mark of an answer that was paused
+	endMarker    = "[DONE]" // data of the last event of a complete stream
+	finishPaused = "paused" // finish_reason in the last event of a paused run
 )
 
-// HTTPConfig configures an HTTP runner.
+// HTTPConfig configures an HTTP.
 type HTTPConfig struct {
 	Clock       timer.Clock
 	DialTimeout time.Duration
 	CallTimeout time.Duration // for control calls
-	MaxAnswer   int           // bytes of a plain service's answer
-	MaxSilence  time.Duration // an upstream silent for longer is taken for dead
+	MaxAnswer   int           // longest answer of a plain service, in bytes
+	MaxSilence  time.Duration // longest wait for the next data; then the run has failed
 }
 
-// HTTP runs calls over HTTP. It is safe for several goroutines.
+// HTTP runs calls over HTTP. It is safe for concurrent use.
 type HTTP struct {
-	cfg    HTTPConfig
-	mu     sync.Mutex
-	idle   map[string][]*conn
-	closed bool
-	seq    map[string]uint64 // last cache event seen, by address
-	said   map[string]heard  // by address
+	cfg     HTTPConfig
+	mu      sync.Mutex
+	idle    map[string][]*conn // by address
+	closed  bool
+	seq     map[string]uint64 // sequence number of the last cache event received, by address
+	notices map[string]notice // by address
 }
 
 var _ Runner = (*HTTP)(nil)
 
 // NewHTTP returns a runner.
 func NewHTTP(cfg HTTPConfig) *HTTP {
-	return &HTTP{cfg: cfg, idle: make(map[string][]*conn), seq: make(map[string]uint64), said: make(map[string]heard)}
+	return &HTTP{cfg: cfg, idle: make(map[string][]*conn), seq: make(map[string]uint64), notices: make(map[string]notice)}
 }
 
 // Close closes the idle connections.
@@ -82,15 +84,15 @@
 	return nil
 }
 
-// Run runs a call.
+// Run implements Runner.
 func (h *HTTP) Run(ctx context.Context, c Call, s Sink) cell.Result {
 	run := &run{call: c, sink: s, tokens: c.From}
 	open := h.open
 	if c.Fresh {
 		open = h.dial
 	}
-	if s := h.quiet(c.Address); s.Any() {
-		return cell.Result{Outcome: decide.Unused, Tokens: c.From, Notice: s}
+	if n := h.activeNotice(c.Address); n.Any() {
+		return cell.Result{Outcome: decide.Unused, Tokens: c.From, Notice: n}
 	}
 	k, err := open(ctx, c.Address)
 	if err != nil {
@@ -99,15 +101,15 @@
 		}
 		return cell.Result{Outcome: decide.Failed, Tokens: c.From}
 	}
-	said := h.quiet(c.Address) // it may have said something while the connection came up
-	if said.Any() || h.cfg.Clock.Boot() > c.StartBy || ctx.Err() != nil || !s.Sending() {
+	active := h.activeNotice(c.Address) // one may have arrived while the connection was opened
+	if active.Any() || h.cfg.Clock.Boot() > c.StartBy || ctx.Err() != nil || !s.Sending() {
 		h.put(c.Address, k)
-		return cell.Result{Outcome: decide.Unused, Tokens: c.From, Notice: said}
+		return cell.Result{Outcome: decide.Unused, Tokens: c.From, Notice: active}
 	}
-	// Closing the connection is what wakes a blocked read when ctx ends.
+	// Closing the connection interrupts a blocked read when ctx ends.
 	stop := context.AfterFunc(ctx, func() { _ = k.Close() })
 	r := h.runOn(k, run)
-	r.Tokens, r.Notice = run.tokens, run.said
+	r.Tokens, r.Notice = run.tokens, run.notice
 	r.Pace = run.pace(h.cfg.Clock.Boot())
 	if run.first > 0 {
 		r.First = run.first - run.sent
@@ -120,17 +122,18 @@
 	if ctx.Err() != nil && !run.whole {
 		r.Outcome = decide.Abandoned
 		if !c.Plain {
-			h.cancelLater(c.Address, c.ID)
+			h.cancelRun(c.Address, c.ID)
 		}
 	}
 	if r.Outcome == decide.Failed && r.Ran && !r.Refused && ctx.Err() == nil {
-		r.UpstreamCrashed = h.hasEnded(ctx, c.Address)
+		r.UpstreamCrashed = h.refusesConnections(ctx, c.Address)
 	}
 	return r
 }
 
-// hasEnded reports whether nobody listens at the address of an upstream that did not answer.
-func (h *HTTP) hasEnded(ctx context.Context, address string) bool {
+// refusesConnections reports whether no process listens at the address of an upstream, which
+// then has ended.
+func (h *HTTP) refusesConnections(ctx context.Context, address string) bool {
 	k, err := h.dial(ctx, address)
 	if err == nil {
 		_ = k.Close()
@@ -138,9 +141,9 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// cancelLater makes sure that an upstream which does not notice the closed
-// connection stops as well.
-func (h *HTTP) cancelLater(address, id string) {
+// cancelRun cancels a run by a control call, for an upstream that does not notice
+// the closed connection. It uses its own context, since that of the run has ended.
+func (h *HTTP) cancelRun(address, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), h.cfg.CallTimeout)
 	defer cancel()
 	_ = h.Cancel(ctx, address, id)
@@ -151,14 +154,15 @@
 	call   Call
 	sink   Sink
 	tokens int
-	sent   time.Duration       // when the first byte left
-	first  time.Duration       // when the first token came
-	whole  bool                // the end mark was seen
-	clean  bool                // the connection can be used again
-	said   decide.AnswerNotice // by the upstream, in its answer
+	sent   time.Duration       // when the first byte was sent
+	first  time.Duration       // when the first token arrived
+	whole  bool                // whether the answer was received to its end
+	clean  bool                // whether the connection can be used again
+	notice decide.AnswerNotice // of the upstream, in the headers of its answer
 }
 
-// pace is the mean time for one token.
+// pace returns the mean time between two tokens of this run, or 0 for fewer than 5
+// tokens.
 func (r *run) pace(now time.Duration) time.Duration {
 	n := r.tokens - r.call.From - 1
 	if r.first == 0 || n < 4 {
@@ -167,6 +171,7 @@
 	return (now - r.first) / time.Duration(n)
 }
 
+// runOn sends the request on a connection and reads the answer.
 func (h *HTTP) runOn(k *conn, r *run) cell.Result {
 	failed := cell.Result{Outcome: decide.Failed, Ran: true}
 	r.sent = h.cfg.Clock.Boot()
@@ -180,7 +185,7 @@
 		return failed
 	}
 	defer func() { _ = resp.CloseBodyStream() }()
-	r.said = h.note(r.call.Address, &resp)
+	r.notice = h.recordNotice(r.call.Address, &resp)
 	if r.call.Plain {
 		return h.readWhole(&resp, r)
 	}
@@ -191,6 +196,7 @@
 	return h.readStream(k, &resp, r)
 }
 
+// writeRequest writes the request of a call to a connection and flushes it.
 func writeRequest(k *conn, c Call) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/upstream/http_test.go
+++ b/internal/upstream/http_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// server answers each connection's requests with raw text, in turn.
+// server answers requests with raw text, in the order in which they arrive.
 type server struct {
 	net.Listener
 	mu    sync.Mutex
@@ -83,7 +83,7 @@
 	return s.conns
 }
 
-// chunked makes a streamed answer of events.
+// chunked returns the raw text of a streamed answer with events, without its end.
 func chunked(events ...string) string {
 	var b strings.Builder
 	b.WriteString("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -94,9 +94,10 @@
 	return b.String()
 }
 
-const last = "0\r\n\r\n"
+// lastChunk ends a chunked answer.
+const lastChunk = "0\r\n\r\n"
 
-// collector is a sink that keeps what comes.
+// collector is a sink that stores its input.
 type collector struct {
 	mu     sync.Mutex
 	sent   bool
@@ -134,7 +135,7 @@
 		StartBy: timer.SystemClock{}.Boot() + time.Minute}
 }
 
-// TestRuns is the fault table of the upstream edge.
+// TestRuns covers the answers and failures of upstreams.
 func TestRuns(t *testing.T) {
 	whole := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	for _, c := range []struct {
@@ -146,20 +147,20 @@
 		refused bool
 		events  int
 	}{
-		{"whole stream", chunked("a", "b", "[DONE]") + last, false, decide.Answered, true, false, 2},
-		{"cut before the end mark", chunked("a", "b"), false, decide.Failed, true, false, 2},
-		{"ended without the mark", chunked("a", "b") + last, false, decide.Failed, true, false, 2},
-		{"cut in a chunk", chunked("a") + "ff\r\ndata: b", false, decide.Failed, true, false, 1},
-		{"no answer at all", "", false, decide.Failed, true, false, 0},
-		{"garbage", "this is no HTTP\r\n\r\n", false, decide.Failed, true, false, 0},
-		{"paused", chunked("a", `{"choices":[{"delta":{},"finish_reason":"paused"}]}`) + last, false, decide.Paused, true, false, 1},
-		{"refused as not run", "HTTP/1.1 503 X\r\nX-Ran: no\r\nContent-Length: 0\r\n\r\n", false, decide.Failed, false, true, 0},
-		{"an error that says nothing of it", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", false, decide.Failed, true, false, 0},
-		{"an event without end", chunked(strings.Repeat("x", maxEvent+10)) + last, false, decide.Failed, true, false, 0},
-		{"plain, whole", whole, true, decide.Answered, true, false, 0},
-		{"plain, cut short", whole[:len(whole)-2], true, decide.Failed, true, false, 0},
+		{"whole stream", chunked("a", "b", "[DONE]") + lastChunk, false, decide.Answered, true, false, 2},
+		{"connection closed before the end marker", chunked("a", "b"), false, decide.Failed, true, false, 2},
+		{"complete response without the end marker", chunked("a", "b") + lastChunk, false, decide.Failed, true, false, 2},
+		{"connection closed within a chunk", chunked("a") + "ff\r\ndata: b", false, decide.Failed, true, false, 1},
+		{"no answer", "", false, decide.Failed, true, false, 0},
+		{"not HTTP", "this is no HTTP\r\n\r\n", false, decide.Failed, true, false, 0},
+		{"paused", chunked("a", `{"choices":[{"delta":{},"finish_reason":"paused"}]}`) + lastChunk, false, decide.Paused, true, false, 1},
+		{"refused without running", "HTTP/1.1 503 X\r\nX-Ran: no\r\nContent-Length: 0\r\n\r\n", false, decide.Failed, false, true, 0},
+		{"error that may have run", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", false, decide.Failed, true, false, 0},
+		{"event too long", chunked(strings.Repeat("x", maxEvent+10)) + lastChunk, false, decide.Failed, true, false, 0},
+		{"plain, complete", whole, true, decide.Answered, true, false, 0},
+		{"plain, truncated", whole[:len(whole)-2], true, decide.Failed, true, false, 0},
 		{"plain, too large", "HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000), true, decide.Failed, true, false, 0},
-		{"plain, refused as not run", "HTTP/1.1 503 X\r\nX-Ran: no\r\nContent-Length: 0\r\n\r\n", true, decide.Failed, false, true, 0},
+		{"plain, refused without running", "HTTP/1.1 503 X\r\nX-Ran: no\r\nContent-Length: 0\r\n\r\n", true, decide.Failed, false, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -185,35 +186,36 @@
 	late := callTo(s.Addr().String(), true)
 	late.StartBy = 0
 	var sink collector
-	is.Equal(h.Run(context.Background(), late, &sink).Outcome, decide.Unused) // the lease has run out
+	is.Equal(h.Run(context.Background(), late, &sink).Outcome, decide.Unused) // the lease has expired
 	is.True(!sink.sent)
 	r := h.Run(context.Background(), callTo(s.Addr().String(), true), &collector{forbid: true})
-	is.Equal(r.Outcome, decide.Unused) // the caller has left
-	dead := callTo("127.0.0.1:1", true)
-	r = h.Run(context.Background(), dead, &collector{})
+	is.Equal(r.Outcome, decide.Unused) // the sink forbids sending
+	unreachable := callTo("127.0.0.1:1", true)
+	r = h.Run(context.Background(), unreachable, &collector{})
 	is.Equal(r.Outcome, decide.Failed)
-	is.True(!r.Ran) // nobody listens, so nothing can have run
+	is.True(!r.Ran) // the connection was refused, so the request was not sent
 }
 
-// TestConnections: one whose answer came whole is used again, one in doubt never.
+// TestConnections checks that a connection is reused after a complete answer, and never
+// after a run that ended early, whose remaining bytes would be read as the next answer.
 func TestConnections(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, false, chunked("a", "[DONE]")+last, chunked("b", "[DONE]")+last, chunked("c", "d"), chunked("e", "[DONE]")+last)
+	s := serve(t, false, chunked("a", "[DONE]")+lastChunk, chunked("b", "[DONE]")+lastChunk, chunked("c", "d"), chunked("e", "[DONE]")+lastChunk)
 	h := runner()
 	defer func() { is.NoErr(h.Close()) }()
 	for range 2 {
 		is.Equal(h.Run(context.Background(), callTo(s.Addr().String(), false), &collector{}).Outcome, decide.Answered)
 	}
 	is.Equal(s.connections(), 1)
-	gone := &collector{fail: errors.New("the caller has left")}
-	is.Equal(h.Run(context.Background(), callTo(s.Addr().String(), false), gone).Outcome, decide.Abandoned)
+	failing := &collector{fail: errors.New("the caller has left")}
+	is.Equal(h.Run(context.Background(), callTo(s.Addr().String(), false), failing).Outcome, decide.Abandoned)
 	var sink collector
 	is.Equal(h.Run(context.Background(), callTo(s.Addr().String(), false), &sink).Outcome, decide.Answered)
-	is.Equal(sink.events, []string{"e"}) // not what was left of the answer before
+	is.Equal(sink.events, []string{"e"}) // not the rest of the previous answer
 	is.Equal(s.connections(), 2)
 }
 
-// TestCancel: the end of the context wakes a run that waits for an event.
+// TestCancel checks that a run that waits for an event ends when its context does.
 func TestCancel(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, false, chunked("a"))
@@ -224,7 +226,7 @@
 	is.Equal(h.Run(ctx, callTo(s.Addr().String(), false), sink).Outcome, decide.Abandoned)
 }
 
-// canceller cancels at the first event.
+// canceller is a sink that cancels the context at the first event.
 type canceller struct {
 	collector
 	cancel context.CancelFunc
@@ -235,8 +237,9 @@
 	return nil
 }
 
-// An upstream that cuts a run off has ended where nobody listens at its address any more.
-func TestWhetherAnUpstreamHasEnded(t *testing.T) {
+// TestEndedUpstream checks that a run whose connection is closed early reports the upstream as
+// ended if its address refuses connections, and only then.
+func TestEndedUpstream(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		t.Run(fmt.Sprint("ends ", ends), func(t *testing.T) {
 			is := is.New(t)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,7 +1,8 @@
 package upstream
 
-// This file defines the connections to upstreams that rest between two calls. The invariant:
-// a connection that is handed out is known to be open, and carries one call at a time.
+// This file defines the pool of idle connections to upstreams. The invariant: open returns only
+// new connections and those that were just checked to be open, and a connection carries one call
+// at a time.
 
 import (
 	"bufio"
@@ -11,14 +12,16 @@
 	"time"
 )
 
-// conn is a connection to an upstream.
+// conn is a buffered connection to an upstream.
 type conn struct {
 	net.Conn
 	r      *bufio.Reader
 	w      *bufio.Writer
-	reused bool
+	reused bool // taken from the pool
 }
 
+// get returns the most recently used idle connection, which may be closed by now, or
+// a new one.
 func (h *HTTP) get(ctx context.Context, address string) (*conn, error) {
 	h.mu.Lock()
 	if list := h.idle[address]; len(list) > 0 {
@@ -32,6 +35,7 @@
 	return h.dial(ctx, address)
 }
 
+// dial opens a new connection.
 func (h *HTTP) dial(ctx context.Context, address string) (*conn, error) {
 	d := net.Dialer{Timeout: h.cfg.DialTimeout}
 	c, err := d.DialContext(ctx, "tcp", address)
@@ -41,7 +45,8 @@
 	return &conn{Conn: c, r: bufio.NewReaderSize(c, readBuffer), w: bufio.NewWriterSize(c, writeBuffer)}, nil
 }
 
-// put keeps a connection whose answer was read to its end.
+// put returns a connection to the pool, or closes it if the pool is full or closed, or
+// if unread bytes are left. The last answer must have been read to its end.
 func (h *HTTP) put(address string, c *conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,8 +57,8 @@
 	h.idle[address] = append(h.idle[address], c)
 }
 
-// alive reports whether an idle connection is still open: the upstream has
-// neither closed it nor sent anything that nobody asked for.
+// alive reports whether an idle connection is still usable: the upstream has
+// neither closed it nor sent unexpected bytes.
 func (c *conn) alive() bool {
 	_ = c.SetReadDeadline(time.Unix(1, 0))
 	_, err := c.r.Peek(1)
@@ -62,8 +67,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// open returns a connection that is known to be open, so that a failure after
-// this has to do with the request.
+// open returns a connection that is either new or was just checked to be open, so
+// that a later failure concerns the request.
 func (h *HTTP) open(ctx context.Context, address string) (*conn, error) {
 	for {
 		c, err := h.get(ctx, address)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,9 +1,10 @@
-// Package upstream speaks to back ends: model engines and plain services.
+// Package upstream sends requests to upstreams, which are model engines and plain
+// services. No other package knows their protocols.
 //
-// It is the only place that knows their shape. A run of a request is one call
-// that streams what comes to a sink and ends with a result that says truthfully
-// whether a byte of the request may have left. A connection whose state is in
-// doubt is closed and never used again.
+// A run sends one request, passes the answer to a sink as it arrives, and ends with
+// a result. The invariants: the result says that the upstream did not run the
+// request only if that is certain; and a connection that may hold the rest of an
+// answer is closed and never reused.
 package upstream
 
 import (
@@ -14,62 +15,66 @@
 	"github.com/doormast/doormast/decide"
 )
 
-// Call is a request on its way to an upstream.
+// Call is a request to an upstream.
 type Call struct {
-	ID       string // made here; the upstream knows the run by it
-	Address  string
-	Plain    bool // a plain service: no stream of tokens
+	ID       string // assigned by the sender; identifies the run in control calls
+	Address  string // IP:port
+	Plain    bool   // whether it goes to a plain service, which streams no tokens
 	Method   string
 	Path     string
 	Body     []byte
 	Type     string // content type
-	Key      string // idempotency key, passed on
-	Priority int    // the tier
-	From     int    // tokens delivered by earlier runs
-	Resume   bool   // the upstream holds the paused run
-	// Fresh asks for a new connection. One that rests may be dead, as in a cut that refuses: a
-	// run that was lost before would be lost again, and its second upstream seem to have ended.
+	Key      string // idempotency key, forwarded to the upstream; "" is none
+	Priority int    // tier of the class
+	From     int    // number of tokens delivered by earlier runs
+	Resume   bool   // whether the upstream has the state of the paused run
+	// Fresh asks for a new connection. An idle one may be dead, as in a network partition that
+	// refuses connections. A retry on it would fail as the first run did, and its upstream would
+	// be taken for ended, too.
 	Fresh bool
-	// StartBy is the moment after which no byte may leave any more.
+	// StartBy is the time, by the boot clock, after which the request must not be sent.
 	StartBy time.Duration
 }
 
-// Sink takes what comes. Its calls may block: that is how a slow caller slows
-// the upstream. An error of Event ends the run.
+// Sink receives the answer. Its methods may block, which applies the back pressure of
+// a slow caller to the upstream. An error of Event or Whole ends the run.
 type Sink interface {
-	// Sending is called just before the first byte leaves; false forbids it.
+	// Sending is called just before the first byte is sent. If it returns false,
+	// nothing is sent.
 	Sending() bool
-	// Event takes one event of a stream, without the blank line that ends it.
+	// Event receives the data of one event of a stream. The bytes are only valid
+	// until it returns.
 	Event(data []byte) error
-	// Whole takes the answer of a plain service.
+	// Whole receives the complete answer of a plain service.
 	Whole(status int, contentType string, body []byte) error
 }
 
 // Runner runs calls on upstreams.
 type Runner interface {
-	// Run runs a call until its end. When ctx ends the run is cancelled on the
-	// upstream as well.
+	// Run sends a request and passes the answer to s until the run ends. If ctx
+	// ends, it also cancels the run on the upstream.
 	Run(ctx context.Context, c Call, s Sink) cell.Result
-	// Pause stops a run and lets the upstream keep its state.
+	// Pause stops a run; the engine keeps its state, so that it can be resumed.
 	Pause(ctx context.Context, address, id string) error
-	// Cancel stops a run for good.
+	// Cancel stops a run for good; it cannot be resumed.
 	Cancel(ctx context.Context, address, id string) error
-	// Report asks an engine for its load and cache events.
+	// Report returns the load and the new cache events of an engine.
 	Report(ctx context.Context, address string) (decide.Report, error)
-	// Order gives an engine a fenced order.
+	// Order sends an order with a fencing token to an engine.
 	Order(ctx context.Context, address string, o Order) (OrderResult, error)
 	Close() error
 }
 
-// Order is a fenced order to an engine.
+// Order is an order to an engine. The engine rejects one with an outdated fencing
+// token.
 type Order struct {
-	Fence uint64 `json:"fence"`
+	Fence uint64 `json:"fence"`          // fencing token
 	Load  string `json:"load,omitempty"` // model, adapter or version to load
 	Role  string `json:"role,omitempty"`
 }
 
-// OrderResult is an engine's answer to an order.
+// OrderResult is an engine's response to an order.
 type OrderResult struct {
 	Accepted bool   `json:"accepted"`
-	Fence    uint64 `json:"fence"` // the highest that the engine has seen
+	Fence    uint64 `json:"fence"` // highest fencing token that the engine has received
 }
