--- a/internal/caller/answer.go
+++ b/internal/caller/answer.go
@@ -1,8 +1,9 @@
 package caller
 
-// This file defines the shapes of answers: the error body that clients of
-// language models parse, the statuses of refusals, and the whole answer put
-// together from a stream.
+// This file defines the formats of answers: the JSON error body that clients of
+// language models parse, the status codes of refusals, and the complete answer that
+// is assembled from a stream. The invariant: each refusal says whether the request
+// may have run.
 
 import (
 	"encoding/json"
@@ -16,15 +17,16 @@
 	"github.com/doormast/doormast/decide"
 )
 
-// refusal is what a caller is told.
+// refusal is the content of an error answer.
 type refusal struct {
-	reason  decide.Reason
-	message string
-	ran     bool // it may have run
-	after   time.Duration
+	reason     decide.Reason
+	message    string
+	ran        bool          // whether the request may have run
+	retryAfter time.Duration // 0 is none
 }
 
-// errorObject is the error shape of the API that clients already speak.
+// errorObject is the JSON error body, in the format of the common API for language
+// models.
 type errorObject struct {
 	Error struct {
 		Message    string `json:"message"`
@@ -35,6 +37,7 @@
 	} `json:"error"`
 }
 
+// ranText returns the value that says in an answer whether the request has run.
 func ranText(ran bool) string {
 	if ran {
 		return "unknown"
@@ -48,24 +51,26 @@
 	e.Error.Type = "doormast_refusal"
 	e.Error.Code = r.reason.String()
 	e.Error.Ran = ranText(r.ran)
-	e.Error.RetryAfter = int(r.after / time.Millisecond)
-	// A struct of strings and numbers always encodes.
+	e.Error.RetryAfter = int(r.retryAfter / time.Millisecond)
+	// Encoding cannot fail: the struct holds only strings and numbers.
 	b, _ := json.Marshal(e)
 	return b
 }
 
+// refuse writes an error answer. Retry-After is rounded up to whole seconds.
 func refuse(ctx *fasthttp.RequestCtx, status int, r refusal) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
 	ctx.Response.Header.Set(HeaderRan, ranText(r.ran))
 	ctx.Response.Header.Set(HeaderReason, r.reason.String())
-	if r.after > 0 {
-		seconds := int((r.after + time.Second - 1) / time.Second)
+	if r.retryAfter > 0 {
+		seconds := int((r.retryAfter + time.Second - 1) / time.Second)
 		ctx.Response.Header.Set("Retry-After", strconv.Itoa(seconds))
 	}
 	ctx.SetBody(errorBody(r))
 }
 
+// messages holds the text of error answers by reason.
 var messages = map[decide.Reason]string{
 	decide.OverClassLimit: "the class is over its limit",
 	decide.OverCustomer:   "the customer is over its limit",
@@ -86,9 +91,10 @@
 }
 
 func refusalOf(f cell.Final) refusal {
-	return refusal{reason: f.Reason, message: messages[f.Reason], ran: f.Ran, after: f.RetryAfter}
+	return refusal{reason: f.Reason, message: messages[f.Reason], ran: f.Ran, retryAfter: f.RetryAfter}
 }
 
+// statusOf returns the HTTP status code of a refusal.
 func statusOf(f cell.Final) int {
 	switch f.Reason {
 	case decide.OverClassLimit, decide.OverCustomer, decide.QueueFull, decide.Evicted:
@@ -114,7 +120,7 @@
 	ctx.SetBody(b)
 }
 
-// chunk is what an event of a stream says.
+// chunk is the JSON content of an event of a stream, as far as it is used here.
 type chunk struct {
 	Model   string `json:"model"`
 	Choices []struct {
@@ -125,12 +131,12 @@
 	} `json:"choices"`
 }
 
-// aggregate puts a whole answer together.
+// aggregate assembles a complete answer from the events of a stream.
 type aggregate struct {
-	text   strings.Builder
-	model  string
-	finish string
-	tokens int
+	text         strings.Builder
+	model        string
+	finishReason string
+	tokens       int
 }
 
 func (a *aggregate) add(event []byte) {
@@ -142,13 +148,13 @@
 	for _, choice := range c.Choices {
 		a.text.WriteString(choice.Delta.Content)
 		if choice.FinishReason != nil {
-			a.finish = *choice.FinishReason
+			a.finishReason = *choice.FinishReason
 		}
 	}
 	a.tokens++
 }
 
-// completion is a whole answer in the shape that clients parse.
+// completion is the JSON format of a complete answer.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -173,10 +179,10 @@
 }
 
 func (a *aggregate) answer(id string) completion {
-	if a.finish == "" {
-		a.finish = "stop"
+	if a.finishReason == "" {
+		a.finishReason = "stop"
 	}
 	return completion{ID: id, Object: "chat.completion", Model: a.model,
-		Choices: []choice{{Message: message{"assistant", a.text.String()}, FinishReason: a.finish}},
+		Choices: []choice{{Message: message{"assistant", a.text.String()}, FinishReason: a.finishReason}},
 		Usage:   usage{a.tokens}}
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,10 +1,10 @@
-// Package caller is the edge towards callers: HTTP in the shape that clients of
-// language models already speak.
+// Package caller defines the HTTP server for callers, in the format of the common
+// API for language models.
 //
-// A request is read and bounded here, handed to the decisions as an Arrival, and
-// answered from what comes back through its Exchange. The invariants: a caller
-// gets exactly one final answer; a stream that was not whole ends as an error;
-// and a slow caller holds a bounded amount of memory.
+// The server reads and validates a request, submits it to a Core as an Arrival, and
+// answers the caller from the pieces that its Exchange delivers. The invariants: a
+// caller receives exactly one final answer; an incomplete stream ends with an error;
+// and a slow caller occupies a bounded amount of memory.
 package caller
 
 import (
@@ -23,65 +23,66 @@
 	"github.com/doormast/doormast/table"
 )
 
-// Headers of the caller's side.
+// Headers of callers' requests and of their answers.
 const (
 	HeaderClass         = "X-Doormast-Class"
-	HeaderRequest       = "X-Request-Id"        // the system's id, out
-	HeaderClientRequest = "X-Client-Request-Id" // the caller's id, in and out
+	HeaderRequest       = "X-Request-Id"        // id that the box assigns, in answers
+	HeaderClientRequest = "X-Client-Request-Id" // id that the caller assigns, in requests and answers
 	HeaderNotRepeatable = "X-Doormast-Not-Repeatable"
 	HeaderKey           = "Idempotency-Key"
 	HeaderDeadline      = "X-Doormast-Deadline" // a duration, such as 30s
-	HeaderRan           = "X-Doormast-Ran"      // no or unknown, in refusals
+	HeaderRan           = "X-Doormast-Ran"      // "no" or "unknown", in refusals
 	HeaderReason        = "X-Doormast-Reason"
 	headerAuthorize     = "Authorization"
 )
 
-// Paths of the caller's side.
+// Paths of the server.
 const (
 	pathChat   = "/v1/chat/completions"
 	pathModels = "/v1/models"
 	pathKeys   = "/v1/idempotency-keys"
 	pathHealth = "/healthz"
 	pathMetric = "/metrics"
-	pathPlain  = "/services/" // followed by the class: passed on to plain services
+	pathPlain  = "/services/" // followed by the class and the path at the plain service
 )
 
-// Arrival is a request that the decisions have to take in.
+// Arrival is a request that is submitted to a Core, with the exchange through which
+// it is answered.
 type Arrival struct {
 	Request  cell.Request
 	Exchange *Exchange
 }
 
-// Core is what the edge needs of the box.
+// Core defines the functions of the box that the server uses.
 type Core interface {
 	// Table returns the table in force, or nil.
 	Table() *table.Table
-	// NextID makes a request id.
+	// NextID returns a new request id.
 	NextID() uint64
-	// Arrive hands over a request; false means that the box can take no more.
+	// Arrive submits a request. It returns false if the box is overloaded.
 	Arrive(a Arrival) bool
-	// Left says that the caller of a request went away.
+	// Left reports that the caller of a request has disconnected.
 	Left(id uint64)
-	// Mint makes an idempotency key, or "" if the box is too busy.
+	// Mint issues an idempotency key, or returns "" if the box is too busy.
 	Mint(ctx context.Context) string
-	// Healthy reports whether the balancer should send requests here.
+	// Healthy reports whether the load balancer should send requests to this box.
 	Healthy() bool
-	// Metrics writes the metrics in the scrapers' text format.
+	// Metrics returns the metrics in the Prometheus text format.
 	Metrics() []byte
-	// Refused counts a request that was refused before it got an id.
+	// Refused counts a request that the server refused without submitting it.
 	Refused(reason decide.Reason)
 }
 
 // Config configures a Server.
 type Config struct {
-	Address    string
+	Address    string // IP:port to listen on, TCP
 	Core       Core
-	MaxBody    int
-	MaxHeaders int           // bytes
-	MaxConns   int           // connections, all callers together
-	ReadWait   time.Duration // for a whole request to come in
-	WriteWait  time.Duration // for a slow caller to take a piece
-	Buffer     int           // events buffered for a caller
+	MaxBody    int           // largest body of a request, in bytes
+	MaxHeaders int           // largest size of a request's headers, in bytes
+	MaxConns   int           // connections of all callers together
+	ReadWait   time.Duration // timeout for reading a whole request
+	WriteWait  time.Duration // timeout for writing one piece of a stream
+	Buffer     int           // pieces buffered for each request
 }
 
 // Server serves callers.
@@ -90,12 +91,12 @@
 	server   *fasthttp.Server
 	listener net.Listener
 	done     chan error
-	open     atomic.Int64
+	open     atomic.Int64 // requests being answered
 	mu       sync.Mutex
-	watched  map[uint64]*watch
+	watched  map[uint64]*watch // open requests by id
 }
 
-// Listen starts a server; Close ends it.
+// Listen starts a server. The caller must call Close.
 func Listen(cfg Config) (*Server, error) {
 	l, err := net.Listen("tcp", cfg.Address)
 	if err != nil {
@@ -115,25 +116,26 @@
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
 		ErrorHandler:          s.badRequest,
-		Logger:                silent{},
+		Logger:                discardLogger{},
 	}
 	go func() { s.done <- s.server.Serve(l) }()
 	return s, nil
 }
 
-// silent keeps fasthttp's own log lines away: the process has one log.
-type silent struct{}
+// discardLogger drops fasthttp's log lines, which would mix with the log of the
+// process.
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Open is how many requests are being answered.
+// Open returns the number of requests being answered.
 func (s *Server) Open() int { return int(s.open.Load()) }
 
-// Close stops taking connections and waits until the requests in progress are
-// answered, or for wait.
+// Close stops accepting connections and waits up to wait until the requests in
+// progress are answered.
 func (s *Server) Close(wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
@@ -144,29 +146,31 @@
 	return errors.Join(err, <-s.done)
 }
 
+// badRequest handles a request that fasthttp could not read.
 func (s *Server) badRequest(ctx *fasthttp.RequestCtx, err error) {
 	s.cfg.Core.Refused(decide.BadRequest)
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		// A connection on which nothing, or no whole request, was asked in time
-		// gets no answer: it could be taken for that of a request which is just
-		// on its way. fasthttp writes one all the same, so there is no connection
-		// to write it to.
+		// No complete request arrived in time. The server sends no answer, since the
+		// caller could take it for the answer to a request that it is just sending.
+		// fasthttp always writes one after this handler, so the connection is closed
+		// here.
 		_ = ctx.Conn().Close()
 		return
 	}
 	status := fasthttp.StatusBadRequest
-	var small *fasthttp.ErrSmallBuffer
+	var headersTooLarge *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		status = fasthttp.StatusRequestEntityTooLarge
-	case errors.As(err, &small):
+	case errors.As(err, &headersTooLarge):
 		status = fasthttp.StatusRequestHeaderFieldsTooLarge
 	}
 	refuse(ctx, status, refusal{reason: decide.BadRequest, message: "the request cannot be read: " + err.Error()})
 	ctx.SetConnectionClose()
 }
 
+// handle dispatches a request by its path.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -197,11 +201,13 @@
 	ctx.SetBodyString("ok\n")
 }
 
+// fail refuses a request as a bad request.
 func (s *Server) fail(ctx *fasthttp.RequestCtx, status int, message string) {
 	s.cfg.Core.Refused(decide.BadRequest)
 	refuse(ctx, status, refusal{reason: decide.BadRequest, message: message})
 }
 
+// models answers with the list of models in the table.
 func (s *Server) models(ctx *fasthttp.RequestCtx) {
 	t, customer := s.authenticate(ctx)
 	if customer == nil {
@@ -221,6 +227,7 @@
 	writeJSON(ctx, fasthttp.StatusOK, list)
 }
 
+// mint answers with a new idempotency key.
 func (s *Server) mint(ctx *fasthttp.RequestCtx) {
 	if _, customer := s.authenticate(ctx); customer == nil {
 		return
@@ -229,7 +236,7 @@
 	defer cancel()
 	key := s.cfg.Core.Mint(wait)
 	if key == "" {
-		refuse(ctx, fasthttp.StatusServiceUnavailable, refusal{reason: decide.Overloaded, message: "this box is too busy", after: time.Second})
+		refuse(ctx, fasthttp.StatusServiceUnavailable, refusal{reason: decide.Overloaded, message: "this box is too busy", retryAfter: time.Second})
 		return
 	}
 	writeJSON(ctx, fasthttp.StatusCreated, map[string]string{"idempotency_key": key})
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -21,21 +21,21 @@
 	"github.com/doormast/doormast/table"
 )
 
-// fasthttp's own housekeeping sleeps for ten seconds before it sees that its
-// server has ended.
+// TestMain ignores the background goroutines of fasthttp, which sleep for 10 s before
+// they see that their server has ended.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"))
 }
 
-// fakeCore answers arrivals as a test says.
+// fakeCore is a Core that passes arrivals to a function of the test.
 type fakeCore struct {
 	mu       sync.Mutex
 	table    *table.Table
 	on       func(Arrival)
 	left     chan uint64
 	refused  map[decide.Reason]int
-	full     bool
+	full     bool // whether Arrive returns false
 	requests []cell.Request
 }
 
@@ -65,7 +65,7 @@
 
 func start(t *testing.T, on func(Arrival)) (*Server, *fakeCore) {
 	t.Helper()
-	tab, err := table.Parse("t", []byte(`{"classes":[{"name":"c","tier":1,"first_token":"1s","floor":0.1,"set":"s","repeatable":true,"max_tokens":50},
+	parsed, err := table.Parse("t", []byte(`{"classes":[{"name":"c","tier":1,"first_token":"1s","floor":0.1,"set":"s","repeatable":true,"max_tokens":50},
 		{"name":"once","tier":1,"first_token":"1s","floor":0.1,"set":"s"}],
 		"customers":[{"name":"u","default_class":"c","classes":["c"],"key_hashes":["`+table.HashKey("k")+`"]},
 		{"name":"v","default_class":"once","key_hashes":["`+table.HashKey("kv")+`"]}],
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core := &fakeCore{table: tab, on: on, left: make(chan uint64, 10), refused: make(map[decide.Reason]int)}
+	core := &fakeCore{table: parsed, on: on, left: make(chan uint64, 10), refused: make(map[decide.Reason]int)}
 	s, err := Listen(Config{Address: "127.0.0.1:0", Core: core, MaxBody: 2000, MaxHeaders: 4096, MaxConns: 50, ReadWait: 5 * time.Second, WriteWait: 5 * time.Second, Buffer: 4})
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 
 const chat = `{"messages":[{"role":"user","content":"hi"}]}`
 
-// TestRequests is the fault table of the callers' edge.
+// TestRequests covers the answers to valid, invalid and refused requests.
 func TestRequests(t *testing.T) {
 	answer := func(a Arrival) {
 		_ = a.Exchange.Event([]byte(`{"model":"m","choices":[{"delta":{"content":"hello "}}]}`))
@@ -101,17 +101,17 @@
 		body   string
 		header string
 		status int
-		want   string // in the body
-		ran    string
+		want   string // part of the body
+		ran    string // value of HeaderRan
 	}{
 		{"whole answer", answer, "k", "POST", pathChat, chat, "", 200, `"content":"hello you"`, ""},
 		{"no key", answer, "", "POST", pathChat, chat, "", 401, "not_allowed", "no"},
 		{"wrong key", answer, "x", "POST", pathChat, chat, "", 401, "not_allowed", "no"},
 		{"class of another customer", answer, "k", "POST", pathChat, chat, "X-Doormast-Class: once", 403, "not_allowed", "no"},
 		{"unknown class", answer, "k", "POST", pathChat, chat, "X-Doormast-Class: zzz", 400, `unknown class`, "no"},
-		{"no JSON", answer, "k", "POST", pathChat, "{", "", 400, "bad_request", "no"},
+		{"malformed JSON", answer, "k", "POST", pathChat, "{", "", 400, "bad_request", "no"},
 		{"no messages", answer, "k", "POST", pathChat, `{"messages":[]}`, "", 400, "want messages", "no"},
-		{"too large", answer, "k", "POST", pathChat, strings.Repeat("x", 3000), "", 413, "bad_request", "no"},
+		{"body too large", answer, "k", "POST", pathChat, strings.Repeat("x", 3000), "", 413, "bad_request", "no"},
 		{"headers too large", answer, "k", "POST", pathChat, chat, "X-Long: " + strings.Repeat("x", 8000), 431, "bad_request", "no"},
 		{"bad deadline", answer, "k", "POST", pathChat, chat, "X-Doormast-Deadline: soon", 400, "found \\\"soon\\\"", "no"},
 		{"bad idempotency key", answer, "k", "POST", pathChat, chat, "Idempotency-Key: dmd1:x", 400, "idempotency key", "no"},
@@ -145,7 +145,7 @@
 			is.Equal(resp.StatusCode, c.status)
 			is.Equal(resp.Header.Get(HeaderRan), c.ran)
 			if !strings.Contains(string(body), c.want) {
-				t.Errorf("body %q does not say %q", body, c.want)
+				t.Errorf("body %q does not contain %q", body, c.want)
 			}
 			if c.name == "late" {
 				is.Equal(resp.Header.Get("Retry-After"), "2")
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestHeaders: what the decisions get of a request.
+// TestHeaders checks how headers and body are converted to a cell.Request.
 func TestHeaders(t *testing.T) {
 	is := is.New(t)
 	s, core := start(t, func(a Arrival) { a.Exchange.Done() })
@@ -172,13 +172,14 @@
 	r := core.requests[0]
 	is.Equal(r.Class, "c")
 	is.Equal(r.Repeatable, false)
-	is.Equal(r.Key, "u/mine") // another customer's same key is another key
+	is.Equal(r.Key, "u/mine") // keys are separate for each customer
 	is.Equal(r.Deadline, 30*time.Second)
 	is.Equal(r.MaxTokens, 50) // the class's limit
 	is.True(r.Prefix != 0)
 }
 
-// TestCutStream: a stream that is not whole ends as an error, without the mark.
+// TestCutStream checks that an incomplete stream ends with an error and without the
+// end marker, so that the caller does not take it for a complete answer.
 func TestCutStream(t *testing.T) {
 	is := is.New(t)
 	s, _ := start(t, func(a Arrival) {
@@ -194,6 +195,7 @@
 	is.True(!strings.Contains(string(raw), "[DONE]"))
 }
 
+// stream sends a request for a streamed answer on a new connection.
 func stream(t *testing.T, s *Server) (net.Conn, io.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Address())
@@ -205,7 +207,8 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// TestEventsAreFlushed: each event reaches the caller before the next is made.
+// TestEventsAreFlushed checks that each event reaches the caller before the next one
+// is produced.
 func TestEventsAreFlushed(t *testing.T) {
 	is := is.New(t)
 	next := make(chan bool)
@@ -231,9 +234,9 @@
 	}
 }
 
-// TestLeavingIsSeen: a caller that goes away while its stream is idle, or before
-// it has begun.
-func TestLeavingIsSeen(t *testing.T) {
+// TestDisconnectIsDetected checks that the server detects a caller that disconnects
+// while its stream is idle, or before it has begun.
+func TestDisconnectIsDetected(t *testing.T) {
 	for _, events := range []int{0, 1} {
 		is := is.New(t)
 		arrived := make(chan bool, 1)
@@ -257,9 +260,9 @@
 	}
 }
 
-// TestSilentConnection: a connection on which no whole request was asked in time
-// is closed without an answer, which could be taken for that of a request on its
-// way, and is counted.
+// TestSilentConnection checks that a connection without a complete request in time is
+// counted and closed without an answer, which the caller could take for the answer to
+// a request that it is just sending.
 func TestSilentConnection(t *testing.T) {
 	is := is.New(t)
 	s, core := start(t, nil)
@@ -278,9 +281,9 @@
 	}
 }
 
-// TestLaterAnswerOnOneConnection: the time that a piece of one stream may take to
-// be written does not end the next request on the connection, which waits longer.
-func TestLaterAnswerOnOneConnection(t *testing.T) {
+// TestWriteDeadlineIsReset guards against a write deadline of one stream that stays
+// set and fails the next request on the connection, whose answer takes longer.
+func TestWriteDeadlineIsReset(t *testing.T) {
 	is := is.New(t)
 	var s *Server
 	s, _ = start(t, func(a Arrival) {
@@ -304,7 +307,8 @@
 	}
 }
 
-// TestSlowCaller: what is held for a caller that does not read is bounded.
+// TestSlowCaller checks that the number of events buffered for a caller that does not
+// read is bounded.
 func TestSlowCaller(t *testing.T) {
 	x := NewExchange(4)
 	pushed := make(chan int, 100)
@@ -326,9 +330,9 @@
 		n++
 	}
 	if n > 5 {
-		t.Errorf("%d events taken for a caller that reads none", n)
+		t.Errorf("%d events accepted for a caller that reads none, want at most 5", n)
 	}
 	if err := x.Event(nil); !errors.Is(err, ErrLeft) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrLeft", err)
 	}
 }
--- a/internal/caller/exchange.go
+++ b/internal/caller/exchange.go
@@ -1,9 +1,9 @@
 package caller
 
-// This file defines the exchange of one request: what comes from the upstream
-// and the decisions on one side, and goes to the caller on the other. The
-// invariants: pieces come out in order, the end comes last and once, and at most
-// the buffer's size of pieces waits.
+// This file defines Exchange, the queue of answer pieces for one request: the core
+// and the runner of the upstream write it, and the server reads it. The invariants:
+// pieces are read in the order written, the end is last and occurs once, and the
+// queue holds at most the buffer's size of pieces.
 
 import (
 	"errors"
@@ -12,20 +12,20 @@
 	"github.com/doormast/doormast/cell"
 )
 
-// ErrLeft is returned to the upstream's side when the caller has gone.
+// ErrLeft is returned to the writer when the caller has disconnected.
 var ErrLeft = errors.New("caller: the caller has left")
 
 type pieceKind uint8
 
 const (
-	pieceEvent pieceKind = iota
-	pieceWhole           // the answer of a plain service, which is also its end
-	endWhole
-	endRefused
-	endLeft
+	pieceEvent pieceKind = iota // event of a stream
+	pieceWhole                  // answer of a plain service, which also ends the exchange
+	endWhole                    // end of a complete stream
+	endRefused                  // end without a complete answer
+	endLeft                     // the caller has disconnected
 )
 
-// piece is one thing for the caller.
+// piece is an element of an answer.
 type piece struct {
 	kind        pieceKind
 	data        []byte
@@ -34,49 +34,52 @@
 	final       cell.Final
 }
 
-// Exchange joins the two sides of one request.
+// Exchange holds one HTTP request and the queue of the pieces of its answer.
 type Exchange struct {
 	ID     uint64
-	Plain  bool
+	Plain  bool // whether it goes to a plain service
 	Method string
 	Path   string
-	Type   string
+	Type   string // content type
 	Body   []byte
 
 	pieces chan piece
-	left   chan struct{}
+	left   chan struct{} // closed when the caller has disconnected
 	leave  sync.Once
 	end    sync.Once
 }
 
-// NewExchange returns an exchange that holds up to buffer pieces.
+// NewExchange returns an exchange whose queue holds up to buffer pieces.
 func NewExchange(buffer int) *Exchange {
 	return &Exchange{pieces: make(chan piece, buffer), left: make(chan struct{})}
 }
 
-// Event hands over an event of the stream. It blocks while the caller is slow,
-// and fails once the caller has left.
+// Event queues a copy of an event of the stream. It blocks while the queue is full
+// and returns ErrLeft once the caller has disconnected.
 func (x *Exchange) Event(data []byte) error {
 	return x.push(piece{kind: pieceEvent, data: append([]byte(nil), data...)})
 }
 
-// Whole hands over the answer of a plain service.
+// Whole queues the answer of a plain service and ends the exchange. It blocks while
+// the queue is full. It returns ErrLeft if the caller has disconnected or the exchange
+// has already ended.
 func (x *Exchange) Whole(status int, contentType string, body []byte) error {
 	err := ErrLeft
 	x.end.Do(func() { err = x.push(piece{kind: pieceWhole, status: status, contentType: contentType, data: body}) })
 	return err
 }
 
-// Done ends the exchange with a whole answer.
+// Done ends the exchange after a complete stream.
 func (x *Exchange) Done() {
 	x.end.Do(func() { _ = x.push(piece{kind: endWhole}) })
 }
 
-// Refuse ends the exchange without one.
+// Refuse ends the exchange without a complete answer. It never blocks.
 func (x *Exchange) Refuse(f cell.Final) {
 	x.end.Do(func() {
-		// It must not block: it is called by the decisions' duty. If the buffer
-		// is full, the caller is slow and gets the end once it has caught up.
+		// The goroutine that decides on all requests calls this, so it must not block.
+		// If the queue is full, the piece is queued once the slow caller has read
+		// another one.
 		p := piece{kind: endRefused, final: f}
 		select {
 		case x.pieces <- p:
@@ -86,12 +89,13 @@
 	})
 }
 
-// Leave says that the caller has gone.
+// Leave records that the caller has disconnected.
 func (x *Exchange) Leave() { x.leave.Do(func() { close(x.left) }) }
 
-// Left is closed when the caller has gone.
+// Left returns a channel that is closed when the caller has disconnected.
 func (x *Exchange) Left() <-chan struct{} { return x.left }
 
+// push queues a piece, or returns ErrLeft if the caller has disconnected.
 func (x *Exchange) push(p piece) error {
 	select {
 	case <-x.left:
@@ -106,7 +110,7 @@
 	}
 }
 
-// next returns the next piece; false means that the caller has left.
+// next waits for the next piece. It returns false if the caller has disconnected.
 func (x *Exchange) next() (piece, bool) {
 	select {
 	case p := <-x.pieces:
--- a/internal/caller/peek.go
+++ b/internal/caller/peek.go
@@ -1,6 +1,6 @@
 package caller
 
-// This file defines how a caller's leaving is seen while its stream is idle.
+// This file defines the detection of a caller that disconnects while its stream is idle.
 
 import (
 	"errors"
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// closedByPeer looks at a connection without reading from it, and reports
-// whether the other side has closed or reset it.
+// closedByPeer reports whether the peer has closed or reset a connection. It does
+// not block and consumes no data.
 func closedByPeer(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/caller/request.go
+++ b/internal/caller/request.go
@@ -1,7 +1,8 @@
 package caller
 
-// This file defines how a caller's request is read. The invariant: what is handed
-// on has a customer of the table, a class that the customer may use, and bounds.
+// This file defines the parsing and validation of callers' requests. The invariant: a
+// submitted request has a customer of the table and a class that the customer may
+// use, and its answer is limited by the class's max_tokens.
 
 import (
 	"encoding/json"
@@ -18,13 +19,14 @@
 	"github.com/doormast/doormast/table"
 )
 
-// authenticate returns the caller's customer, or refuses.
+// authenticate returns the table and the caller's customer, or refuses the request
+// and returns nil.
 func (s *Server) authenticate(ctx *fasthttp.RequestCtx) (*table.Table, *table.Customer) {
 	t := s.cfg.Core.Table()
 	if t == nil {
 		s.cfg.Core.Refused(decide.NoTable)
 		refuse(ctx, fasthttp.StatusServiceUnavailable, refusal{reason: decide.NoTable,
-			message: "this box has no table yet", after: time.Second})
+			message: "this box has no table yet", retryAfter: time.Second})
 		return nil, nil
 	}
 	key, ok := strings.CutPrefix(string(ctx.Request.Header.Peek(headerAuthorize)), "Bearer ")
@@ -38,8 +40,8 @@
 	return t, customer
 }
 
-// chatRequest is what the edge needs to know of a request for an answer. The
-// body itself goes on as it came.
+// chatRequest holds the fields of a request body that the server uses. The body is
+// forwarded unchanged except for max_tokens.
 type chatRequest struct {
 	Model     string            `json:"model"`
 	Messages  []json.RawMessage `json:"messages"`
@@ -47,6 +49,7 @@
 	MaxTokens int               `json:"max_tokens"`
 }
 
+// chat serves a chat completion.
 func (s *Server) chat(ctx *fasthttp.RequestCtx) {
 	t, customer := s.authenticate(ctx)
 	if customer == nil {
@@ -77,7 +80,8 @@
 	s.serve(ctx, req, x, body.Stream)
 }
 
-// prefixOf hashes the first message, which requests of one kind share.
+// prefixOf returns a hash of the first message, which similar requests often share
+// as a prefix. It returns 0 for a request of fewer than two messages.
 func prefixOf(messages []json.RawMessage) uint64 {
 	if len(messages) < 2 {
 		return 0
@@ -85,11 +89,11 @@
 	return xxhash.Sum64(messages[0])
 }
 
-// withLimit copies a body, and adds the class's limit on the answer's length if
-// the caller asked for more.
-func withLimit(body []byte, limit, asked int) []byte {
+// withLimit returns a copy of a body whose max_tokens is limit, if the caller
+// requested another value.
+func withLimit(body []byte, limit, requested int) []byte {
 	out := append([]byte(nil), body...)
-	if limit == asked {
+	if limit == requested {
 		return out
 	}
 	var fields map[string]json.RawMessage
@@ -104,7 +108,7 @@
 	return limited
 }
 
-// plain passes a request on to a plain service: /services/CLASS/PATH.
+// plain forwards a request for /services/CLASS/PATH to a plain service, as PATH.
 func (s *Server) plain(ctx *fasthttp.RequestCtx, path string) {
 	t, customer := s.authenticate(ctx)
 	if customer == nil {
@@ -122,7 +126,9 @@
 	s.serve(ctx, req, x, false)
 }
 
-// request reads what the headers say, or refuses and returns no class.
+// request converts the headers to a cell.Request, or refuses the request and returns
+// a nil class. name is the class; if it is empty, the header or the customer's default
+// gives the class.
 func (s *Server) request(ctx *fasthttp.RequestCtx, t *table.Table, customer *table.Customer, name string) (cell.Request, *table.Class) {
 	h := &ctx.Request.Header
 	if name == "" {
--- a/internal/caller/serve.go
+++ b/internal/caller/serve.go
@@ -1,7 +1,8 @@
 package caller
 
-// This file defines how an answer goes out, whole or as a stream, and how a
-// caller's leaving is seen.
+// This file defines how an answer is written, as a whole or as a stream, and how open
+// requests are checked for callers that have disconnected. The invariant: an incomplete
+// stream never ends with the end marker.
 
 import (
 	"bufio"
@@ -16,13 +17,13 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// watch is an open request whose connection is looked at for its caller leaving.
+// watch is an open request whose connection Sweep checks.
 type watch struct {
-	conn net.Conn
-	x    *Exchange
+	conn     net.Conn
+	exchange *Exchange
 }
 
-// serve hands the request over and answers the caller with what comes back.
+// serve submits the request and answers the caller from the exchange.
 func (s *Server) serve(ctx *fasthttp.RequestCtx, req cell.Request, x *Exchange, stream bool) {
 	x.ID = req.ID
 	req.Content = content.Hash(req.Customer, x.Body, x.Method, x.Path)
@@ -36,7 +37,7 @@
 		s.unwatch(req.ID)
 		s.open.Add(-1)
 		s.cfg.Core.Refused(decide.Overloaded)
-		refuse(ctx, fasthttp.StatusServiceUnavailable, refusal{reason: decide.Overloaded, message: "this box can take no more", after: time.Second})
+		refuse(ctx, fasthttp.StatusServiceUnavailable, refusal{reason: decide.Overloaded, message: "this box can take no more", retryAfter: time.Second})
 		return
 	}
 	if stream {
@@ -48,7 +49,7 @@
 	s.serveWhole(ctx, x)
 }
 
-// serveWhole waits for the end and answers in one piece.
+// serveWhole waits for the end of the exchange and writes the answer as a whole.
 func (s *Server) serveWhole(ctx *fasthttp.RequestCtx, x *Exchange) {
 	var parts aggregate
 	for {
@@ -74,8 +75,8 @@
 	}
 }
 
-// serveStream answers with server-sent events. The status is only sent once
-// there is something to send, so that a refusal still has its own status.
+// serveStream answers with server-sent events. It sends the status code only with
+// the first piece, so that a request refused before that gets the refusal's status.
 func (s *Server) serveStream(ctx *fasthttp.RequestCtx, x *Exchange) {
 	first, ok := x.next()
 	done := func() {
@@ -102,9 +103,9 @@
 	})
 }
 
-// stream writes events until the end, each flushed by itself.
+// stream writes pieces until the end of the exchange and flushes after each.
 func (s *Server) stream(conn net.Conn, w *bufio.Writer, x *Exchange, e piece) {
-	// The connection may serve another request, whose answer may wait for longer.
+	// The connection may serve another request, whose answer may take longer to begin.
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }()
 	for {
 		_ = conn.SetWriteDeadline(time.Now().Add(s.cfg.WriteWait))
@@ -124,6 +125,7 @@
 	}
 }
 
+// writePiece writes a piece as a server-sent event and flushes it.
 func writePiece(w *bufio.Writer, e piece) error {
 	switch e.kind {
 	case pieceEvent:
@@ -131,7 +133,7 @@
 	case endWhole:
 		writeEvent(w, []byte("[DONE]"))
 	case endRefused:
-		// The answer was cut: the caller must not take it for a short one.
+		// The answer is incomplete: the caller must not take it for a short one.
 		writeEvent(w, errorBody(refusalOf(e.final)))
 	}
 	return w.Flush()
@@ -155,20 +157,20 @@
 	delete(s.watched, id)
 }
 
-// Sweep looks for callers that went away while nothing is being sent to them,
-// which no write would show. It is called every few tens of milliseconds.
+// Sweep checks the open requests for callers that have disconnected, which no write
+// detects while nothing is sent. It is to be called every few tens of milliseconds.
 func (s *Server) Sweep() {
 	s.mu.Lock()
-	var gone []uint64
+	var disconnected []uint64
 	for id, w := range s.watched {
 		if closedByPeer(w.conn) {
-			w.x.Leave()
-			gone = append(gone, id)
+			w.exchange.Leave()
+			disconnected = append(disconnected, id)
 			delete(s.watched, id)
 		}
 	}
 	s.mu.Unlock()
-	for _, id := range gone {
+	for _, id := range disconnected {
 		s.cfg.Core.Left(id)
 	}
 }
