--- a/decide/counts.go
+++ b/decide/counts.go
@@ -1,26 +1,26 @@
 package decide
 
-// This file defines what a pool tells of itself.
+// This file defines the summaries of a pool's load.
 
-// Counts sums up a pool for status and for the summary between domains.
+// Counts is a summary of a pool for status pages and for other failure domains.
 type Counts struct {
 	Waiting int
 	Running int
 	Slots   int
 }
 
-// Counts returns the pool's state.
+// Counts returns the number of waiting requests, of leases and of usable slots.
 func (p *Pool) Counts(now Time) Counts {
-	p.freshen(now)
+	p.refreshIfStale(now)
 	c := Counts{Waiting: len(p.waiting), Running: len(p.leases), Slots: p.slots}
 	return c
 }
 
-// SpareFor counts the slots that a request of the tier from elsewhere could have:
-// free ones, and those of lower tiers beyond what their floors protect, less what
-// waits of its tier and higher ones here.
+// SpareFor returns how many slots the pool could give to requests of the tier from
+// another failure domain: the free slots and those that lower tiers use beyond
+// their floors, minus the local requests that wait in this tier and higher ones.
 func (p *Pool) SpareFor(now Time, tier int) int {
-	p.freshen(now)
+	p.refreshIfStale(now)
 	n := p.slots
 	for _, c := range p.classes {
 		if c.rule.Tier <= tier {
@@ -32,7 +32,8 @@
 	return max(0, n)
 }
 
-// LowestTier is the number of the lowest tier of the pool's classes.
+// LowestTier returns the number of the lowest tier among the pool's classes, or 0
+// if there are no classes.
 func (p *Pool) LowestTier() int {
 	if len(p.classes) == 0 {
 		return 0
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -1,25 +1,26 @@
 package decide
 
-// This file defines who gets the next free slot: tiers first, but for what floors
-// are owed, then urgency within bounded shares.
+// This file defines which request gets the next free slot. Overdue floor shares are
+// served first, then the highest tier. Within a tier the most urgent request goes
+// first, among the classes that are not too far ahead of their shares.
 
 import (
 	"time"
 )
 
-// Decide settles all that can be settled now. The verdicts are valid until the
-// next call of any method.
+// Decide makes all decisions that are possible now. The returned slice is valid
+// until the next call of any method.
 func (p *Pool) Decide(now Time) []Verdict {
-	p.freshen(now)
+	p.refreshIfStale(now)
 	p.expire(now)
 	for len(p.waiting) > 0 {
 		w := p.next(now)
 		if w == nil {
 			break
 		}
-		b := p.choose(now, &w.bid)
+		b := p.chooseBackend(now, &w.bid)
 		if b == nil {
-			p.pauseFor(now)
+			p.pauseForWaiting(now)
 			break
 		}
 		p.grant(now, w, b)
@@ -29,10 +30,11 @@
 	return out
 }
 
-// next returns the request that is to have the next free slot, or nil: one that
-// a floor owes its slot, or else the first of the highest tier.
+// next returns the request that gets the next free slot, or nil: one whose class
+// is owed the slot by its floor, or else the most urgent one of the highest tier
+// that has a request to run.
 func (p *Pool) next(now Time) *waiter {
-	if w := p.owed(); w != nil {
+	if w := p.nextByFloor(); w != nil {
 		return w
 	}
 	for i := 0; i < len(p.classes); {
@@ -48,8 +50,9 @@
 	return nil
 }
 
-// owed returns the head of the class whose floor is furthest behind, or nil.
-func (p *Pool) owed() *waiter {
+// nextByFloor returns the first request of the class with the largest floor credit
+// that covers the request's work, or nil.
+func (p *Pool) nextByFloor() *waiter {
 	var best *waiter
 	most := 0.0
 	for _, c := range p.classes {
@@ -63,26 +66,27 @@
 	return best
 }
 
-// mostUrgent picks among the classes of one tier: of those not too far ahead of
-// their share, the one whose head has the least slack. Heads that have missed
-// their target come after those that can still meet it. A visitor comes after
-// the domain's own.
+// mostUrgent returns the request with the earliest target among the first requests
+// of the classes of one tier, or nil. Classes too far ahead of their shares are
+// skipped. Requests that have missed their target rank after those that can still
+// meet it, and requests from other failure domains rank after local ones.
 func mostUrgent(now Time, classes []*classQueue) *waiter {
-	least := leastOf(classes)
+	least := minVirtualTime(classes)
 	var best *waiter
 	for _, c := range classes {
-		if !c.backlogged() || c.vtime > least+leadTokens {
+		if !c.backlogged() || c.virtualTime > least+maxLeadTokens {
 			continue
 		}
 		w := c.head()
-		if w != nil && (best == nil || before(now, w, best)) {
+		if w != nil && (best == nil || moreUrgent(now, w, best)) {
 			best = w
 		}
 	}
 	return best
 }
 
-func before(now Time, a, b *waiter) bool {
+// moreUrgent reports whether a ranks before b.
+func moreUrgent(now Time, a, b *waiter) bool {
 	if a.bid.FromOtherDomain != b.bid.FromOtherDomain {
 		return b.bid.FromOtherDomain
 	}
@@ -93,48 +97,50 @@
 	return a.target < b.target
 }
 
-// leastOf is the least virtual time of the classes that have something to run.
-func leastOf(classes []*classQueue) float64 {
+// minVirtualTime returns the least virtual time among the backlogged classes, or 0
+// if there are none.
+func minVirtualTime(classes []*classQueue) float64 {
 	least, found := 0.0, false
 	for _, c := range classes {
-		if c.backlogged() && (!found || c.vtime < least) {
-			least, found = c.vtime, true
+		if c.backlogged() && (!found || c.virtualTime < least) {
+			least, found = c.virtualTime, true
 		}
 	}
 	return least
 }
 
-// leastVtime is the least virtual time of the other classes of its tier that
-// wait; a class that comes back after a while starts from there.
-func (p *Pool) leastVtime(class *classQueue) float64 {
-	least, found := class.vtime, false
+// minVirtualTimeOfPeers returns the least virtual time of the other classes of the
+// same tier that have waiting requests. A class that was idle resumes from there,
+// so that it gains no advantage from having been idle.
+func (p *Pool) minVirtualTimeOfPeers(class *classQueue) float64 {
+	least, found := class.virtualTime, false
 	for _, c := range p.classes {
-		if c != class && c.rule.Tier == class.rule.Tier && c.waiting > 0 && (!found || c.vtime < least) {
-			least, found = c.vtime, true
+		if c != class && c.rule.Tier == class.rule.Tier && c.waiting > 0 && (!found || c.virtualTime < least) {
+			least, found = c.virtualTime, true
 		}
 	}
 	return least
 }
 
-// grant gives a slot of b to w.
+// grant removes w from the queue and leases a slot of b to it.
 func (p *Pool) grant(now Time, w *waiter, b *backend) {
 	p.accrue(w)
-	w.class.granted(w)
-	p.drop(w)
+	w.class.chargeGrant(w)
+	p.removeWaiter(w)
 	l := p.newLease()
 	*l = lease{id: w.bid.ID, box: w.bid.Box, class: w.class, customer: w.bid.Customer,
 		backend: b, work: w.bid.Work, granted: now, queued: now - w.offered, attempt: w.bid.Attempt}
-	p.hold(now, l)
-	p.cache(b, w.bid.Prefix)
-	if l.keep = p.keep(w.class); l.keep > 0 {
-		p.keptUntil = now + RetainedSlotLifetime
+	p.addLease(now, l)
+	p.addPrefix(b, w.bid.Prefix)
+	if l.retainFor = p.retention(w.class); l.retainFor > 0 {
+		p.retainedUntil = now + RetainedSlotLifetime
 	}
 	p.emitGrant(l)
 }
 
-// accrue credits the floors of the classes that wait with their share of the
-// work granted, and debits the class that got it. So a class with floor f whose
-// next request is w tokens long gets it at the latest when w/f tokens have been
+// accrue credits each class that has waiting requests with its floor's share of
+// the work granted to w, and debits the class of w. A class with floor f whose
+// next request needs w tokens gets a slot at the latest when w/f tokens have been
 // granted in the pool.
 func (p *Pool) accrue(w *waiter) {
 	for _, c := range p.classes {
@@ -147,14 +153,15 @@
 	w.class.credit = max(0, w.class.credit-w.bid.Work)
 }
 
+// emitGrant queues the verdict that tells the holder about its lease.
 func (p *Pool) emitGrant(l *lease) {
 	p.verdicts = append(p.verdicts, Verdict{Kind: GrantSlot, ID: l.id, Box: l.box,
-		Class: l.class.rule.Class, Tier: l.class.rule.Tier, Upstream: l.backend.Name, Queued: l.queued, RetainFor: l.keep, Attempt: l.attempt})
+		Class: l.class.rule.Class, Tier: l.class.rule.Tier, Upstream: l.backend.Name, Queued: l.queued, RetainFor: l.retainFor, Attempt: l.attempt})
 }
 
-// TakeSurplus takes out the requests that are next, have waited for at least
-// patience, and for whose tier there is room elsewhere, so that they can bid in
-// another failure domain.
+// TakeSurplus removes and returns the bids at the front of the order that have
+// waited for at least patience and for whose tier room reports capacity in another
+// failure domain. The caller sends them to the pool there.
 func (p *Pool) TakeSurplus(now Time, patience time.Duration, room func(tier int) bool) []Bid {
 	var out []Bid
 	for {
@@ -163,8 +170,8 @@
 			break
 		}
 		out = append(out, w.bid)
-		w.class.forget(w)
-		p.drop(w)
+		w.class.removeWaiter(w)
+		p.removeWaiter(w)
 	}
 	return out
 }
--- a/decide/length.go
+++ b/decide/length.go
@@ -1,56 +1,58 @@
 package decide
 
-// This file defines what is learnt of answer lengths: nobody knows how long an
-// answer will be, so each class keeps a fading histogram. The invariant: an
-// estimate is never below one token, and old lengths fade as new ones come.
+// This file defines the estimate of answer lengths. The length of an answer is not
+// known in advance, so each class keeps a histogram of past lengths whose old
+// samples decay exponentially. The invariant: an estimate is at least one token.
 
 import "math"
 
 const (
 	lengthBuckets = 64
-	lengthBase    = 1.25  // each bucket is this much longer than the one before
-	lengthFade    = 0.995 // weight left to older answers by each new one
-	lengthPrior   = 250.0 // tokens expected before anything is known
-	priorAnswers  = 4.0   // how many answers the prior counts for
+	lengthBase    = 1.25  // ratio of the lengths of adjacent buckets
+	lengthDecay   = 0.995 // factor applied to older samples by each new one
+	lengthPrior   = 250.0 // mean length assumed without samples, in tokens
+	priorAnswers  = 4.0   // weight of lengthPrior, in answers
 )
 
-// Lengths learns the lengths of one class's answers, in tokens.
+// Lengths estimates the lengths of one class's answers, in tokens. The zero value
+// is ready for use.
 type Lengths struct {
 	buckets [lengthBuckets]float64
 	count   float64
 	sum     float64
 }
 
-// Add takes in the length of a whole answer.
+// Add records the length of a complete answer.
 func (l *Lengths) Add(tokens int) {
 	for i := range l.buckets {
-		l.buckets[i] *= lengthFade
+		l.buckets[i] *= lengthDecay
 	}
-	l.count = l.count*lengthFade + 1
-	l.sum = l.sum*lengthFade + float64(tokens)
+	l.count = l.count*lengthDecay + 1
+	l.sum = l.sum*lengthDecay + float64(tokens)
 	l.buckets[bucketOf(float64(tokens))]++
 }
 
-// Mean is the expected length.
+// Mean returns the expected length of an answer, in tokens.
 func (l *Lengths) Mean() float64 {
 	return max(1, (l.sum+lengthPrior*priorAnswers)/(l.count+priorAnswers))
 }
 
-// Remaining is how many tokens are expected of an answer that has had done, which
-// has grown past some of the class's: only the longer ones tell of it.
-func (l *Lengths) Remaining(done int) float64 {
-	have := float64(done)
+// Remaining returns the expected number of further tokens of an answer that has
+// the given number of tokens already. Only the longer answers of the class count.
+func (l *Lengths) Remaining(tokens int) float64 {
+	generated := float64(tokens)
 	count, sum := 0.0, 0.0
-	for i := bucketOf(have) + 1; i < lengthBuckets; i++ {
+	for i := bucketOf(generated) + 1; i < lengthBuckets; i++ {
 		count += l.buckets[i]
 		sum += l.buckets[i] * math.Pow(lengthBase, float64(i)+0.5)
 	}
 	if count < 1 {
-		return max(l.Mean()-have, l.Mean()/4)
+		return max(l.Mean()-generated, l.Mean()/4)
 	}
-	return max(sum/count-have, 1)
+	return max(sum/count-generated, 1)
 }
 
+// bucketOf returns the index of the bucket for a length.
 func bucketOf(tokens float64) int {
 	if tokens <= 1 {
 		return 0
--- a/decide/limit.go
+++ b/decide/limit.go
@@ -1,64 +1,66 @@
 package decide
 
-// This file defines limits that several boxes hold together. Each box owns a
-// fixed share of every limit, and the shares add up to the limit. A box in need
-// borrows from the shares of others for a short time. The invariant: lending
-// moves a share and never makes one, so that the sum stays within the limit
-// with no owner, no agreement and in any cut, as long as the boxes divide by
-// the same number of boxes.
+// This file defines limits that several boxes enforce together. Each box owns a
+// fixed share of every limit, and the shares add up to the limit. A box that needs
+// more borrows from the shares of others for a short time. The invariant: a loan
+// moves a part of a share and never creates one. The sum therefore stays within the
+// limit without a coordinator or consensus, and during network partitions, as long
+// as all boxes divide by the same number of boxes.
 
 import (
 	"math"
 	"time"
 )
 
-// LimitKind tells what a limit counts.
+// LimitKind is the quantity that a limit bounds.
 type LimitKind uint8
 
 // Kinds of limit.
 const (
-	RateLimit        LimitKind = iota // requests a second
-	ConcurrencyLimit                  // requests at once
+	RateLimit        LimitKind = iota // requests per second
+	ConcurrencyLimit                  // concurrent requests
 )
 
-// LoanLife is how long a share is lent.
+// LoanLife is the duration of a loan.
 const LoanLife = 5 * time.Second
 
 const (
-	burstSeconds = 1.0  // a rate may be saved up for this long
-	useMemory    = 2.0  // seconds over which use is averaged
-	keepBack     = 1.25 // a lender keeps this much of its own recent use
+	burstSeconds    = 1.0  // capacity of a rate's token bucket, in seconds of the rate
+	useTimeConstant = 2.0  // time constant of the average of recent use, in seconds
+	lenderReserve   = 1.25 // multiple of its recent use that a lender keeps
 )
 
-// loan is a part of a share that is lent or borrowed for a while.
+// loan is a part of a share that is lent or borrowed until a given time.
 type loan struct {
 	amount float64
 	until  Time
 }
 
-// Share is one box's part of one limit.
+// Share is one box's share of one limit. It uses a token bucket for a rate and a
+// counter for a concurrency.
 type Share struct {
 	kind     LimitKind
 	own      float64
 	lent     []loan
 	borrowed []loan
-	tokens   float64 // saved-up requests of a rate
-	filled   Time
-	inUse    int // of a concurrency
-	use      float64
+	tokens   float64 // token bucket of a rate, in requests
+	refilled Time
+	inUse    int     // running requests, for a concurrency
+	use      float64 // moving average of admitted requests per second, for a rate
 }
 
-// NewShare returns a box's share of limit among boxes; rank is the box's place
-// in the limit's rendezvous order, which hands out what does not divide.
+// NewShare returns a box's share of limit, divided among the given number of
+// boxes. rank is the position of the box in the rendezvous order of the limit,
+// from 0; it decides which boxes get the remainder of the division.
 func NewShare(now Time, kind LimitKind, limit float64, boxes, rank int) *Share {
-	s := &Share{kind: kind, filled: now}
+	s := &Share{kind: kind, refilled: now}
 	s.own = ShareSize(kind, limit, boxes, rank)
 	s.tokens = min(1, s.own)
 	return s
 }
 
-// ShareSize is what a box of the given rank owns of a limit. A concurrency is
-// divided into whole slots.
+// ShareSize returns how much of a limit the box of the given rank owns. A
+// concurrency is divided into whole slots.
 func ShareSize(kind LimitKind, limit float64, boxes, rank int) float64 {
 	if boxes < 1 {
 		return 0
@@ -74,22 +76,23 @@
 	return part
 }
 
-// Resize puts a new limit or number of boxes in force. Loans keep running.
+// Resize applies a new limit or number of boxes. Current loans continue.
 func (s *Share) Resize(now Time, limit float64, boxes, rank int) {
-	s.fill(now)
+	s.refill(now)
 	s.own = ShareSize(s.kind, limit, boxes, rank)
 }
 
-// effective is what the box may use now.
+// effective returns the limit of this box at the given time, loans included.
 func (s *Share) effective(now Time) float64 {
 	n := s.own
-	s.lent = sumLoans(now, s.lent, &n, -1)
-	s.borrowed = sumLoans(now, s.borrowed, &n, 1)
+	s.lent = applyLoans(now, s.lent, &n, -1)
+	s.borrowed = applyLoans(now, s.borrowed, &n, 1)
 	return n
 }
 
-// sumLoans adds the running loans to n and drops those that are over.
-func sumLoans(now Time, loans []loan, n *float64, sign float64) []loan {
+// applyLoans adds sign times the amounts of the current loans to n, and returns the
+// loans without the expired ones.
+func applyLoans(now Time, loans []loan, n *float64, sign float64) []loan {
 	kept := loans[:0]
 	for _, l := range loans {
 		if l.until > now {
@@ -100,20 +103,22 @@
 	return kept
 }
 
-func (s *Share) fill(now Time) {
-	seconds := (now - s.filled).Seconds()
+// refill adds the tokens earned since the last call and decays the recent use.
+func (s *Share) refill(now Time) {
+	seconds := (now - s.refilled).Seconds()
 	if seconds <= 0 {
 		return
 	}
-	s.filled = now
+	s.refilled = now
 	rate := max(0, s.effective(now))
 	s.tokens = min(s.tokens+rate*seconds, max(1, rate*burstSeconds))
-	s.use *= math.Exp(-seconds / useMemory)
+	s.use *= math.Exp(-seconds / useTimeConstant)
 }
 
-// Acquire uses the limit for one request and reports whether it allowed that.
+// Acquire takes one request out of the share and reports whether the share allowed
+// it.
 func (s *Share) Acquire(now Time) bool {
-	s.fill(now)
+	s.refill(now)
 	if s.kind == ConcurrencyLimit {
 		if float64(s.inUse+1) > s.effective(now) {
 			return false
@@ -125,40 +130,40 @@
 		return false
 	}
 	s.tokens--
-	s.use += 1 / useMemory
+	s.use += 1 / useTimeConstant
 	return true
 }
 
-// Release returns what Take used, when the request has ended. A rate is not given
-// back.
+// Release returns what Acquire took, after the request has ended. It has no effect
+// on a rate.
 func (s *Share) Release() {
 	if s.kind == ConcurrencyLimit {
 		s.inUse--
 	}
 }
 
-// Undo takes back a Take whose request goes no further.
+// Undo reverts an Acquire whose request is not sent.
 func (s *Share) Undo() {
 	if s.kind == ConcurrencyLimit {
 		s.inUse--
 		return
 	}
 	s.tokens++
-	s.use = max(0, s.use-1/useMemory)
+	s.use = max(0, s.use-1/useTimeConstant)
 }
 
-// Lend hands over up to want of what this box does not need, and returns how
-// much. From now until the loan ends the box does not use it. What was borrowed
-// is not lent on.
+// Lend lends up to want of what this box does not need, and returns the amount. The
+// box does not use that amount until the loan ends. Borrowed amounts are not lent
+// on.
 func (s *Share) Lend(now Time, want float64) float64 {
-	s.fill(now)
+	s.refill(now)
 	free := s.own
-	s.lent = sumLoans(now, s.lent, &free, -1)
+	s.lent = applyLoans(now, s.lent, &free, -1)
 	if s.kind == ConcurrencyLimit {
 		free = math.Floor(free - float64(s.inUse))
 		want = math.Ceil(want)
 	} else {
-		free -= keepBack * s.use
+		free -= lenderReserve * s.use
 	}
 	amount := min(free, want)
 	if amount <= 0 {
@@ -168,21 +173,22 @@
 	return amount
 }
 
-// Borrow takes in a loan that was asked for at the moment asked. It counts from
-// then, so that it ends here no later than at the lender.
+// Borrow adds a loan that was requested at time asked. The loan's life counts from
+// that time, so that it ends here no later than at the lender.
 func (s *Share) Borrow(now, asked Time, amount float64, life time.Duration) {
-	s.fill(now)
+	s.refill(now)
 	if asked+life <= now {
 		return
 	}
 	s.borrowed = append(s.borrowed, loan{amount, asked + life})
 	if s.kind == RateLimit {
-		// The lender has saved up for this part and now does not use it.
+		// The lender has accumulated tokens for this part and no longer uses them.
 		s.tokens += min(1, amount)
 	}
 }
 
-// RetryAfter is when one more request is allowed, as far as this box can tell.
+// RetryAfter returns the time until the share allows one more request. For a
+// concurrency it is a constant estimate.
 func (s *Share) RetryAfter(now Time) time.Duration {
 	rate := s.effective(now)
 	if s.kind == ConcurrencyLimit || rate <= 0 {
--- a/decide/order.go
+++ b/decide/order.go
@@ -1,14 +1,14 @@
 package decide
 
-// This file defines the orders to engines: which model an engine is to load, and
-// the fence that the order carries. There is no store to take fences from, so the
-// engine is its own register: its owner reads the highest fence that the engine
-// has seen and orders with a higher one. The invariants: an engine is given
-// nothing to run until it reports the model that its row wants; at most
-// loadsAtOnce engines of a set load at a time, since the weight store's rate is
-// shared; and an engine that does not check fences is ordered only by an owner
-// that has been one for a whole quiet time, so that an earlier owner's order
-// cannot come after its own unless it is that late.
+// This file defines the orders that tell an engine which model to load. Each order
+// carries a fencing token. No store issues the tokens: the owner of the upstream set
+// reads the highest token that an engine has seen from its report and uses the next
+// one. The invariants: an engine gets no requests until it reports the model of its
+// row; at most maxLoads engines of a set load at a time, because they share the
+// bandwidth of the weight store; and an engine that does not check fencing tokens
+// gets orders only from a box that has been the owner for a whole quiet period, so
+// that an order of an earlier owner can follow only if it is delayed by more than
+// that.
 
 import (
 	"slices"
@@ -16,57 +16,58 @@
 )
 
 const (
-	// loadsAtOnce bounds the loads under way in a set.
-	loadsAtOnce = 2
-	// orderRepeat is how long an order is given to show in a report.
-	orderRepeat = 10 * time.Second
+	// maxLoads is the maximum number of concurrent loads in a set.
+	maxLoads = 2
+	// orderRepeatInterval is how long an order may take to show in a report before
+	// it is sent again.
+	orderRepeatInterval = 10 * time.Second
 )
 
-// EngineOrder is an order to an engine.
+// EngineOrder tells an engine to load a model.
 type EngineOrder struct {
 	Upstream string
 	Fence    uint64
 	Model    string
 }
 
-// EngineState is what the orders need to know of an engine.
+// EngineState is the part of an engine's report and row that orders depend on.
 type EngineState struct {
 	Upstream    string
-	WantedModel string // model of its row; "" is any
-	ChecksFence bool   // whether it refuses orders with an old fence
+	WantedModel string // model of its row; "" accepts any
+	ChecksFence bool   // refuses orders whose fencing token is older than the highest it has seen
 	Loaded      string // model that it reports
 	Loading     bool
-	Fence       uint64 // highest that it reports
+	Fence       uint64 // highest fencing token that it reports
 }
 
 // Orders decides on the orders to the engines of one set.
 type Orders struct {
-	owner  Time // since when this box owns the set
-	quiet  time.Duration
-	given  map[string]Time
-	states map[string]EngineState
+	ownerSince  Time // when this box became the owner of the set
+	quietPeriod time.Duration
+	sent        map[string]Time // time of the last order, until it shows in a report
+	states      map[string]EngineState
 }
 
-// NewOrders starts the orders of a box that has just become owner. Quiet is how
-// long another box may still believe to be owner.
-func NewOrders(now Time, quiet time.Duration) *Orders {
-	return &Orders{owner: now, quiet: quiet, given: make(map[string]Time), states: make(map[string]EngineState)}
+// NewOrders returns the state for a box that has just become the owner. quietPeriod
+// is how long another box may still consider itself the owner.
+func NewOrders(now Time, quietPeriod time.Duration) *Orders {
+	return &Orders{ownerSince: now, quietPeriod: quietPeriod, sent: make(map[string]Time), states: make(map[string]EngineState)}
 }
 
-// Observe takes in the state of an engine.
+// Observe records the state of an engine.
 func (o *Orders) Observe(s EngineState) {
 	if s.Loading || s.Loaded == s.WantedModel {
-		delete(o.given, s.Upstream)
+		delete(o.sent, s.Upstream)
 	}
 	o.states[s.Upstream] = s
 }
 
-// Next returns the orders to give now.
+// Next returns the orders to send now, sorted by upstream.
 func (o *Orders) Next(now Time) []EngineOrder {
 	loading := 0
 	names := make([]string, 0, len(o.states))
 	for name, s := range o.states {
-		if at, ok := o.given[name]; s.Loading || ok && now-at < orderRepeat {
+		if at, ok := o.sent[name]; s.Loading || ok && now-at < orderRepeatInterval {
 			loading++
 		}
 		names = append(names, name)
@@ -74,21 +75,22 @@
 	slices.Sort(names)
 	var out []EngineOrder
 	for _, name := range names {
-		if loading < loadsAtOnce && o.due(now, o.states[name]) {
+		if loading < maxLoads && o.due(now, o.states[name]) {
 			loading++
-			o.given[name] = now
+			o.sent[name] = now
 			out = append(out, EngineOrder{name, o.states[name].Fence + 1, o.states[name].WantedModel})
 		}
 	}
 	return out
 }
 
+// due reports whether the engine needs an order and may get one now.
 func (o *Orders) due(now Time, s EngineState) bool {
 	if s.WantedModel == "" || s.Loaded == "" || s.Loading || s.Loaded == s.WantedModel {
 		return false
 	}
-	if at, ok := o.given[s.Upstream]; ok && now-at < orderRepeat {
+	if at, ok := o.sent[s.Upstream]; ok && now-at < orderRepeatInterval {
 		return false
 	}
-	return s.ChecksFence || now-o.owner >= o.quiet
+	return s.ChecksFence || now-o.ownerSince >= o.quietPeriod
 }
--- a/decide/pause.go
+++ b/decide/pause.go
@@ -1,16 +1,17 @@
 package decide
 
 // This file defines when a running answer is paused for a higher tier. The
-// invariants: only for a higher tier, never below a floor, never what may run only
-// once; an order ends with its reason.
+// invariants: an answer is paused only for a higher tier, never below the floor of
+// its class, and never if its class is not repeatable; a pause order is canceled
+// when its reason no longer holds.
 
 import (
 	"math"
 	"slices"
 )
 
-// pausable counts the running leases of tiers lower than tier, beyond what
-// their floors protect.
+// pausable returns how many running leases of lower tiers than tier could be paused
+// without going below their floors.
 func (p *Pool) pausable(tier int) int {
 	if p.cfg.NoPause {
 		return 0
@@ -24,8 +25,8 @@
 	return n
 }
 
-// protected is how many running leases of a class its floor keeps from being
-// paused. A class that may run only once may not be paused at all.
+// protected returns how many running leases of a class must not be paused: those
+// that its floor guarantees, or all if the class is not repeatable.
 func (p *Pool) protected(c *classQueue) int {
 	if !c.rule.Repeatable {
 		return c.running
@@ -33,26 +34,27 @@
 	return max(1, int(c.rule.Floor*float64(p.slots)))
 }
 
-// pauseFor pauses running requests of lower tiers for waiting ones that would
-// otherwise miss their target.
-func (p *Pool) pauseFor(now Time) {
+// pauseForWaiting pauses running requests of lower tiers for waiting requests that
+// would otherwise miss their targets.
+func (p *Pool) pauseForWaiting(now Time) {
 	if p.cfg.NoPause {
 		return
 	}
-	underWay := p.orderAgain(now)
+	inProgress := p.repeatPauses(now)
 	wanted := 0
 	for _, c := range p.classes {
 		if !c.backlogged() {
 			continue
 		}
-		wanted += c.urgent(now, 0, pausesAtOnce)
-		for underWay < wanted && p.pauseOne(now, c.rule.Tier) {
-			underWay++
+		wanted += c.urgent(now, 0, maxPausesPerClass)
+		for inProgress < wanted && p.pauseOne(now, c.rule.Tier) {
+			inProgress++
 		}
 	}
 }
 
-// pauseOne pauses the newest lease of the lowest tier below tier.
+// pauseOne pauses the newest pausable lease of the lowest tier below tier, and
+// reports whether there was one.
 func (p *Pool) pauseOne(now Time, tier int) bool {
 	for i := len(p.classes) - 1; i >= 0 && p.classes[i].rule.Tier > tier; i-- {
 		c := p.classes[i]
@@ -60,11 +62,11 @@
 			continue
 		}
 		for j := len(c.leases) - 1; j >= 0; j-- {
-			if l := c.leases[j]; !l.gone && !l.pausing && l.backend.CanPause {
+			if l := c.leases[j]; !l.ended && !l.pausing && l.backend.CanPause {
 				l.pausing, l.pausedAt = true, now
 				c.pausing++
 				p.pausing = append(p.pausing, l)
-				p.orderPause(now, l)
+				p.emitPause(now, l)
 				return true
 			}
 		}
@@ -72,26 +74,26 @@
 	return false
 }
 
-// orderAgain repeats the orders to pause that may have been lost, and counts
-// those that can be expected to take effect. A holder that does not answer must
-// not stand in the way of others.
-func (p *Pool) orderAgain(now Time) int {
-	p.dropOrders()
-	underWay := 0
+// repeatPauses sends pause orders again that may have been lost, and returns how many
+// are recent enough to be expected to take effect. Older ones do not count, so that
+// a holder that does not answer cannot block pauses by others.
+func (p *Pool) repeatPauses(now Time) int {
+	p.cancelPauses()
+	inProgress := 0
 	for _, l := range p.pausing {
-		if now-l.pausedAt < 2*pauseRepeat {
-			underWay++
+		if now-l.pausedAt < 2*pauseRepeatInterval {
+			inProgress++
 		}
-		if now-l.ordered >= pauseRepeat {
-			p.orderPause(now, l)
+		if now-l.lastOrdered >= pauseRepeatInterval {
+			p.emitPause(now, l)
 		}
 	}
-	return underWay
+	return inProgress
 }
 
-// dropOrders forgets the orders to pause whose reason is gone: nothing of a higher
-// tier waits any more. The holder may have paused already, which does no harm.
-func (p *Pool) dropOrders() {
+// cancelPauses drops the pause orders for which no request of a higher tier waits any
+// more. A holder may have paused the answer already, which is harmless.
+func (p *Pool) cancelPauses() {
 	highest := math.MaxInt
 	for _, c := range p.classes {
 		if c.backlogged() {
@@ -108,22 +110,23 @@
 	})
 }
 
-func (p *Pool) orderPause(now Time, l *lease) {
-	l.ordered = now
+// emitPause queues the verdict that tells the holder to pause.
+func (p *Pool) emitPause(now Time, l *lease) {
+	l.lastOrdered = now
 	p.verdicts = append(p.verdicts, Verdict{Kind: PauseLease, ID: l.id, Box: l.box,
 		Class: l.class.rule.Class, Tier: l.class.rule.Tier, Upstream: l.backend.Name})
 }
 
-// recent counts the leases of lower tiers that were granted so lately, by a floor
-// as a rule, that they could not have given way yet.
-func (p *Pool) recent(now Time, tier int) int {
+// recentlyGranted returns how many leases of lower tiers are too recent to have been
+// paused in time. Usually they were granted because of a floor.
+func (p *Pool) recentlyGranted(now Time, tier int) int {
 	n := 0
 	for _, c := range p.classes {
 		if c.rule.Tier <= tier {
 			continue
 		}
-		for i := len(c.leases) - 1; i >= 0 && now-c.leases[i].granted < giveWayTime; i-- {
-			if l := c.leases[i]; !l.gone && !l.pausing {
+		for i := len(c.leases) - 1; i >= 0 && now-c.leases[i].granted < preemptTime; i-- {
+			if l := c.leases[i]; !l.ended && !l.pausing {
 				n++
 			}
 		}
--- a/decide/pool.go
+++ b/decide/pool.go
@@ -1,9 +1,9 @@
 package decide
 
-// This file defines a pool: the waiting requests and the slots of one upstream
-// set in one failure domain, as its owner sees them. The invariants: a slot is
-// never granted twice by one owner; grants go by tier, but for what floors take
-// openly; every bid ends in exactly one grant, refusal or withdrawal.
+// This file defines a pool: the waiting requests and the slots of one upstream set
+// in one failure domain, as seen by the box that owns it. The invariants: one owner
+// never grants a slot twice; grants follow the tiers except for the guaranteed
+// floors; every bid ends in exactly one grant, refusal or withdrawal.
 
 import (
 	"container/heap"
@@ -14,116 +14,117 @@
 
 // PoolConfig configures a Pool.
 type PoolConfig struct {
-	// Queue is how many requests may wait, over all classes.
+	// Queue is the maximum number of waiting requests over all classes.
 	Queue int
-	// Learn is how long a new owner waits for the boxes to say what they hold.
+	// Learn is how long a new owner waits for the boxes to list their leases.
 	Learn time.Duration
-	// NoPause turns the pausing of lower tiers off, to measure what it is worth.
+	// NoPause disables pausing of lower tiers, to measure its benefit.
 	NoPause bool
-	// RetainAbove is the number of slots held from which on holders may keep slots
-	// for their next requests, while the pool has slots to spare; 0 is never.
+	// RetainAbove is the number of leases from which on holders may retain slots
+	// for their next requests while the pool has spare slots; 0 disables it.
 	RetainAbove int
-	// Seed makes the jitter of RetryAfter repeatable.
+	// Seed makes the jitter of RetryAfter reproducible.
 	Seed uint64
 }
 
 const (
-	// leadTokens is how far, in tokens over weight, a class may run ahead of
-	// the others of its tier because its requests are more urgent.
-	leadTokens = 4000
-	// refreshEvery bounds how old the pool's picture of its upstreams is.
-	refreshEvery = 50 * time.Millisecond
-	// settleTime is how long a lease is kept that its holder does not list: the
-	// grant may have been on its way when the list was made.
-	settleTime = 2 * time.Second
-	// pausesAtOnce bounds how many leases are being paused for one class.
-	pausesAtOnce = 64
-	// keepBusy is the share of the slots in use from which on none is kept.
-	keepBusy = 0.85
-	// keepTime is how long a holder keeps a slot for its next request.
-	keepTime = 3 * time.Second
-	// recallEvery bounds the recalls. After one, holders keep nothing for longer
-	// than this.
-	recallEvery = 900 * time.Millisecond
-	// giveWayTime is how long it takes until a lower tier has given way.
-	giveWayTime = pauseRepeat
-	// firstMemory is the weight of a new sample of the time to the first token.
-	firstMemory = 0.05
-	// pauseRepeat is how long an order to pause is given to take effect.
-	pauseRepeat = 300 * time.Millisecond
-	// never is later than any moment.
+	// maxLeadTokens is how far, in tokens divided by weight, a class may run ahead
+	// of the others of its tier because its requests are more urgent.
+	maxLeadTokens = 4000
+	// refreshInterval is the maximum age of the derived state of the upstreams.
+	refreshInterval = 50 * time.Millisecond
+	// adoptGrace is how long a lease is kept although its holder does not list it:
+	// the grant may have been in transit when the list was made.
+	adoptGrace = 2 * time.Second
+	// maxPausesPerClass is the maximum number of concurrent pauses for one class.
+	maxPausesPerClass = 64
+	// maxRetainUtilization is the share of slots in use above which none is retained.
+	maxRetainUtilization = 0.85
+	// retainTime is how long a holder retains a slot for its next request.
+	retainTime = 3 * time.Second
+	// recallInterval is the minimum time between recalls. After a recall, holders
+	// stop retaining slots for a period longer than this interval.
+	recallInterval = 900 * time.Millisecond
+	// preemptTime is how long it takes a request of a lower tier to give way.
+	preemptTime = pauseRepeatInterval
+	// firstTokenSampleWeight is the weight of a new sample of the time to first token.
+	firstTokenSampleWeight = 0.05
+	// pauseRepeatInterval is how long a pause order may take before it is repeated.
+	pauseRepeatInterval = 300 * time.Millisecond
+	// never is later than any other time.
 	never = Time(1<<63 - 1)
 )
 
 // lease is a granted slot.
 type lease struct {
-	id       uint64
-	box      string
-	class    *classQueue
-	customer string
-	backend  *backend
-	work     float64
-	granted  Time
-	queued   time.Duration
-	keep     time.Duration
-	attempt  uint32
-	pausing  bool
-	pausedAt Time // when its pause was first ordered
-	ordered  Time // when it was last ordered
-	gone     bool
+	id          uint64
+	box         string
+	class       *classQueue
+	customer    string
+	backend     *backend
+	work        float64
+	granted     Time
+	queued      time.Duration // how long the bid waited in this pool
+	retainFor   time.Duration
+	attempt     uint32
+	pausing     bool
+	pausedAt    Time // when the pause was first ordered
+	lastOrdered Time // when the pause was last ordered
+	ended       bool // no longer valid, but possibly still in classQueue.leases
 }
 
-// Pool decides for one upstream set.
+// Pool schedules the requests for one upstream set.
 type Pool struct {
-	cfg        PoolConfig
-	random     *rand.Rand
-	classes    []*classQueue // by tier, then in the table's order
-	byClass    map[string]*classQueue
-	backends   []*backend
-	byName     map[string]*backend
-	cached     map[uint64][]*backend // prefix to the upstreams that hold it
-	waiting    map[uint64]*waiter
-	expiry     expiryHeap
-	leases     map[uint64]*lease
-	ledgers    map[string]*ledger // by box
-	verdicts   []Verdict          // not yet taken
-	frees      []int              // free slots of each backend
-	waiterSlab []waiter
-	leaseSlab  []lease
-	paces      []float64       // a buffer for the median
-	median     float64         // pace of the upstreams, in seconds a token
-	slots      int             // usable now, over all upstreams
-	rate       float64         // tokens a second when full
-	first      time.Duration   // from sending to the first token, the recent mean
-	refreshed  Time            // when limits, median and rate were last worked out
-	pausing    []*lease        // whose pause is ordered
-	keptUntil  Time            // until then slots may be kept by holders
-	recalled   Time            // when kept slots were last recalled
-	recallNow  bool            // an upstream began to leave
-	learnEnd   Time            // of the time for the boxes to say what they hold
-	learnt     Time            // when a lease granted by another owner was last learnt of
-	unheard    map[string]bool // boxes that have not said it yet
+	cfg              PoolConfig
+	random           *rand.Rand
+	classes          []*classQueue // by tier, then in the order of the table
+	byClass          map[string]*classQueue
+	backends         []*backend
+	byName           map[string]*backend
+	prefixHolders    map[uint64][]*backend // upstreams that have a prefix cached
+	waiting          map[uint64]*waiter
+	expiry           expiryHeap
+	leases           map[uint64]*lease
+	ledgers          map[string]*ledger // by box
+	verdicts         []Verdict          // not returned by Decide yet
+	freeSlots        []int              // free slots of each backend, by index
+	waiterSlab       []waiter
+	leaseSlab        []lease
+	timesPerToken    []float64       // scratch buffer for updateMedian
+	median           float64         // median time per token of the upstreams, in seconds
+	slots            int             // usable slots over all upstreams
+	rate             float64         // tokens per second with all slots in use
+	timeToFirstToken time.Duration   // moving average, from sending a request to its first token
+	refreshed        Time            // last call of refresh
+	pausing          []*lease        // leases with a pause order
+	retainedUntil    Time            // until when holders may retain slots
+	lastRecall       Time            // when retained slots were last recalled
+	recallPending    bool            // an upstream stopped taking requests
+	learnUntil       Time            // end of the learning period of a new owner
+	lastAdopted      Time            // when a lease granted by another owner was last adopted
+	pendingBoxes     map[string]bool // boxes that have not listed their leases yet
 }
 
 // NewPool returns an empty pool.
 func NewPool(cfg PoolConfig) *Pool {
 	return &Pool{
-		cfg:       cfg,
-		random:    rand.New(rand.NewPCG(cfg.Seed, 1)),
-		byClass:   make(map[string]*classQueue),
-		byName:    make(map[string]*backend),
-		cached:    make(map[uint64][]*backend),
-		waiting:   make(map[uint64]*waiter),
-		leases:    make(map[uint64]*lease),
-		ledgers:   make(map[string]*ledger),
-		unheard:   make(map[string]bool),
-		median:    defaultPace,
-		rate:      1,
-		refreshed: -refreshEvery,
+		cfg:           cfg,
+		random:        rand.New(rand.NewPCG(cfg.Seed, 1)),
+		byClass:       make(map[string]*classQueue),
+		byName:        make(map[string]*backend),
+		prefixHolders: make(map[uint64][]*backend),
+		waiting:       make(map[uint64]*waiter),
+		leases:        make(map[uint64]*lease),
+		ledgers:       make(map[string]*ledger),
+		pendingBoxes:  make(map[string]bool),
+		median:        defaultTimePerToken,
+		rate:          1,
+		refreshed:     -refreshInterval,
 	}
 }
 
-// SetRules puts the table's rows in force, also for what waits already.
+// SetRules applies the rows of the table, also to requests that wait already. queue
+// is the maximum number of waiting requests over all classes.
 func (p *Pool) SetRules(now Time, rules []Rule, queue int) {
 	p.cfg.Queue = queue
 	old := p.byClass
@@ -139,7 +140,7 @@
 		p.classes = append(p.classes, c)
 	}
 	slices.SortStableFunc(p.classes, func(a, b *classQueue) int { return a.rule.Tier - b.rule.Tier })
-	for _, w := range p.sortedWaiting("") {
+	for _, w := range p.sortedWaiters("") {
 		if p.byClass[w.bid.Class] != w.class {
 			p.refuse(now, w, NoUpstream)
 			continue
@@ -152,7 +153,8 @@
 	p.fitQueues(now)
 }
 
-// SetBackends says which upstreams the pool has.
+// SetBackends replaces the upstreams of the pool. The state of those that stay is
+// kept.
 func (p *Pool) SetBackends(now Time, list []Backend) {
 	old := p.byName
 	p.byName = make(map[string]*backend, len(list))
@@ -166,24 +168,25 @@
 		p.byName[d.Name] = b
 		p.backends = append(p.backends, b)
 	}
-	p.frees = make([]int, len(p.backends))
+	p.freeSlots = make([]int, len(p.backends))
 	for name, b := range old {
 		if p.byName[name] == nil {
-			p.forgetPrefixes(b)
+			p.clearPrefixes(b)
 		}
 	}
-	p.refreshed = now - refreshEvery
+	p.refreshed = now - refreshInterval
 }
 
-// Report takes in what an upstream said of itself.
+// Report applies an upstream's report. Reports of unknown upstreams are ignored.
 func (p *Pool) Report(now Time, r Report) {
 	if b := p.byName[r.Upstream]; b != nil {
-		p.takeReport(now, b, r)
-		p.refreshed = now - refreshEvery
+		p.applyReport(now, b, r)
+		p.refreshed = now - refreshInterval
 	}
 }
 
-// Offer takes in a bid. It may come twice: a holder that hears nothing asks again.
+// Offer adds a bid. A holder that gets no answer sends its bid again, so a bid may
+// arrive more than once.
 func (p *Pool) Offer(now Time, bid Bid) {
 	if l := p.leases[bid.ID]; l != nil {
 		if bid.Attempt < l.attempt {
@@ -195,16 +198,16 @@
 			}
 			return
 		}
-		// The holder has given this slot back, and its word of that is still on
-		// its way: a grant repeated now would be used after the slot was freed.
-		p.end(l)
+		// The holder has released this slot and its message is in transit. A grant
+		// repeated now would be used after the slot was freed.
+		p.endLease(l)
 	}
 	if w := p.waiting[bid.ID]; w != nil {
 		if bid.Attempt <= w.bid.Attempt {
 			return
 		}
-		w.class.forget(w)
-		p.drop(w)
+		w.class.removeWaiter(w)
+		p.removeWaiter(w)
 	}
 	class := p.byClass[bid.Class]
 	w := p.newWaiter()
@@ -224,24 +227,24 @@
 	g := p.ledger(bid.Box)
 	g.waiting++
 	g.waitingDigest ^= bid.ID
-	g.heard = now
+	g.lastRenewed = now
 	class.push(w)
 	if class.waiting == 1 {
-		class.vtime = max(class.vtime, p.leastVtime(class))
+		class.virtualTime = max(class.virtualTime, p.minVirtualTimeOfPeers(class))
 	}
 	if bid.FromOtherDomain {
-		class.visitors++
+		class.waitingFromOtherDomains++
 	}
 	p.schedule(w)
 }
 
-// slab is how many waiters or leases are made at once, which spares the allocator
-// and the collector a call for each.
-const slab = 128
+// slabSize is how many waiters or leases are allocated at once, which reduces the
+// load on the allocator and the garbage collector.
+const slabSize = 128
 
 func (p *Pool) newWaiter() *waiter {
 	if len(p.waiterSlab) == 0 {
-		p.waiterSlab = make([]waiter, slab)
+		p.waiterSlab = make([]waiter, slabSize)
 	}
 	w := &p.waiterSlab[0]
 	p.waiterSlab = p.waiterSlab[1:]
@@ -250,23 +253,24 @@
 
 func (p *Pool) newLease() *lease {
 	if len(p.leaseSlab) == 0 {
-		p.leaseSlab = make([]lease, slab)
+		p.leaseSlab = make([]lease, slabSize)
 	}
 	l := &p.leaseSlab[0]
 	p.leaseSlab = p.leaseSlab[1:]
 	return l
 }
 
-// Withdraw takes a bid back: the caller left, or another owner granted first.
+// Withdraw removes a bid, because the caller disconnected or another owner granted
+// it first.
 func (p *Pool) Withdraw(id uint64) {
 	if w := p.waiting[id]; w != nil {
-		w.class.forget(w)
-		p.drop(w)
+		w.class.removeWaiter(w)
+		p.removeWaiter(w)
 	}
 }
 
-// drop takes a waiter off the pool's own lists.
-func (p *Pool) drop(w *waiter) {
+// removeWaiter removes a waiter from the pool's own indexes, but not from its class.
+func (p *Pool) removeWaiter(w *waiter) {
 	delete(p.waiting, w.bid.ID)
 	g := p.ledger(w.bid.Box)
 	g.waiting--
@@ -275,24 +279,24 @@
 		heap.Remove(&p.expiry, w.index)
 	}
 	if w.bid.FromOtherDomain {
-		w.class.visitors--
+		w.class.waitingFromOtherDomains--
 	}
 }
 
-// Usage is how a lease was used.
+// Usage describes how a lease was used.
 type Usage struct {
 	Outcome          Outcome
-	Tokens           int           // generated
-	TimePerToken     time.Duration // for one token; 0 if unknown
-	TimeToFirstToken time.Duration // from sending to the first token; 0 if unknown
+	Tokens           int           // number of generated tokens
+	TimePerToken     time.Duration // 0 if unknown
+	TimeToFirstToken time.Duration // from sending the request; 0 if unknown
 	Attempt          uint32        // of the bid that the slot was granted for
 }
 
-// Release gives a slot back.
+// Release ends the lease of a request and records how it was used.
 func (p *Pool) Release(now Time, id uint64, u Usage) {
 	l := p.leases[id]
 	if l == nil || u.Attempt != l.attempt {
-		return // it speaks of a slot that was taken back already
+		return // the slot was freed already
 	}
 	b := l.backend
 	switch u.Outcome {
@@ -302,24 +306,24 @@
 			b.sample(u.TimePerToken.Seconds())
 		}
 		if u.TimeToFirstToken > 0 {
-			p.first += time.Duration(firstMemory * float64(u.TimeToFirstToken-p.first))
+			p.timeToFirstToken += time.Duration(firstTokenSampleWeight * float64(u.TimeToFirstToken-p.timeToFirstToken))
 		}
 	case Failed:
 		b.failed(now)
-		p.refreshed = now - refreshEvery
+		p.refreshed = now - refreshInterval
 	case Draining:
-		p.saysLeaving(b, now)
-		p.refreshed = now - refreshEvery
+		p.noteLeaving(b, now)
+		p.refreshed = now - refreshInterval
 	}
-	l.class.settle(l.customer, float64(u.Tokens)-l.work)
-	p.end(l)
+	l.class.adjustCharge(l.customer, float64(u.Tokens)-l.work)
+	p.endLease(l)
 }
 
-// end frees the slot of a lease.
-func (p *Pool) end(l *lease) {
-	l.gone = true
+// endLease removes a lease and frees its slot.
+func (p *Pool) endLease(l *lease) {
+	l.ended = true
 	l.backend.held--
-	p.countFree(l.backend)
+	p.updateFreeSlots(l.backend)
 	l.class.running--
 	if l.pausing {
 		p.pausing = slices.DeleteFunc(p.pausing, func(m *lease) bool { return m == l })
@@ -329,30 +333,31 @@
 	p.ledger(l.box).remove(l.id)
 }
 
-// hold enters a lease into the books.
-func (p *Pool) hold(now Time, l *lease) {
+// addLease records a lease in all indexes.
+func (p *Pool) addLease(now Time, l *lease) {
 	p.leases[l.id] = l
 	g := p.ledger(l.box)
 	g.add(l.id)
-	g.heard = now
+	g.lastRenewed = now
 	l.backend.held++
-	p.countFree(l.backend)
-	l.backend.fresh++
-	l.backend.note(now)
-	l.class.remember(l)
+	p.updateFreeSlots(l.backend)
+	l.backend.grantedSinceReport++
+	l.backend.recordHeld(now)
+	l.class.addLease(l)
 }
 
-// remember keeps the newest leases last, for pausing; ended ones are dropped as
-// they are met.
-func (c *classQueue) remember(l *lease) {
+// addLease appends a lease to the list that pauses search from the newest one. Ended
+// leases are removed now and then.
+func (c *classQueue) addLease(l *lease) {
 	if len(c.leases) > 64 && len(c.leases) > 2*c.running {
-		c.leases = slices.DeleteFunc(c.leases, func(l *lease) bool { return l.gone })
+		c.leases = slices.DeleteFunc(c.leases, func(l *lease) bool { return l.ended })
 	}
 	c.leases = append(c.leases, l)
 }
 
-func (p *Pool) freshen(now Time) {
-	if now-p.refreshed >= refreshEvery {
+// refreshIfStale calls refresh if the last call is refreshInterval ago or more.
+func (p *Pool) refreshIfStale(now Time) {
+	if now-p.refreshed >= refreshInterval {
 		p.refresh(now)
 	}
 }
--- a/decide/pool_test.go
+++ b/decide/pool_test.go
@@ -12,10 +12,12 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261202") }
 
+// rule returns a repeatable rule with a floor and a first-token target of 2 seconds.
 func rule(class string, tier int, refuse bool) Rule {
 	return Rule{Class: class, Tier: tier, Weight: 1, Floor: 0.1, FirstToken: 2 * time.Second, Refuse: refuse, Repeatable: true}
 }
 
+// testPool returns a pool with two upstreams, a and b, with the given number of slots each.
 func testPool(slots int, rules ...Rule) *Pool {
 	p := NewPool(PoolConfig{Learn: time.Second})
 	p.SetRules(0, rules, 100)
@@ -27,7 +29,7 @@
 	return Bid{ID: id, Box: "box", Class: class, Customer: "c", Work: 100}
 }
 
-// model drives a pool with random events and keeps its own account of it.
+// model drives a pool with random events and tracks the expected state independently.
 type model struct {
 	t       *rapid.T
 	p       *Pool
@@ -44,23 +46,23 @@
 		switch v.Kind {
 		case GrantSlot:
 			if _, ok := m.held[v.ID]; ok {
-				continue // repeated for a bid that came twice
+				continue // repeated for a bid that was offered twice
 			}
 			if _, ok := m.waiting[v.ID]; !ok {
-				m.t.Fatalf("granted %d, which does not wait", v.ID)
+				m.t.Fatalf("request %d was granted a slot but is not waiting", v.ID)
 			}
 			m.granted[v.Class] += m.waiting[v.ID].Work
 			delete(m.waiting, v.ID)
 			m.held[v.ID] = v
 		case RefuseBid:
 			if _, ok := m.held[v.ID]; ok {
-				m.t.Fatalf("refused %d, which runs", v.ID)
+				m.t.Fatalf("request %d was refused but is running", v.ID)
 			}
-			m.checkLegal(v)
+			m.checkRefusal(v)
 			delete(m.waiting, v.ID)
 			m.ended[v.ID]++
 			if m.ended[v.ID] > 1 {
-				m.t.Fatalf("request %d ended twice", v.ID)
+				m.t.Fatalf("request %d was refused twice", v.ID)
 			}
 		case PauseLease:
 			m.checkPause(v)
@@ -69,30 +71,31 @@
 	m.checkSlots()
 }
 
-// checkLegal is the invariant of refusals, worked out from the model's account.
-func (m *model) checkLegal(v Verdict) {
+// checkRefusal checks, from the model's own state, that no request of a lower tier waits when the
+// queue is full.
+func (m *model) checkRefusal(v Verdict) {
 	if v.Reason != Evicted && v.Reason != QueueFull {
 		return
 	}
 	for id, b := range m.waiting {
 		if id != v.ID && m.p.byClass[b.Class].rule.Tier > v.Tier {
-			m.t.Fatalf("%s of tier %d while %d of a lower tier waits", v.Reason, v.Tier, id)
+			m.t.Fatalf("refusal %s in tier %d while request %d of a lower tier waits", v.Reason, v.Tier, id)
 		}
 	}
 }
 
-// checkPause: something of a higher tier waits for what is paused.
+// checkPause checks that a request of a higher tier than the paused one is waiting.
 func (m *model) checkPause(v Verdict) {
 	for _, b := range m.waiting {
 		if m.p.byClass[b.Class].rule.Tier < v.Tier {
 			return
 		}
 	}
-	m.t.Fatalf("paused %d of tier %d with nothing of a higher tier waiting", v.ID, v.Tier)
+	m.t.Fatalf("request %d of tier %d was paused with no request of a higher tier waiting", v.ID, v.Tier)
 }
 
-// checkSlots: no upstream holds more than its slots, and the pool's books agree
-// with the model's.
+// checkSlots checks that no upstream has more leases than slots, and that the counts of the pool
+// match those of the model.
 func (m *model) checkSlots() {
 	used := make(map[string]int)
 	for _, v := range m.held {
@@ -104,7 +107,7 @@
 		}
 	}
 	if len(m.held) != len(m.p.leases) || len(m.waiting) != len(m.p.waiting) {
-		m.t.Fatalf("the pool has %d leases and %d waiting, the model %d and %d", len(m.p.leases), len(m.p.waiting), len(m.held), len(m.waiting))
+		m.t.Fatalf("pool has %d leases and %d waiting requests, want %d and %d", len(m.p.leases), len(m.p.waiting), len(m.held), len(m.waiting))
 	}
 	for _, c := range m.p.classes {
 		if c.waiting < 0 || c.running < 0 || c.pausing < 0 || c.rule.Concurrency > 0 && c.running > c.rule.Concurrency {
@@ -113,7 +116,8 @@
 	}
 }
 
-func (m *model) someHeld() (uint64, bool) {
+// firstHeld returns the lowest ID among the requests with a lease.
+func (m *model) firstHeld() (uint64, bool) {
 	for id := uint64(1); id <= m.next; id++ {
 		if _, ok := m.held[id]; ok {
 			return id, true
@@ -122,6 +126,7 @@
 	return 0, false
 }
 
+// step performs one random event and checks the decisions that follow.
 func (m *model) step() {
 	classes := []string{"high", "middle", "low"}
 	switch rapid.IntRange(0, 9).Draw(m.t, "step") {
@@ -133,7 +138,7 @@
 		m.waiting[m.next] = b
 		m.p.Offer(m.now, b)
 	case 4, 5:
-		if id, ok := m.someHeld(); ok {
+		if id, ok := m.firstHeld(); ok {
 			delete(m.held, id)
 			m.p.Release(m.now, id, Usage{Outcome: Outcome(rapid.IntRange(0, 3).Draw(m.t, "outcome")), Tokens: 50})
 		}
@@ -153,15 +158,15 @@
 		m.p.SetRules(m.now, rules, rapid.IntRange(1, 20).Draw(m.t, "queue"))
 	case 9:
 		for id := range m.waiting {
-			m.p.Offer(m.now, m.waiting[id]) // comes twice
+			m.p.Offer(m.now, m.waiting[id]) // offered a second time
 			break
 		}
 	}
 	m.decide()
 }
 
-// TestPoolProperties: no slot twice, no illegal refusal or pause, each request
-// ends once, the books agree.
+// TestPoolProperties checks under random events that no slot is granted twice, that refusals and
+// pauses are justified, that each request ends once, and that the pool's counts are correct.
 func TestPoolProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &model{t: rt, waiting: make(map[uint64]Bid), held: make(map[uint64]Verdict), ended: make(map[uint64]int), granted: make(map[string]float64)}
@@ -172,8 +177,8 @@
 	})
 }
 
-// TestFloorBound: a class with floor f whose next request is w tokens long has it
-// granted before w/f tokens, and one request's, have been granted in the pool.
+// TestFloorBound checks the guarantee of a floor: a class with floor f whose next request needs w
+// tokens gets a slot before more than w/f tokens, plus one request's, are granted to others.
 func TestFloorBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const floor = 0.1
@@ -212,15 +217,14 @@
 				}
 			}
 			if total > work/floor+400 {
-				rt.Fatalf("%g tokens granted to others before %g of a class with floor %g", total, work, floor)
+				rt.Fatalf("%g tokens granted to others before a request of %g tokens in a class with floor %g", total, work, floor)
 			}
 		}
-		rt.Fatal("never granted")
+		rt.Fatal("the request with a floor was never granted a slot")
 	})
 }
 
-// TestFairBetweenCustomers: a customer that bursts alone does not crowd out
-// another.
+// TestFairBetweenCustomers checks that a burst of one customer does not starve another.
 func TestFairBetweenCustomers(t *testing.T) {
 	is := is.New(t)
 	p := testPool(1, rule("c", 1, false))
@@ -240,7 +244,7 @@
 			order++
 			if v.ID >= 100 {
 				served++
-				is.True(order <= 2+2*served) // every other one, once it waits
+				is.True(order <= 2+2*served) // every second grant, as soon as its requests wait
 			}
 			p.Release(0, v.ID, Usage{Tokens: 100})
 		}
@@ -248,6 +252,7 @@
 	is.Equal(served, 5)
 }
 
+// TestTierOrder checks that a free slot goes to the higher tier.
 func TestTierOrder(t *testing.T) {
 	is := is.New(t)
 	p := testPool(1, rule("low", 3, false), rule("high", 1, false))
@@ -262,30 +267,31 @@
 	is.Equal(got[0].ID, uint64(10))
 }
 
+// TestRefusals checks the reason for each kind of refusal.
 func TestRefusals(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(p *Pool)
 		want map[uint64]Reason
 	}{
-		{"class over its queue limit", func(p *Pool) {
+		{"class is over its queue limit", func(p *Pool) {
 			r := rule("low", 3, false)
 			r.Queue = 1
 			p.SetRules(0, []Rule{rule("high", 1, false), r}, 100)
-			fill(p)
+			occupyAllSlots(p)
 			p.Offer(0, bid(1, "low"))
 			p.Offer(0, bid(2, "low"))
 		}, map[uint64]Reason{2: OverClassLimit}},
-		{"a full queue evicts the lowest tier", func(p *Pool) {
+		{"full queue evicts a request of the lowest tier", func(p *Pool) {
 			p.SetRules(0, []Rule{rule("high", 1, false), rule("low", 3, false)}, 2)
-			fill(p)
+			occupyAllSlots(p)
 			p.Offer(0, bid(1, "low"))
 			p.Offer(0, bid(2, "high"))
 			p.Offer(0, bid(3, "high"))
 		}, map[uint64]Reason{1: Evicted}},
-		{"a full queue with nothing lower", func(p *Pool) {
+		{"full queue without requests of a lower tier", func(p *Pool) {
 			p.SetRules(0, []Rule{rule("high", 1, false)}, 1)
-			fill(p)
+			occupyAllSlots(p)
 			p.Offer(0, bid(1, "high"))
 			p.Offer(0, bid(2, "high"))
 		}, map[uint64]Reason{2: QueueFull}},
@@ -294,23 +300,23 @@
 			p.SetBackends(0, nil)
 			p.Offer(0, bid(1, "high"))
 		}, map[uint64]Reason{1: NoUpstream}},
-		{"target passed", func(p *Pool) {
+		{"first-token target has passed", func(p *Pool) {
 			p.SetRules(0, []Rule{rule("high", 1, false), rule("low", 3, true)}, 100)
-			fill(p)
+			occupyAllSlots(p)
 			p.Offer(0, bid(1, "low"))
 			p.Decide(0)
 			p.Decide(3 * time.Second)
 		}, map[uint64]Reason{1: Late}},
-		{"caller's deadline, also of a class that waits", func(p *Pool) {
-			fill(p)
+		{"caller's deadline has passed in a class that queues late requests", func(p *Pool) {
+			occupyAllSlots(p)
 			b := bid(1, "high")
 			b.Remaining = time.Second
 			p.Offer(0, b)
 			p.Decide(0)
 			p.Decide(time.Second)
 		}, map[uint64]Reason{1: Late}},
-		{"a limit lowered in the middle of a burst", func(p *Pool) {
-			fill(p)
+		{"queue limit lowered while requests wait", func(p *Pool) {
+			occupyAllSlots(p)
 			for i := range uint64(3) {
 				p.Offer(0, bid(i+1, "high"))
 			}
@@ -318,8 +324,8 @@
 			r.Queue = 2
 			p.SetRules(0, []Rule{r}, 100)
 		}, map[uint64]Reason{3: OverClassLimit}},
-		{"a class taken out of the table", func(p *Pool) {
-			fill(p)
+		{"class removed from the table", func(p *Pool) {
+			occupyAllSlots(p)
 			p.Offer(0, bid(1, "low"))
 			p.SetRules(0, []Rule{rule("high", 1, false)}, 100)
 		}, map[uint64]Reason{1: NoUpstream}},
@@ -329,8 +335,8 @@
 			p := testPool(1, rule("high", 1, false), rule("low", 3, false))
 			got := make(map[uint64]Reason)
 			c.do(p)
-			// The verdicts of earlier calls are lost to the test where the case
-			// decides itself; only the last call's are looked at.
+			// Verdicts returned by Decide within the case are not visible here; only
+			// pending verdicts and those of the last call are checked.
 			for _, v := range append(p.verdicts[:len(p.verdicts):len(p.verdicts)], p.Decide(4*time.Second)...) {
 				if v.Kind == RefuseBid {
 					got[v.ID] = v.Reason
@@ -338,15 +344,15 @@
 				}
 			}
 			if len(got) == 0 && len(p.waiting) == 0 {
-				got = c.want // refused by a call within the case
+				got = c.want // refused by a Decide call within the case
 			}
 			is.Equal(got, c.want)
 		})
 	}
 }
 
-// fill takes all slots.
-func fill(p *Pool) {
+// occupyAllSlots grants all slots to requests that do not end.
+func occupyAllSlots(p *Pool) {
 	for i := range uint64(8) {
 		p.Offer(0, Bid{ID: 1000 + i, Box: "box", Class: "high", Customer: "x", Work: 1e6})
 	}
@@ -356,13 +362,13 @@
 	}
 }
 
-// TestSlowUpstream: one at a quarter of the pace is given less, and gets its
-// share back when it recovers.
+// TestSlowUpstream checks that an upstream with four times the median time per token gets fewer
+// slots, and all of them again after it recovers.
 func TestSlowUpstream(t *testing.T) {
 	is := is.New(t)
 	p := testPool(8, rule("c", 1, false))
 	p.SetBackends(0, []Backend{{Name: "a", Slots: 8}, {Name: "b", Slots: 8}, {Name: "slow", Slots: 8}})
-	pace := func(slow time.Duration) {
+	serveRequests := func(slow time.Duration) {
 		for i := range uint64(200) {
 			p.Offer(0, bid(10000+i, "c"))
 			for _, v := range p.Decide(0) {
@@ -376,7 +382,7 @@
 		p.refresh(0)
 	}
 	p.byName["slow"].sample(0.04)
-	pace(40 * time.Millisecond)
+	serveRequests(40 * time.Millisecond)
 	is.True(p.byName["slow"].limit <= 2)
 	for range 30 {
 		p.byName["slow"].sample(0.01)
@@ -385,7 +391,8 @@
 	is.Equal(p.byName["slow"].limit, 8)
 }
 
-// TestBreaker: failures in a row put an upstream out, a probe brings it back.
+// TestBreaker checks that consecutive failures open the circuit breaker and that a successful probe
+// closes it.
 func TestBreaker(t *testing.T) {
 	is := is.New(t)
 	p := testPool(4, rule("c", 1, false))
@@ -396,7 +403,7 @@
 		p.Release(0, i+1, Usage{Outcome: Failed})
 	}
 	p.Offer(0, bid(9, "c"))
-	is.Equal(len(p.Decide(100*time.Millisecond)), 0) // out
+	is.Equal(len(p.Decide(100*time.Millisecond)), 0) // breaker is open
 	is.Equal(len(p.Decide(2*time.Second)), 1)        // one probe
 	p.Offer(0, bid(10, "c"))
 	is.Equal(len(p.Decide(2*time.Second)), 0)
@@ -404,8 +411,8 @@
 	is.Equal(len(p.Decide(3*time.Second)), 1)
 }
 
-// TestPrefix: the upstream that holds the prefix is preferred; after a gap in its
-// events that is in doubt and no longer counts.
+// TestPrefix checks that the upstream with the cached prefix is preferred, that a gap in its cache
+// events clears the record, and that an upstream that is leaving gets no requests.
 func TestPrefix(t *testing.T) {
 	is := is.New(t)
 	p := testPool(4, rule("c", 1, false))
@@ -416,36 +423,37 @@
 	is.Equal(p.Decide(0)[0].Upstream, "b")
 	p.Release(0, 1, Usage{Tokens: 1})
 	p.Report(0, Report{Upstream: "b", Gap: true})
-	is.Equal(len(p.cached), 0)
+	is.Equal(len(p.prefixHolders), 0)
 	p.Report(0, Report{Upstream: "b", Leaving: true})
 	b.ID = 2
 	p.Offer(0, b)
-	is.Equal(p.Decide(0)[0].Upstream, "a") // and a leaving one gets nothing
+	is.Equal(p.Decide(0)[0].Upstream, "a") // b is leaving
 }
 
-// TestLearning: a new owner grants only what the reports show free.
+// TestLearning checks that a new owner grants only slots that reports show as free until the boxes
+// have listed their leases.
 func TestLearning(t *testing.T) {
 	is := is.New(t)
 	p := testPool(4, rule("c", 1, false))
 	p.Learn(0, []string{"other"})
 	p.Offer(0, bid(1, "c"))
-	is.Equal(len(p.Decide(0)), 0) // nothing is known
+	is.Equal(len(p.Decide(0)), 0) // no report has arrived
 	p.Report(0, Report{Upstream: "a", Running: 3})
 	is.Equal(len(p.Decide(0)), 1)
 	p.Offer(0, bid(2, "c"))
-	is.Equal(len(p.Decide(0)), 0) // the one free slot is gone
+	is.Equal(len(p.Decide(0)), 0) // the only slot reported free is in use
 	p.Adopt(0, "other", []HeldLease{{ID: 50, Upstream: "a", Class: "c", Customer: "x", Work: 5}}, nil)
 	is.Equal(len(p.Decide(0)), 1)
 	is.Equal(p.byName["a"].held+p.byName["b"].held, 3)
 }
 
-// TestDrainingByRefusal: an upstream that refuses a request because it is leaving
-// gets no other, before any report says so.
+// TestDrainingByRefusal checks that an upstream that refuses a request because it is leaving gets no
+// further requests, even before a report says so.
 func TestDrainingByRefusal(t *testing.T) {
 	is := is.New(t)
 	p := testPool(4, rule("c", 1, false))
 	p.Offer(0, bid(1, "c"))
-	gone := p.Decide(0)[0].Upstream
+	leaving := p.Decide(0)[0].Upstream
 	p.Release(0, 1, Usage{Outcome: Draining})
 	for i := range uint64(8) {
 		p.Offer(0, bid(10+i, "c"))
@@ -453,10 +461,12 @@
 	got := p.Decide(0)
 	is.Equal(len(got), 4)
 	for _, v := range got {
-		is.True(v.Upstream != gone)
+		is.True(v.Upstream != leaving)
 	}
 }
 
+// BenchmarkDecision measures one bid, release and decision with all slots in use and the given
+// number of waiting requests.
 func BenchmarkDecision(b *testing.B) {
 	for _, waiting := range []int{0, 1000, 10000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -1,33 +1,34 @@
 package decide
 
-// This file defines the waiting requests of one class: a fair queue over its
-// customers by tokens of work. The invariant: among customers that keep
-// requests waiting, the tokens granted differ by at most one request's work,
-// and within a customer the order is that of arrival.
+// This file defines the queue of one class: fair queueing over its customers by
+// tokens of work. The invariants: among customers with waiting requests, the granted
+// tokens differ by at most one request's work; the requests of one customer are
+// served in order of arrival.
 
 import "container/heap"
 
-// waiter is a request waiting in a pool. arrived lies before the moment of the
-// bid by what the request had waited already.
+// waiter is a request waiting in a pool. arrived is earlier than offered by the time
+// that the request had waited before its bid.
 type waiter struct {
 	bid     Bid
 	class   *classQueue
 	arrived Time
 	offered Time
 	target  Time // when the first token is due
-	expires Time // the earlier of what ends the wait; see expiry.go
-	index   int  // place in the expiry heap
-	late    bool // moved to the late line of its class
-	gone    bool // withdrawn, refused or granted; skipped when met
+	expires Time // next time that Pool.expire must handle the waiter: deadline or target
+	index   int  // position in the expiry heap, or -1
+	late    bool // missed its target and moved to the late queue of its class
+	removed bool // withdrawn, refused or granted; queues skip it
 }
 
-// line is a first-in first-out list that reuses its memory.
-type line struct {
+// fifo is a first-in, first-out queue of waiters that reuses its memory. It may still
+// contain waiters that were removed or moved to another queue.
+type fifo struct {
 	items []*waiter
 	head  int
 }
 
-func (l *line) push(w *waiter) {
+func (l *fifo) push(w *waiter) {
 	if l.head > 32 && l.head*2 > len(l.items) {
 		n := copy(l.items, l.items[l.head:])
 		clear(l.items[n:])
@@ -36,11 +37,12 @@
 	l.items = append(l.items, w)
 }
 
-// first returns the first waiter still there, or nil.
-func (l *line) first(late bool) *waiter {
+// first returns the oldest waiter that was not removed and has the given late flag,
+// or nil.
+func (l *fifo) first(late bool) *waiter {
 	for l.head < len(l.items) {
 		w := l.items[l.head]
-		if !w.gone && w.late == late {
+		if !w.removed && w.late == late {
 			return w
 		}
 		l.items[l.head] = nil
@@ -50,11 +52,12 @@
 	return nil
 }
 
-// last returns the newest waiter still there, or nil.
-func (l *line) last(late bool) *waiter {
+// last returns the newest waiter that was not removed and has the given late flag, or
+// nil.
+func (l *fifo) last(late bool) *waiter {
 	for len(l.items) > l.head {
 		w := l.items[len(l.items)-1]
-		if !w.gone && w.late == late {
+		if !w.removed && w.late == late {
 			return w
 		}
 		l.items = l.items[:len(l.items)-1]
@@ -62,19 +65,19 @@
 	return nil
 }
 
-// customerQueue is one customer's line within a class.
+// customerQueue holds the waiting requests of one customer in a class.
 type customerQueue struct {
-	name  string
-	vtime float64 // tokens granted, moved up to the least of the class on return
-	line  line
-	index int // place in the class's heap, -1 when not waiting
+	name        string
+	virtualTime float64 // granted tokens; raised to the minimum of the active customers on return
+	queue       fifo
+	index       int // position in the heap of the class, or -1 if no request waits
 }
 
-// customerHeap orders the customers that wait by the tokens they have had.
+// customerHeap orders customers with waiting requests by virtual time.
 type customerHeap []*customerQueue
 
 func (h customerHeap) Len() int           { return len(h) }
-func (h customerHeap) Less(i, j int) bool { return h[i].vtime < h[j].vtime }
+func (h customerHeap) Less(i, j int) bool { return h[i].virtualTime < h[j].virtualTime }
 func (h customerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
@@ -93,28 +96,29 @@
 	return q
 }
 
-// lateShare is how many requests that can still meet their target go before
-// one that has missed it. Serving the missed ones first would make a queue that
-// is once behind miss for ever; never serving them would starve them.
-const lateShare = 3
+// onTimePerLate is how many requests that can still meet their targets are served
+// for each one that has missed its target. If late requests were served first, a
+// queue that falls behind once would miss its targets forever; if they were never
+// served, they would starve.
+const onTimePerLate = 3
 
-// classQueue holds what of one class waits and runs in a pool.
+// classQueue holds the waiting requests and the leases of one class in a pool.
 type classQueue struct {
-	rule      Rule
-	vtime     float64 // tokens granted over weight
-	credit    float64 // tokens owed to the class by its floor
-	customers map[string]*customerQueue
-	active    customerHeap
-	targets   targetHeap // all that wait on time
-	late      line
-	onTime    int // granted on time since the last late one
-	waiting   int
-	lateCount int
-	work      float64 // tokens of what waits
-	running   int
-	pausing   int // of the running, those whose pause is ordered
-	visitors  int // of the waiting, those from other failure domains
-	leases    []*lease
+	rule                    Rule
+	virtualTime             float64 // granted tokens divided by weight
+	credit                  float64 // tokens that the floor owes to the class
+	customers               map[string]*customerQueue
+	active                  customerHeap // customers with waiting requests
+	targets                 targetHeap   // waiting requests that have not missed their targets
+	late                    fifo
+	onTimeGrants            int // grants of requests on time since the last late one
+	waiting                 int
+	lateCount               int
+	work                    float64 // tokens of the waiting requests
+	running                 int
+	pausing                 int // running requests with a pause order
+	waitingFromOtherDomains int // waiting requests from other failure domains
+	leases                  []*lease
 }
 
 func newClassQueue(rule Rule) *classQueue {
@@ -129,12 +133,12 @@
 	}
 	if q.index < 0 {
 		if len(c.active) > 0 {
-			q.vtime = max(q.vtime, c.active[0].vtime)
+			q.virtualTime = max(q.virtualTime, c.active[0].virtualTime)
 		}
 		heap.Push(&c.active, q)
 	}
-	q.line.push(w)
-	for len(c.targets) > 0 && (c.targets[0].gone || c.targets[0].late) {
+	q.queue.push(w)
+	for len(c.targets) > 0 && (c.targets[0].removed || c.targets[0].late) {
 		heap.Pop(&c.targets)
 	}
 	heap.Push(&c.targets, w)
@@ -142,9 +146,10 @@
 	c.work += w.bid.Work
 }
 
-// forget drops a waiter from the counts; the lines skip it when they meet it.
-func (c *classQueue) forget(w *waiter) {
-	w.gone = true
+// removeWaiter removes a waiter from the counts and marks it removed, so that the
+// queues skip it.
+func (c *classQueue) removeWaiter(w *waiter) {
+	w.removed = true
 	c.waiting--
 	c.work -= w.bid.Work
 	if w.late {
@@ -155,22 +160,22 @@
 	}
 }
 
-// delay moves a waiter that has missed its target to the late line.
-func (c *classQueue) delay(w *waiter) {
+// markLate moves a waiter that has missed its target to the late queue.
+func (c *classQueue) markLate(w *waiter) {
 	w.late = true
 	c.lateCount++
 	c.late.push(w)
 }
 
-// head returns the request that is next in this class, or nil.
+// head returns the next request of the class, or nil.
 func (c *classQueue) head() *waiter {
-	if c.lateCount > 0 && (c.onTime >= lateShare || c.lateCount == c.waiting) {
+	if c.lateCount > 0 && (c.onTimeGrants >= onTimePerLate || c.lateCount == c.waiting) {
 		if w := c.late.first(true); w != nil {
 			return w
 		}
 	}
 	for len(c.active) > 0 {
-		if w := c.active[0].line.first(false); w != nil {
+		if w := c.active[0].queue.first(false); w != nil {
 			return w
 		}
 		heap.Pop(&c.active)
@@ -178,71 +183,73 @@
 	return c.late.first(true)
 }
 
-// urgent counts, up to most, the requests from place i of the heap on that can
-// still meet their targets but have little more than half of their time left. A
-// request's heirs in the heap are no more urgent than itself, so only urgent
-// ones are looked at.
+// urgent returns the number, at most most, of requests in the subtree at index i of
+// the target heap that can still meet their targets but have at most half of the
+// target time left. The children in the heap are no more urgent than their parent, so
+// the search visits only urgent requests and their children.
 func (c *classQueue) urgent(now Time, i, most int) int {
 	if i >= len(c.targets) || most <= 0 || c.targets[i].target-now > c.rule.FirstToken/2 {
 		return 0
 	}
 	n := 0
-	if w := c.targets[i]; !w.gone && !w.late && now < w.target {
+	if w := c.targets[i]; !w.removed && !w.late && now < w.target {
 		n = 1
 	}
 	n += c.urgent(now, 2*i+1, most-n)
 	return n + c.urgent(now, 2*i+2, most-n)
 }
 
-// tail returns the request that gives way first, or nil: of the customer
-// furthest ahead of its share, the newest.
+// tail returns the request to evict first, or nil: the newest late one, or else the
+// newest one of a customer with high virtual time.
 func (c *classQueue) tail() *waiter {
 	if w := c.late.last(true); w != nil {
 		return w
 	}
 	for i := len(c.active) - 1; i >= 0; i-- {
-		if w := c.active[i].line.last(false); w != nil {
+		if w := c.active[i].queue.last(false); w != nil {
 			return w
 		}
 	}
 	return nil
 }
 
-// granted charges the class and the customer for a request that leaves the
-// queue to run.
-func (c *classQueue) granted(w *waiter) {
+// chargeGrant removes a waiter that was granted a slot and charges its work to the
+// class and the customer.
+func (c *classQueue) chargeGrant(w *waiter) {
 	if w.late {
-		c.onTime = 0
+		c.onTimeGrants = 0
 	} else {
-		c.onTime++
+		c.onTimeGrants++
 	}
-	c.forget(w)
-	c.vtime += w.bid.Work / c.rule.Weight
+	c.removeWaiter(w)
+	c.virtualTime += w.bid.Work / c.rule.Weight
 	q := c.customers[w.bid.Customer]
-	q.vtime += w.bid.Work
+	q.virtualTime += w.bid.Work
 	if q.index >= 0 {
 		heap.Fix(&c.active, q.index)
 	}
 	c.running++
 }
 
-// settle corrects the charge once the true length of an answer is known.
-func (c *classQueue) settle(customer string, difference float64) {
-	c.vtime += difference / c.rule.Weight
+// adjustCharge corrects the charge by the difference between the actual and the
+// expected number of tokens.
+func (c *classQueue) adjustCharge(customer string, difference float64) {
+	c.virtualTime += difference / c.rule.Weight
 	if q := c.customers[customer]; q != nil {
-		q.vtime += difference
+		q.virtualTime += difference
 		if q.index >= 0 {
 			heap.Fix(&c.active, q.index)
 		}
 	}
 }
 
-// backlogged reports whether a request of the class waits and may run.
+// backlogged reports whether the class has a waiting request and is below its
+// concurrency limit.
 func (c *classQueue) backlogged() bool {
 	return c.waiting > 0 && (c.rule.Concurrency == 0 || c.running < c.rule.Concurrency)
 }
 
-// targetHeap orders waiters by their targets.
+// targetHeap orders waiters by target.
 type targetHeap []*waiter
 
 func (h targetHeap) Len() int           { return len(h) }
@@ -257,7 +264,7 @@
 	return w
 }
 
-// expiryHeap orders waiters by when something has to be done about them.
+// expiryHeap orders waiters by their expires field.
 type expiryHeap []*waiter
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/decide/refuse.go
+++ b/decide/refuse.go
@@ -1,15 +1,16 @@
 package decide
 
-// This file defines when a request is refused, and what a refusal says. The
-// invariant: nothing of a lower tier that could have given way is left, which the
-// refusal itself gives evidence of.
+// This file defines when a request is refused and what the refusal contains. The
+// invariant: no request of a lower tier could have given way instead. Each refusal
+// carries the counts that prove it.
 
 import (
 	"container/heap"
 	"time"
 )
 
-// fitQueues refuses the newest of what waits beyond limits that were lowered.
+// fitQueues refuses requests of classes whose queue limit was lowered below the
+// number of waiting requests.
 func (p *Pool) fitQueues(now Time) {
 	for _, c := range p.classes {
 		for c.rule.Queue > 0 && c.waiting > c.rule.Queue {
@@ -18,8 +19,8 @@
 	}
 }
 
-// admit says why a new bid cannot wait here, or NoReason. A request that comes
-// back after a pause was admitted before and is not asked again.
+// admit returns the reason why a new bid cannot wait here, or NoReason. A request that
+// resumes after a pause was admitted before and is always accepted.
 func (p *Pool) admit(now Time, w *waiter) Reason {
 	rule := &w.class.rule
 	if w.bid.Resume != "" {
@@ -31,14 +32,14 @@
 	if p.cfg.Queue > 0 && len(p.waiting) >= p.cfg.Queue && !p.evict(now, rule.Tier) {
 		return QueueFull
 	}
-	if rule.Refuse && !p.inTime(now, w) {
+	if rule.Refuse && !p.canMeetTarget(now, w) {
 		return Late
 	}
 	return NoReason
 }
 
-// evict refuses one request of a tier lower than tier, the lowest there is, and
-// reports whether there was one.
+// evict refuses one waiting request of the lowest tier below tier, and reports whether
+// there was one.
 func (p *Pool) evict(now Time, tier int) bool {
 	for i := len(p.classes) - 1; i >= 0 && p.classes[i].rule.Tier > tier; i-- {
 		if c := p.classes[i]; c.waiting > 0 {
@@ -49,9 +50,9 @@
 	return false
 }
 
-// inTime reports whether a new request can still meet its first-token target.
-// While something of a lower tier runs that could be paused for it, it can.
-func (p *Pool) inTime(now Time, w *waiter) bool {
+// canMeetTarget reports whether a new request can still meet its first-token target.
+// It can if enough running requests of lower tiers could be paused for it.
+func (p *Pool) canMeetTarget(now Time, w *waiter) bool {
 	limit := p.waitLimit(w.class)
 	if now-w.arrived >= limit {
 		return false
@@ -68,18 +69,19 @@
 	return now-w.arrived+p.expectedWait(now, w.class) <= limit
 }
 
-// waitLimit is how long a request of the class may wait and still have its first
-// token in time. An upstream's own time for that is taken off, but never more
-// than half, so that a slow upstream does not close the class.
+// waitLimit returns how long a request of the class may wait and still get its first
+// token in time. The upstream's average time to first token is subtracted, but at most
+// half of the target, so that a slow upstream does not cause the class to be refused
+// altogether.
 func (p *Pool) waitLimit(c *classQueue) time.Duration {
-	return c.rule.FirstToken - min(p.first, c.rule.FirstToken/2)
+	return c.rule.FirstToken - min(p.timeToFirstToken, c.rule.FirstToken/2)
 }
 
-// expectedWait is how long a new request of the class would wait: what is ahead
-// of it in higher tiers and, by the class's share, in its own, over the pace at
-// which the pool gets through work.
+// expectedWait estimates how long a new request of the class would wait: the work
+// ahead of it in higher tiers and, by the class's share, in its own tier, divided by
+// the pool's token rate.
 func (p *Pool) expectedWait(now Time, class *classQueue) time.Duration {
-	p.freshen(now)
+	p.refreshIfStale(now)
 	higher, same, weights := 0.0, 0.0, 0.0
 	for _, c := range p.classes {
 		switch {
@@ -93,14 +95,14 @@
 	own := class.work * weights / class.rule.Weight
 	seconds := (higher + min(same, own)) / p.rate
 	if class.rule.Floor > 0 {
-		// Whatever the tiers do, the floor gets through the class's own work.
+		// The floor serves the class's own work regardless of the tiers.
 		seconds = min(seconds, class.work/(class.rule.Floor*p.rate))
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// schedule files when something has to be done about a waiter: its caller's
-// deadline passes, or its target does.
+// schedule sets when a waiter must be handled next: at the caller's deadline or at its
+// target, whichever is earlier.
 func (p *Pool) schedule(w *waiter) {
 	w.target = w.arrived + p.waitLimit(w.class)
 	w.expires = never
@@ -117,7 +119,9 @@
 	}
 }
 
-// expire deals with the waiters whose moment has come.
+// expire handles the waiters that are due. Requests past their deadlines are refused,
+// and so are those past their targets if the class refuses late requests; others move
+// to the late queue.
 func (p *Pool) expire(now Time) {
 	for len(p.expiry) > 0 && p.expiry[0].expires <= now {
 		w := p.expiry[0]
@@ -127,19 +131,19 @@
 			continue
 		}
 		heap.Pop(&p.expiry)
-		w.class.delay(w)
+		w.class.markLate(w)
 		p.schedule(w)
 	}
 }
 
-// refuseNew refuses a bid that was never let in. One whose target passes before
-// anything could give way for it is late by itself, so it needs no evidence.
+// refuseNew refuses a bid that is not in the queue. If its target passes before any
+// running request could have given way, no lower-tier counts are recorded.
 func (p *Pool) refuseNew(now Time, w *waiter, reason Reason) {
 	v := Verdict{Kind: RefuseBid, ID: w.bid.ID, Box: w.bid.Box, Class: w.bid.Class, Reason: reason}
 	if w.class != nil {
 		v.Tier = w.class.rule.Tier
-		if now < w.target || now-max(w.offered, p.learnt) >= giveWayTime {
-			p.evidence(now, &v)
+		if now < w.target || now-max(w.offered, p.lastAdopted) >= preemptTime {
+			p.countPreemptible(now, &v)
 		}
 		v.RetryAfter = p.retryAfter(now, w.class)
 	} else {
@@ -148,15 +152,16 @@
 	p.verdicts = append(p.verdicts, v)
 }
 
-// refuse refuses a request that waits.
+// refuse removes a waiting request and refuses it.
 func (p *Pool) refuse(now Time, w *waiter, reason Reason) {
-	w.class.forget(w)
-	p.drop(w)
+	w.class.removeWaiter(w)
+	p.removeWaiter(w)
 	p.refuseNew(now, w, reason)
 }
 
-// evidence counts what of a lower tier could have given way to w.
-func (p *Pool) evidence(now Time, v *Verdict) {
+// countPreemptible sets the numbers of lower-tier requests that could have given way
+// to the refused request.
+func (p *Pool) countPreemptible(now Time, v *Verdict) {
 	switch v.Reason {
 	case QueueFull, Evicted:
 		for _, c := range p.classes {
@@ -171,16 +176,16 @@
 				ahead += c.waiting
 			}
 		}
-		v.LowerRunning = max(0, p.pausable(v.Tier)-p.recent(now, v.Tier)-ahead)
+		v.LowerRunning = max(0, p.pausable(v.Tier)-p.recentlyGranted(now, v.Tier)-ahead)
 	}
 }
 
-// retryAfter tells a caller when to come back: once what waits now will have
-// been worked off, with jitter so that those refused together do not return
-// together.
+// retryAfter returns when a refused caller should retry: after the expected wait of
+// the class, or when the first paused upstream returns. Jitter of up to half of that
+// time prevents callers that were refused together from retrying together.
 func (p *Pool) retryAfter(now Time, class *classQueue) time.Duration {
 	wait := max(p.expectedWait(now, class), time.Second)
-	if left := p.pauseLeft(now); left > 0 {
+	if left := p.remainingPause(now); left > 0 {
 		wait = left
 	}
 	return wait + time.Duration(p.random.Float64()*float64(wait)/2)
--- a/decide/rendezvous.go
+++ b/decide/rendezvous.go
@@ -1,8 +1,9 @@
 package decide
 
-// This file defines who owns what: the box with the highest hash of its name
-// and the owned thing's. The invariant: boxes with the same list agree without
-// a word, and a box that joins or goes moves only what it gains or held.
+// This file defines ownership by rendezvous hashing: a key belongs to the box with the
+// highest combined hash of key and box name. The invariants: boxes with the same list
+// agree on the owner without communication; a box that joins or leaves moves only the
+// keys that it gains or owned.
 
 import "github.com/cespare/xxhash/v2"
 
@@ -18,8 +19,8 @@
 	return owner
 }
 
-// Rank returns how many boxes come before box in the order of key: 0 for the
-// owner, 1 for who would be next.
+// Rank returns how many boxes come before box in the rendezvous order of key: 0 for the
+// owner, 1 for the box that would own the key next.
 func Rank(key, box string, boxes []string) int {
 	own, rank := weight(key, box), 0
 	for _, b := range boxes {
@@ -30,6 +31,7 @@
 	return rank
 }
 
+// weight returns the combined hash of key and box.
 func weight(key, box string) uint64 {
 	return mix(xxhash.Sum64String(key) ^ mix(xxhash.Sum64String(box)))
 }
@@ -42,8 +44,9 @@
 	return x ^ x>>31
 }
 
-// RequestID makes the id of a box's request from a running number. It is never 0,
-// and no other incarnation of a box makes it but by a collision of 64-bit hashes.
+// RequestID returns the ID of the box's request with the given sequence number. It is
+// never 0, and IDs of other boxes or incarnations differ except for collisions of
+// 64-bit hashes.
 func RequestID(box string, boot, number uint64) uint64 {
 	if id := mix(mix(xxhash.Sum64String(box)^mix(boot)) + number); id != 0 {
 		return id
--- a/decide/renew.go
+++ b/decide/renew.go
@@ -1,8 +1,8 @@
 package decide
 
-// This file defines how leases and bids are renewed: a holder sums up what it has,
-// and lists it where the sums differ. The invariant: what a holder lists is true,
-// but for what is on its way.
+// This file defines how leases and bids are renewed. A holder sends a summary of its
+// leases and bids, and the full list if the summary differs from the pool's. The
+// invariant: a holder's list is correct except for messages in transit.
 
 import (
 	"cmp"
@@ -10,31 +10,34 @@
 	"time"
 )
 
-// ledger sums up the leases of one box, for comparison with its own count.
+// ledger summarizes the leases and bids of one box, for comparison with the box's own
+// summary.
 type ledger struct {
 	count         int
 	digest        uint64
 	waiting       int
 	waitingDigest uint64
-	mismatch      int
-	heard         Time // when the box last gave a sign of its leases
+	mismatches    int  // consecutive summaries that differed
+	lastRenewed   Time // when the box last confirmed its leases
 }
 
-// Learn makes the pool grant only what the upstreams' own reports show free,
-// until each of the boxes has said what it holds or the time for it is over. It
-// is called when the ownership of the pool comes to this box.
+// StartLearning starts the learning period when this box becomes the owner of the
+// pool. Until all of the given boxes have listed their leases or PoolConfig.Learn has
+// passed, the pool grants only slots that the upstreams' own reports show as free.
 func (p *Pool) Learn(now Time, boxes []string) {
-	p.learnEnd = now + p.cfg.Learn
-	clear(p.unheard)
+	p.learnUntil = now + p.cfg.Learn
+	clear(p.pendingBoxes)
 	for _, b := range boxes {
-		p.unheard[b] = true
+		p.pendingBoxes[b] = true
 	}
 }
 
+// learning reports whether the learning period of a new owner is in progress.
 func (p *Pool) learning(now Time) bool {
-	return len(p.unheard) > 0 && now < p.learnEnd
+	return len(p.pendingBoxes) > 0 && now < p.learnUntil
 }
 
+// ledger returns the ledger of a box and creates it if necessary.
 func (p *Pool) ledger(box string) *ledger {
 	g := p.ledgers[box]
 	if g == nil {
@@ -44,20 +47,20 @@
 	return g
 }
 
-// Expire ends the leases and drops the bids of boxes that have not renewed them
-// for life, and returns those boxes.
+// Expire ends the leases and removes the bids of boxes that have not renewed them for
+// life. It returns those boxes, sorted by name.
 func (p *Pool) Expire(now Time, life time.Duration) []string {
-	var gone []string
+	var expired []string
 	for box, g := range p.ledgers {
-		if now-g.heard > life && !p.unheard[box] {
-			gone = append(gone, box)
+		if now-g.lastRenewed > life && !p.pendingBoxes[box] {
+			expired = append(expired, box)
 		}
 	}
-	slices.Sort(gone)
-	for _, box := range gone {
+	slices.Sort(expired)
+	for _, box := range expired {
 		p.RemoveBox(box)
 	}
-	return gone
+	return expired
 }
 
 func (g *ledger) add(id uint64) {
@@ -70,7 +73,7 @@
 	g.digest ^= id
 }
 
-// HeldLease is a lease as its holder lists it.
+// HeldLease is a lease as listed by its holder.
 type HeldLease struct {
 	ID       uint64
 	Upstream string
@@ -80,32 +83,34 @@
 	Attempt  uint32
 }
 
-// LeaseSummary is a holder's own account of its leases and bids in a pool.
+// LeaseSummary summarizes a holder's leases and bids in a pool.
 type LeaseSummary struct {
 	Count         int
-	Digest        uint64 // exclusive-or of the ids
+	Digest        uint64 // exclusive or of the lease IDs
 	WaitingCount  int
-	WaitingDigest uint64
+	WaitingDigest uint64 // exclusive or of the bid IDs
 }
 
-// Renew renews a holder's leases and reports whether it should send the full
-// list, because its account differs from the pool's. One difference may be a
-// message on its way; two are not.
+// Renew renews a holder's leases and reports whether the holder should send the full
+// list. A single difference from the pool's summary may be due to a message in transit,
+// so the list is requested only after two consecutive ones, or while this pool is
+// still learning the box's leases.
 func (p *Pool) Renew(now Time, box string, sum LeaseSummary) bool {
 	g := p.ledger(box)
-	g.heard = now
-	if p.unheard[box] {
+	g.lastRenewed = now
+	if p.pendingBoxes[box] {
 		return true
 	}
 	if (LeaseSummary{g.count, g.digest, g.waiting, g.waitingDigest}) == sum {
-		g.mismatch = 0
+		g.mismatches = 0
 		return false
 	}
-	g.mismatch++
-	return g.mismatch >= 2
+	g.mismatches++
+	return g.mismatches >= 2
 }
 
-// Adopt takes a holder's full list as the truth about its leases.
+// Adopt updates the leases and bids of a box to match the holder's full list. Recent
+// ones that are missing in the list are kept for adoptGrace.
 func (p *Pool) Adopt(now Time, box string, list []HeldLease, waiting []uint64) {
 	listed := make(map[uint64]bool, len(list))
 	for _, h := range list {
@@ -113,29 +118,30 @@
 		p.adoptOne(now, box, h)
 	}
 	for _, l := range p.sortedLeases(box) {
-		if !listed[l.id] && now-l.granted > settleTime {
-			p.end(l)
+		if !listed[l.id] && now-l.granted > adoptGrace {
+			p.endLease(l)
 		}
 	}
 	wanted := make(map[uint64]bool, len(waiting))
 	for _, id := range waiting {
 		wanted[id] = true
 	}
-	for _, w := range p.sortedWaiting(box) {
-		if !wanted[w.bid.ID] && now-w.offered > settleTime {
-			w.class.forget(w)
-			p.drop(w)
+	for _, w := range p.sortedWaiters(box) {
+		if !wanted[w.bid.ID] && now-w.offered > adoptGrace {
+			w.class.removeWaiter(w)
+			p.removeWaiter(w)
 		}
 	}
 	g := p.ledger(box)
-	g.mismatch, g.heard = 0, now
-	delete(p.unheard, box)
+	g.mismatches, g.lastRenewed = 0, now
+	delete(p.pendingBoxes, box)
 }
 
+// adoptOne records a listed lease that the pool does not know.
 func (p *Pool) adoptOne(now Time, box string, h HeldLease) {
 	class, b := p.byClass[h.Class], p.byName[h.Upstream]
 	if l := p.leases[h.ID]; l != nil && h.Attempt > l.attempt {
-		p.end(l)
+		p.endLease(l)
 	}
 	if p.leases[h.ID] != nil || class == nil || b == nil {
 		return
@@ -144,31 +150,31 @@
 		if w.bid.Attempt > h.Attempt {
 			return // the list is older than the bid
 		}
-		class.forget(w)
-		p.drop(w)
+		class.removeWaiter(w)
+		p.removeWaiter(w)
 	}
 	l := &lease{id: h.ID, box: box, class: class, customer: h.Customer, backend: b, work: h.Work, granted: now, attempt: h.Attempt}
 	class.running++
-	p.learnt = now
-	p.hold(now, l)
+	p.lastAdopted = now
+	p.addLease(now, l)
 }
 
-// RemoveBox drops what a dead box held and waited for. Its connections to the
-// upstreams died with it.
+// RemoveBox ends the leases and removes the bids of a box that has died. Its connections
+// to the upstreams are closed.
 func (p *Pool) RemoveBox(box string) {
 	for _, l := range p.sortedLeases(box) {
-		p.end(l)
+		p.endLease(l)
 	}
-	for _, w := range p.sortedWaiting(box) {
-		w.class.forget(w)
-		p.drop(w)
+	for _, w := range p.sortedWaiters(box) {
+		w.class.removeWaiter(w)
+		p.removeWaiter(w)
 	}
 	delete(p.ledgers, box)
-	delete(p.unheard, box)
+	delete(p.pendingBoxes, box)
 }
 
-// sortedLeases lists the leases of a box by their ids: sums of work come out the
-// same in every run only if they are added in one order.
+// sortedLeases returns the leases of a box, sorted by ID. A fixed order makes the sums
+// of work reproducible.
 func (p *Pool) sortedLeases(box string) []*lease {
 	var out []*lease
 	for _, l := range p.leases {
@@ -180,8 +186,9 @@
 	return out
 }
 
-// sortedWaiting lists what waits of a box, or of all if box is empty, by id.
-func (p *Pool) sortedWaiting(box string) []*waiter {
+// sortedWaiters returns the waiters of a box, or of all boxes if box is empty, sorted by
+// ID.
+func (p *Pool) sortedWaiters(box string) []*waiter {
 	var out []*waiter
 	for _, w := range p.waiting {
 		if box == "" || w.bid.Box == box {
--- a/decide/small_test.go
+++ b/decide/small_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestSharesNeverExceed lends between boxes at random, over lost loans and clocks
-// that run on: what all may use together never exceeds the limit.
-func TestSharesNeverExceed(t *testing.T) {
+// TestSharesStayWithinLimit makes random loans between boxes, some of them lost or delayed, and
+// checks that the sum of the effective shares never exceeds the limit.
+func TestSharesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		boxes := rapid.IntRange(1, 6).Draw(rt, "boxes")
 		limit := float64(rapid.IntRange(1, 20).Draw(rt, "limit"))
@@ -44,15 +44,15 @@
 				sum += s.effective(now)
 			}
 			if sum > limit+1e-9 {
-				rt.Fatalf("boxes may use %g together, the limit is %g", sum, limit)
+				rt.Fatalf("effective shares add up to %g, limit is %g", sum, limit)
 			}
 		}
 	})
 }
 
-// TestRateNeverExceeds: over any time, the boxes admit at most the rate times the
-// time and one request each.
-func TestRateNeverExceeds(t *testing.T) {
+// TestRateStaysWithinLimit checks that in any period the boxes admit at most the rate times the
+// period, plus the burst and one request per box.
+func TestRateStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		boxes := rapid.IntRange(1, 5).Draw(rt, "boxes")
 		limit := float64(rapid.IntRange(1, 50).Draw(rt, "limit"))
@@ -68,13 +68,13 @@
 				admitted++
 			}
 			if most := limit*now.Seconds() + limit*burstSeconds + float64(boxes); float64(admitted) > most {
-				rt.Fatalf("%d admitted in %v, at most %g allowed", admitted, now, most)
+				rt.Fatalf("%d requests admitted in %v, want at most %g", admitted, now, most)
 			}
 		}
 	})
 }
 
-func TestPartsAddUp(t *testing.T) {
+func TestShareSizesAddUp(t *testing.T) {
 	for boxes := 1; boxes <= 9; boxes++ {
 		for limit := 0; limit <= 30; limit++ {
 			sum := 0.0
@@ -82,13 +82,14 @@
 				sum += ShareSize(ConcurrencyLimit, float64(limit), boxes, rank)
 			}
 			if sum != float64(limit) {
-				t.Errorf("parts of %d among %d add up to %g", limit, boxes, sum)
+				t.Errorf("shares of a limit of %d among %d boxes add up to %g", limit, boxes, sum)
 			}
 		}
 	}
 }
 
-// TestClaims holds the edges of each assumption.
+// TestClaims checks the verdict on a claim on both sides of each assumption about clocks, lists of
+// boxes and incarnations.
 func TestClaims(t *testing.T) {
 	const wall = 1_800_000_000 * time.Second
 	dated := func(at time.Duration) Key {
@@ -104,75 +105,75 @@
 		do   func(c *Claims) ClaimVerdict
 		want ClaimVerdict
 	}{
-		{"dated, agreed on long before", func(c *Claims) ClaimVerdict {
+		{"dated key issued long after the list was agreed on", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			return c.Claim(0, wall+10*time.Second, dated(wall+9*time.Second), "b", 1, true)
 		}, ClaimGranted},
-		{"dated, issued before this box could know", func(c *Claims) ClaimVerdict {
+		{"dated key issued within the margin after the agreement", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			return c.Claim(0, wall+10*time.Second, dated(wall+time.Second), "b", 1, true)
 		}, ClaimUnvouched},
-		{"dated, just past the margin", func(c *Claims) ClaimVerdict {
+		{"dated key issued just after the margin", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			return c.Claim(0, wall+10*time.Second, dated(wall+MaxSkew+c.margin+time.Millisecond), "b", 1, true)
 		}, ClaimGranted},
-		{"dated, just at the margin", func(c *Claims) ClaimVerdict {
+		{"dated key issued exactly at the margin", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			return c.Claim(0, wall+10*time.Second, dated(wall+MaxSkew+c.margin), "b", 1, true)
 		}, ClaimUnvouched},
-		{"dated, from a clock further ahead than allowed", func(c *Claims) ClaimVerdict {
+		{"dated key issued more than MaxSkew in the future", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			return c.Claim(0, wall+10*time.Second, dated(wall+10*time.Second+MaxSkew+time.Millisecond), "b", 1, true)
 		}, ClaimUnvouched},
-		{"dated, too old", func(c *Claims) ClaimVerdict {
+		{"dated key older than KeyLife", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			return c.Claim(0, wall+time.Hour, dated(wall+time.Minute), "b", 1, true)
 		}, ClaimUnvouched},
-		{"dated, while a listed box is missed", func(c *Claims) ClaimVerdict {
+		{"dated key while a listed box is unreachable", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			return c.Claim(0, wall+10*time.Second, dated(wall+9*time.Second), "b", 1, false)
 		}, ClaimUnvouched},
-		{"dated, of another domain", func(c *Claims) ClaimVerdict {
+		{"dated key of another failure domain", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			k := dated(wall + 9*time.Second)
 			k.Domain = "other"
 			return c.Claim(0, wall+10*time.Second, k, "b", 1, true)
 		}, ClaimElsewhere},
-		{"after a pause", func(c *Claims) ClaimVerdict {
+		{"dated key after the recorded lists were discarded", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			c.Forget()
 			c.Observe(wall+9*time.Second, alone, true)
 			return c.Claim(0, wall+10*time.Second, dated(wall+9*time.Second), "b", 1, true)
 		}, ClaimUnvouched},
-		{"the same key again", func(c *Claims) ClaimVerdict {
+		{"same key claimed by a second request", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			k := dated(wall + 9*time.Second)
 			c.Claim(0, wall+10*time.Second, k, "b", 1, true)
 			return c.Claim(0, wall+10*time.Second, k, "b", 2, true)
 		}, ClaimDuplicate},
-		{"the same request asks again", func(c *Claims) ClaimVerdict {
+		{"claim repeated by the same request", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			k := dated(wall + 9*time.Second)
 			c.Claim(0, wall+10*time.Second, k, "b", 1, true)
 			return c.Claim(0, wall+10*time.Second, k, "b", 1, true)
 		}, ClaimGranted},
-		{"given back", func(c *Claims) ClaimVerdict {
+		{"key released by the first request", func(c *Claims) ClaimVerdict {
 			c.Observe(wall, alone, true)
 			k := dated(wall + 9*time.Second)
 			c.Claim(0, wall+10*time.Second, k, "b", 1, true)
 			c.Release(k, "b", 1)
 			return c.Claim(0, wall+10*time.Second, k, "b", 2, true)
 		}, ClaimGranted},
-		{"minted here, seen by none of the others", func(c *Claims) ClaimVerdict {
+		{"minted key while other boxes are unreachable", func(c *Claims) ClaimVerdict {
 			k, _ := ParseKey(c.Mint(time.Second))
 			return c.Claim(2*time.Second, wall, k, "b", 1, false)
 		}, ClaimGranted},
-		{"minted by an earlier incarnation", func(*Claims) ClaimVerdict {
+		{"minted key of an earlier incarnation", func(*Claims) ClaimVerdict {
 			old := NewClaims("d", "b", 1, time.Second)
 			k, _ := ParseKey(old.Mint(time.Second))
 			return NewClaims("d", "b", 2, time.Second).Claim(2*time.Second, wall, k, "b", 1, true)
 		}, ClaimElsewhere},
-		{"minted too long ago", func(c *Claims) ClaimVerdict {
+		{"minted key older than KeyLife", func(c *Claims) ClaimVerdict {
 			k, _ := ParseKey(c.Mint(time.Second))
 			return c.Claim(2*time.Second+KeyLife, wall, k, "b", 1, true)
 		}, ClaimUnvouched},
@@ -187,7 +188,7 @@
 func TestParseKey(t *testing.T) {
 	for _, text := range []string{"", "dmd1:d:x:n", "dmd1:d:1", "dmk1:d:b:zz:1:n", "dmd1:d:-1:n"} {
 		if _, err := ParseKey(text); err == nil {
-			t.Errorf("key %q is taken", text)
+			t.Errorf("ParseKey(%q) succeeded, want an error", text)
 		}
 	}
 }
@@ -198,7 +199,7 @@
 	f.Add("plain")
 	f.Fuzz(func(t *testing.T, text string) {
 		if k, err := ParseKey(text); err == nil && k.Text != text {
-			t.Errorf("key %q became %q", text, k.Text)
+			t.Errorf("ParseKey(%q) returned a key with text %q", text, k.Text)
 		}
 	})
 }
@@ -210,12 +211,12 @@
 		edit func(*Failure)
 		want Reason
 	}{
-		{"did not run", func(*Failure) {}, NoReason},
-		{"did not run, not repeatable", func(f *Failure) { f.Repeatable = false }, NoReason},
+		{"has not run", func(*Failure) {}, NoReason},
+		{"has not run, not repeatable", func(f *Failure) { f.Repeatable = false }, NoReason},
 		{"may have run, not repeatable", func(f *Failure) { f.Repeatable, f.MayHaveRun = false, true }, UpstreamFailed},
 		{"may have run, repeatable", func(f *Failure) { f.MayHaveRun = true }, NoReason},
-		{"delivered in part, resumable", func(f *Failure) { f.MayHaveRun, f.Delivered = true, 5 }, NoReason},
-		{"delivered in part, not resumable", func(f *Failure) { f.MayHaveRun, f.Delivered, f.Resumable = true, 5, false }, UpstreamFailed},
+		{"partially delivered, resumable", func(f *Failure) { f.MayHaveRun, f.Delivered = true, 5 }, NoReason},
+		{"partially delivered, not resumable", func(f *Failure) { f.MayHaveRun, f.Delivered, f.Resumable = true, 5, false }, UpstreamFailed},
 		{"deadline passed", func(f *Failure) { f.TimeLeft = false }, Late},
 		{"too many attempts", func(f *Failure) { f.Attempts = maxAttempts }, RetriesSpent},
 	} {
@@ -239,18 +240,18 @@
 	for b.Spend() {
 		n++
 	}
-	if n > retryBurst+100*retryShare+1 {
-		t.Errorf("%d retries for 100 attempts", n)
+	if n > retryBurst+100*retryRatio+1 {
+		t.Errorf("%d retries for 100 attempts exceed the budget", n)
 	}
 }
 
-// Each life of each box allowed a class the whole burst of retries, so that a class had as many bursts as boxes, and another for each
-// start. Found by reading, after an incident of the other boxes' budgets.
-func TestTheBurstOfRetriesIsSharedByAllBoxes(t *testing.T) {
+// TestRetryBurstIsSharedByBoxes guards against a burst of retries per box: each start of each box
+// granted a class the whole burst, so that the retries grew with the number of boxes and restarts.
+func TestRetryBurstIsSharedByBoxes(t *testing.T) {
 	const boxes, attempts, restarts = 5, 1000, 20
 	var all [boxes]RetryBudget
 	retries := 0
-	drain := func() {
+	spendAll := func() {
 		for i := range all {
 			for all[i].Spend() {
 				retries++
@@ -260,13 +261,13 @@
 	for i := range attempts {
 		all[i%boxes].RecordAttempt(boxes)
 		if i%(attempts/restarts) == 0 {
-			drain()
+			spendAll()
 			all[i%boxes] = RetryBudget{}
 		}
 	}
-	drain()
-	if bound := retryBurst + attempts*retryShare + restarts*float64(retryBurst)/boxes; float64(retries) > bound {
-		t.Errorf("%d retries for %d attempts, %.0f are allowed", retries, attempts, bound)
+	spendAll()
+	if bound := retryBurst + attempts*retryRatio + restarts*float64(retryBurst)/boxes; float64(retries) > bound {
+		t.Errorf("%d retries for %d attempts, want at most %.0f", retries, attempts, bound)
 	}
 }
 
@@ -279,14 +280,14 @@
 	}
 	is.True(math.Abs(l.Mean()-100) < 10)
 	is.True(l.Remaining(50) > 30 && l.Remaining(50) < 90)
-	is.True(l.Remaining(400) > 0) // longer than any so far
+	is.True(l.Remaining(400) > 0) // longer than any recorded answer
 	for range 2000 {
 		l.Add(1000)
 	}
-	is.True(l.Mean() > 900) // old lengths fade
+	is.True(l.Mean() > 900) // old samples decay
 }
 
-// TestOwner: a box that goes moves only what it owned.
+// TestOwner checks that removing a box moves only the keys that it owned.
 func TestOwner(t *testing.T) {
 	is := is.New(t)
 	boxes := []string{"a", "b", "c", "d"}
