--- a/relay/memory_test.go
+++ b/relay/memory_test.go
@@ -11,7 +11,7 @@
 // documentWithMemory is the tests' document with a memory size for upstreams, in tokens.
 func documentWithMemory(version uint64, tokens int) any {
 	d := testDocument(version)
-	d.Services[0].Memory = tokens
+	d.Services[0].KVCapacity = tokens
 	return d
 }
 
--- a/relay/update.go
+++ b/relay/update.go
@@ -152,7 +152,7 @@
 	r.fleet.SetServices(r.now(), names)
 	for _, s := range d.Services {
 		r.fleet.SetCold(s.Name, balance.ColdLimit{Duration: s.ColdFor, MaxPerSecond: r.cfg.Cold.maxRequests(s.ColdPerSecond)})
-		r.fleet.SetMemory(s.Name, s.Memory)
+		r.fleet.SetMemory(s.Name, s.KVCapacity)
 	}
 }
 
--- a/route/document.go
+++ b/route/document.go
@@ -21,7 +21,7 @@
 	MaxConnections int           // the most connections that one upstream accepts, over all boxes
 	ColdFor        time.Duration // how long an upstream is cold after its start
 	ColdPerSecond  float64       // requests per second that a cold upstream can take; 0: no limit
-	Memory         int           // capacity of an upstream's KV cache in tokens; 0: unknown
+	KVCapacity     int           // capacity of an upstream's KV cache in tokens; 0: unknown
 	TransfersKV    bool          // its upstreams can transfer KV cache contents to each other
 }
 
