--- a/relay/evacuate_test.go
+++ b/relay/evacuate_test.go
@@ -50,7 +50,7 @@
 	b.publisher.set("evacuate/d1", "", true)
 	b.awaitEvacuated("d2")
 	is.Equal(b.do(b.request("POST", "/once/y", "")).body, "1")
-	is.True(b.log.contains("domain: restored"))
+	is.True(b.log.contains("domain: taken back"))
 }
 
 // A run in an evacuated domain may finish there, but a stream that breaks continues elsewhere.
--- a/relay/incarnation_test.go
+++ b/relay/incarnation_test.go
@@ -200,8 +200,8 @@
 	b.listUpstream(u2, true)
 	b.waitFor(func() bool { return b.do(b.request("GET", "/safe/x", "")).body == "1" })
 	is.True(b.log.contains("entry unusable"))
-	b.waitFor(func() bool { return b.log.contains("published: item rejected") })
-	is.Equal(b.log.count("published: item rejected"), 1)
+	b.waitFor(func() bool { return b.log.contains("published: not taken") })
+	is.Equal(b.log.count("published: not taken"), 1)
 }
 
 // count is the number of occurrences of a text.
@@ -226,7 +226,7 @@
 		m.logRejected(it, err)
 	}
 	is.NoErr(log.Close())
-	is.Equal(text.count("published: item rejected"), 3)
+	is.Equal(text.count("published: not taken"), 3)
 	is.Equal(text.count(`"field":"slots"`), 3)
 	for i := range maxRejected + 5 {
 		m.rejected[fmt.Sprint(i)] = 1
@@ -298,7 +298,7 @@
 	is.Equal(b.listedStart("true"), int64(-1))
 	is.Equal(b.do(b.request("GET", "/safe/x", "")).body, "ok") // one refusal, then the second run is answered
 	is.Equal(b.listedStart("true"), int64(100))
-	is.True(b.log.contains("upstream: identified itself as another"))
+	is.True(b.log.contains("upstream: is another"))
 }
 
 // An entry of a service that the document does not name takes over no address until the
