--- a/cell/holder.go
+++ b/cell/holder.go
@@ -91,7 +91,7 @@
 	case n.withheldFor(l) > 0:
 		n.endWithheld(l)
 	default:
-		n.budget(req.Class).Attempt(len(n.listedBoxes()))
+		n.budget(req.Class).RecordAttempt(len(n.listedBoxes()))
 		if m := n.takeLimits(l); m != nil {
 			n.park(l, m)
 		} else {
@@ -198,7 +198,7 @@
 		n.bid(l)
 		return
 	}
-	l.slot, l.slotAttempt, l.keepFor, l.slotExpires = l.req.ID, m.Attempt, m.Keep, n.now+decide.RetainedSlotLifetime
+	l.slot, l.slotAttempt, l.keepFor, l.slotExpires = l.req.ID, m.Attempt, m.KeepFor, n.now+decide.RetainedSlotLifetime
 	n.lease(l, m.Upstream, l.firstBid+m.StartBy)
 }
 
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -165,7 +165,7 @@
 		if u.Set != set || u.Domain != n.cfg.Domain {
 			continue
 		}
-		b := decide.Backend{Name: u.Name, Slots: u.Slots, Pausing: u.Kind == table.Engine, Model: u.Model,
+		b := decide.Backend{Name: u.Name, Slots: u.Slots, CanPause: u.Kind == table.Engine, Model: u.Model,
 			Leaving: slices.Contains(n.roster.Leaving, u.Name)}
 		if n.cfg.StaticSplit {
 			b.Slots = n.fixedPart(u.Name, u.Slots)
@@ -225,10 +225,10 @@
 		return
 	}
 	o := n.orders[u.Set]
-	o.Observe(decide.EngineState{Upstream: u.Name, Want: u.Model, Checks: u.ChecksFence, Loaded: r.Loaded, Loading: r.Loading, Fence: r.Fence})
+	o.Observe(decide.EngineState{Upstream: u.Name, WantedModel: u.Model, ChecksFence: u.ChecksFence, Loaded: r.Loaded, Loading: r.Loading, Fence: r.Fence})
 	for _, next := range o.Next(n.now) {
-		n.record(timeline.Event{Kind: timeline.Ordered, Upstream: next.Upstream, Set: u.Set, Reason: next.Load, Revision: next.Fence})
-		n.addAction(Action{Kind: GiveOrder, Upstream: next.Upstream, Order: next})
+		n.record(timeline.Event{Kind: timeline.Ordered, Upstream: next.Upstream, Set: u.Set, Reason: next.Model, Revision: next.Fence})
+		n.addAction(Action{Kind: IssueLoadOrder, Upstream: next.Upstream, Order: next})
 	}
 }
 
@@ -272,8 +272,8 @@
 
 func (n *Node) onRelease(m *Release) {
 	if p := n.pools[m.Set]; p != nil {
-		p.ApplyNotice(n.now, m.Upstream, m.Said)
-		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, Pace: m.Pace, First: m.First, Attempt: m.Attempt})
+		p.ApplyNotice(n.now, m.Upstream, m.Notice)
+		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, TimePerToken: m.Pace, TimeToFirstToken: m.First, Attempt: m.Attempt})
 		n.dirty[m.Set] = true
 	}
 }
@@ -357,7 +357,7 @@
 	switch v.Kind {
 	case decide.GrantSlot:
 		n.record(timeline.Event{Kind: timeline.Granted, Request: v.ID, Class: v.Class, Tier: v.Tier, Upstream: v.Upstream, Set: set})
-		n.deliver(v.Box, &Grant{Set: set, ID: v.ID, Upstream: v.Upstream, StartBy: v.Queued + n.timing.StartBy, Keep: v.RetainFor, Attempt: v.Attempt})
+		n.deliver(v.Box, &Grant{Set: set, ID: v.ID, Upstream: v.Upstream, StartBy: v.Queued + n.timing.StartBy, KeepFor: v.RetainFor, Attempt: v.Attempt})
 	case decide.RefuseBid:
 		r := &Refusal{Set: set, ID: v.ID, Reason: v.Reason, RetryAfter: v.RetryAfter,
 			LowerWaiting: v.LowerWaiting, LowerRunning: v.LowerRunning}
--- a/decide/small_test.go
+++ b/decide/small_test.go
@@ -212,10 +212,10 @@
 	}{
 		{"did not run", func(*Failure) {}, NoReason},
 		{"did not run, not repeatable", func(f *Failure) { f.Repeatable = false }, NoReason},
-		{"may have run, not repeatable", func(f *Failure) { f.Repeatable, f.Ran = false, true }, UpstreamFailed},
-		{"may have run, repeatable", func(f *Failure) { f.Ran = true }, NoReason},
-		{"delivered in part, resumable", func(f *Failure) { f.Ran, f.Delivered = true, 5 }, NoReason},
-		{"delivered in part, not resumable", func(f *Failure) { f.Ran, f.Delivered, f.Resumable = true, 5, false }, UpstreamFailed},
+		{"may have run, not repeatable", func(f *Failure) { f.Repeatable, f.MayHaveRun = false, true }, UpstreamFailed},
+		{"may have run, repeatable", func(f *Failure) { f.MayHaveRun = true }, NoReason},
+		{"delivered in part, resumable", func(f *Failure) { f.MayHaveRun, f.Delivered = true, 5 }, NoReason},
+		{"delivered in part, not resumable", func(f *Failure) { f.MayHaveRun, f.Delivered, f.Resumable = true, 5, false }, UpstreamFailed},
 		{"deadline passed", func(f *Failure) { f.TimeLeft = false }, Late},
 		{"too many attempts", func(f *Failure) { f.Attempts = maxAttempts }, RetriesSpent},
 	} {
@@ -223,18 +223,18 @@
 			f := full
 			c.edit(&f)
 			budget := new(RetryBudget)
-			budget.Attempt(1)
+			budget.RecordAttempt(1)
 			is.New(t).Equal(MayRetry(f, budget), c.want)
 		})
 	}
 	var b RetryBudget
 	n := 0
-	b.Attempt(1)
+	b.RecordAttempt(1)
 	for b.Spend() {
 		n++
 	}
 	for range 99 {
-		b.Attempt(1)
+		b.RecordAttempt(1)
 	}
 	for b.Spend() {
 		n++
@@ -258,7 +258,7 @@
 		}
 	}
 	for i := range attempts {
-		all[i%boxes].Attempt(boxes)
+		all[i%boxes].RecordAttempt(boxes)
 		if i%(attempts/restarts) == 0 {
 			drain()
 			all[i%boxes] = RetryBudget{}
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -37,7 +37,7 @@
 		return &wire.Message{Body: &wire.Message_Withdraw{Withdraw: &wire.Withdraw{Id: m.ID, Set: m.Set}}}
 	case *cell.Grant:
 		return &wire.Message{Body: &wire.Message_Grant{Grant: &wire.Grant{
-			Id: m.ID, Set: m.Set, Upstream: m.Upstream, StartBy: micros(m.StartBy), Keep: micros(m.Keep), Attempt: m.Attempt}}}
+			Id: m.ID, Set: m.Set, Upstream: m.Upstream, StartBy: micros(m.StartBy), Keep: micros(m.KeepFor), Attempt: m.Attempt}}}
 	case *cell.Recall:
 		return &wire.Message{Body: &wire.Message_Recall{Recall: &wire.Recall{Set: m.Set}}}
 	case *cell.Refusal:
@@ -49,7 +49,7 @@
 	case *cell.Release:
 		return &wire.Message{Body: &wire.Message_Release{Release: &wire.Release{
 			Id: m.ID, Set: m.Set, Upstream: m.Upstream, Tokens: uint32(m.Tokens), Outcome: uint32(m.Outcome), Pace: micros(m.Pace), First: micros(m.First), Attempt: m.Attempt,
-			Leaving: m.Said.Leaving, Pause: micros(m.Said.Pause), SaidAge: micros(m.Said.Age)}}}
+			Leaving: m.Notice.Leaving, Pause: micros(m.Notice.Pause), SaidAge: micros(m.Notice.Age)}}}
 	case *cell.Holding:
 		return &wire.Message{Body: &wire.Message_Holding{Holding: holdingToWire(m)}}
 	case *cell.HoldingAsk:
@@ -75,7 +75,7 @@
 
 func heartbeatToWire(m *cell.Heartbeat) *wire.Heartbeat {
 	h := &wire.Heartbeat{Counter: m.Counter, TableRevision: m.Table, TableDigest: m.Digest,
-		RosterRevision: m.Roster, Leaving: m.Leaving, Blind: m.Blind,
+		RosterRevision: m.Roster, Leaving: m.Leaving, Blind: m.PlatformUnreachable,
 		Probe: m.Probe, Joining: m.Joining, Full: m.Full, Announce: m.Announce, WithheldDigest: m.Withheld}
 	for _, s := range m.Sightings {
 		h.Sightings = append(h.Sightings, &wire.Sighting{Box: s.Box, Boot: s.Boot, Counter: s.Counter, Leaving: s.Leaving, RosterRevision: s.Roster, State: uint32(s.State)})
@@ -105,7 +105,7 @@
 	case *wire.Message_Withdraw:
 		return &cell.Withdraw{Set: b.Withdraw.Set, ID: b.Withdraw.Id}
 	case *wire.Message_Grant:
-		return &cell.Grant{Set: b.Grant.Set, ID: b.Grant.Id, Upstream: b.Grant.Upstream, StartBy: span(b.Grant.StartBy), Keep: span(b.Grant.Keep), Attempt: b.Grant.Attempt}
+		return &cell.Grant{Set: b.Grant.Set, ID: b.Grant.Id, Upstream: b.Grant.Upstream, StartBy: span(b.Grant.StartBy), KeepFor: span(b.Grant.Keep), Attempt: b.Grant.Attempt}
 	case *wire.Message_Recall:
 		return &cell.Recall{Set: b.Recall.Set}
 	case *wire.Message_Refusal:
@@ -120,7 +120,7 @@
 			return nil
 		}
 		return &cell.Release{Set: w.Set, ID: w.Id, Upstream: w.Upstream, Tokens: int(w.Tokens), Outcome: decide.Outcome(w.Outcome), Pace: span(w.Pace), First: span(w.First), Attempt: w.Attempt,
-			Said: decide.AnswerNotice{Leaving: w.Leaving, Pause: span(w.Pause), Age: span(w.SaidAge)}}
+			Notice: decide.AnswerNotice{Leaving: w.Leaving, Pause: span(w.Pause), Age: span(w.SaidAge)}}
 	case *wire.Message_Holding:
 		return holdingFromWire(b.Holding)
 	case *wire.Message_HoldingAsk:
@@ -185,7 +185,7 @@
 
 func heartbeatFromWire(w *wire.Heartbeat) cell.Message {
 	h := &cell.Heartbeat{Counter: w.Counter, Table: w.TableRevision, Digest: w.TableDigest,
-		Roster: w.RosterRevision, Leaving: w.Leaving, Blind: w.Blind,
+		Roster: w.RosterRevision, Leaving: w.Leaving, PlatformUnreachable: w.Blind,
 		Probe: w.Probe, Joining: w.Joining, Full: w.Full, Announce: w.Announce, Withheld: w.WithheldDigest}
 	for _, s := range w.Sightings {
 		h.Sightings = append(h.Sightings, cell.Sighting{Box: s.GetBox(), Boot: s.GetBoot(), Counter: s.GetCounter(), Roster: s.GetRosterRevision(), Leaving: s.GetLeaving(), State: uint8(min(s.GetState(), 255))})
