--- a/relay/runs.go
+++ b/relay/runs.go
@@ -105,7 +105,7 @@
 		Class:          x.route.Name,
 		MaxGap:         x.route.EventGap,
 		ExpectedTokens: p.Expected,
-		Homes:          route.HomesOf(x.route, x.customer),
+		Homes:          route.AllowedRegions(x.route, x.customer),
 		Urgency:        x.urgency,
 		Waited:         x.pauseWaited > 0,
 	}
--- a/route/homes.go
+++ b/route/homes.go
@@ -11,9 +11,9 @@
 	Regions []string // empty with Bound: no upstream may run the request
 }
 
-// HomesOf returns the regions in which a request may run, given its route and its customer; c is
+// AllowedRegions returns the regions in which a request may run, given its route and its customer; c is
 // nil if the request has no customer.
-func HomesOf(r *Route, c *Customer) Homes {
+func AllowedRegions(r *Route, c *Customer) Homes {
 	switch {
 	case c == nil || len(c.Homes) == 0:
 		return Homes{len(r.Homes) > 0, r.Homes}
--- a/route/homes_test.go
+++ b/route/homes_test.go
@@ -20,8 +20,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(HomesOf(&Route{Homes: c.route}, &Customer{Homes: c.customer}), c.want)
+			is.Equal(AllowedRegions(&Route{Homes: c.route}, &Customer{Homes: c.customer}), c.want)
 		})
 	}
-	is.New(t).Equal(HomesOf(&Route{}, nil), Homes{})
+	is.New(t).Equal(AllowedRegions(&Route{}, nil), Homes{})
 }
