--- a/balance/request.go
+++ b/balance/request.go
@@ -54,5 +54,5 @@
 
 // mayRunIn reports whether a request may run in a failure domain.
 func (f *Fleet) mayRunIn(domain string, r Request) bool {
-	return !r.Homes.Bound || slices.Contains(r.Homes.Regions, f.cfg.Regions[domain])
+	return !r.Homes.Restricted || slices.Contains(r.Homes.Regions, f.cfg.Regions[domain])
 }
--- a/balance/residency_test.go
+++ b/balance/residency_test.go
@@ -17,9 +17,9 @@
 		want  []string // domains
 	}{
 		{"not bound", route.Homes{}, []string{"d0", "d1", "d2"}},
-		{"one region", route.Homes{Bound: true, Regions: []string{"r1"}}, []string{"d0", "d1"}},
-		{"unknown region", route.Homes{Bound: true, Regions: []string{"r9"}}, nil},
-		{"no region allowed", route.Homes{Bound: true}, nil},
+		{"one region", route.Homes{Restricted: true, Regions: []string{"r1"}}, []string{"d0", "d1"}},
+		{"unknown region", route.Homes{Restricted: true, Regions: []string{"r9"}}, nil},
+		{"no region allowed", route.Homes{Restricted: true}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/balance/rtt_test.go
+++ b/balance/rtt_test.go
@@ -215,7 +215,7 @@
 		regions := []string{"a", "b", "c", "none"}
 		r := large(uint64(rapid.IntRange(1, 3).Draw(t, "part")))
 		r.Class, r.MaxGap, r.ExpectedTokens = "c", 300*time.Millisecond, 100
-		r.Homes = route.Homes{Bound: true, Regions: rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 0, 3, rapid.ID).Draw(t, "homes")}
+		r.Homes = route.Homes{Restricted: true, Regions: rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 0, 3, rapid.ID).Draw(t, "homes")}
 		now := time.Duration(rapid.IntRange(0, 200).Draw(t, "s")) * time.Second
 		loads := make(map[LoadKey]Load)
 		for i := range 24 {
