--- a/cell/owner.go
+++ b/cell/owner.go
@@ -85,7 +85,7 @@
 	n.configurePool(set)
 	live := n.members.live()
 	if !n.cfg.Standalone && !n.cfg.Disabled.OwnerLearning && len(live) > 0 {
-		p.Learn(n.now, live)
+		p.StartLearning(n.now, live)
 	}
 	p.Adopt(n.now, n.cfg.Box, n.heldIn(set, n.cfg.Box), nil)
 	n.orders[set] = decide.NewOrders(n.now, n.timing.LeaseLife)
--- a/decide/pool_test.go
+++ b/decide/pool_test.go
@@ -435,7 +435,7 @@
 func TestLearning(t *testing.T) {
 	is := is.New(t)
 	p := testPool(4, rule("c", 1, false))
-	p.Learn(0, []string{"other"})
+	p.StartLearning(0, []string{"other"})
 	p.Offer(0, bid(1, "c"))
 	is.Equal(len(p.Decide(0)), 0) // no report has arrived
 	p.Report(0, Report{Upstream: "a", Running: 3})
--- a/decide/renew.go
+++ b/decide/renew.go
@@ -22,9 +22,9 @@
 }
 
 // StartLearning starts the learning period when this box becomes the owner of the
-// pool. Until all of the given boxes have listed their leases or PoolConfig.Learn has
+// pool. Until all of the given boxes have listed their leases or PoolConfig.StartLearning has
 // passed, the pool grants only slots that the upstreams' own reports show as free.
-func (p *Pool) Learn(now Time, boxes []string) {
+func (p *Pool) StartLearning(now Time, boxes []string) {
 	p.learnUntil = now + p.cfg.Learn
 	clear(p.pendingBoxes)
 	for _, b := range boxes {
