--- a/cmd/doormastd/relay.go
+++ b/cmd/doormastd/relay.go
@@ -133,7 +133,7 @@
 		Self:          self(s),
 		Seeds:         s.SeedAddresses(),
 		LinkBandwidth: s.LinkMbps * bytesOfMegabit,
-		Timing:        group.TimingFor(s.Bounds.Published()),
+		Timing:        group.TimingFor(s.Bounds.PublishDeadline()),
 		Protocol:      platform.Protocol(),
 		Publisher:     platform.NewStore(s.Platform),
 		Decode:        platform.Decode,
--- a/settings/relay.go
+++ b/settings/relay.go
@@ -126,9 +126,9 @@
 // Grace returns the longest duration of a planned stop.
 func (b RelayBounds) Grace() time.Duration { return seconds(b.GraceSeconds) }
 
-// Published returns the time within which any published change must be in force: a new document
+// PublishDeadline returns the time within which any published change must be in force: a new document
 // or the evacuation of a failure domain.
-func (b RelayBounds) Published() time.Duration {
+func (b RelayBounds) PublishDeadline() time.Duration {
 	ms := b.DocumentMillis
 	if b.EvacuateMillis > 0 {
 		ms = min(ms, b.EvacuateMillis)
--- a/settings/relay_test.go
+++ b/settings/relay_test.go
@@ -44,7 +44,7 @@
 		{DocumentMillis: 3000, EvacuateMillis: 5000}: 3,
 		{DocumentMillis: 3000, EvacuateMillis: 1000}: 1,
 	} {
-		is.Equal(bounds.Published().Seconds(), want)
+		is.Equal(bounds.PublishDeadline().Seconds(), want)
 	}
 }
 
