--- a/cell/owner.go
+++ b/cell/owner.go
@@ -130,7 +130,7 @@
 		FirstToken:  c.FirstToken.Std(),
 		Queue:       c.Queue,
 		Concurrency: c.Concurrency,
-		Refuse:      c.OnLate == table.Refuse,
+		RefuseLate:  c.OnLate == table.Refuse,
 		Repeatable:  c.Repeatable,
 	}
 	if c.Scope == table.ScopeAll && c.Concurrency > 0 {
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -24,7 +24,7 @@
 	FirstToken  time.Duration
 	Queue       int  // maximum number of waiting requests; 0 applies only the limit of the pool
 	Concurrency int  // maximum number of running requests; 0 is unlimited
-	Refuse      bool // refuse a request that cannot meet its target instead of queueing it
+	RefuseLate  bool // refuse a request that cannot meet its target instead of queueing it
 	// Repeatable allows a request to run more than once, so that it may be paused
 	// and retried.
 	Repeatable bool
--- a/decide/pool_test.go
+++ b/decide/pool_test.go
@@ -14,7 +14,7 @@
 
 // rule returns a repeatable rule with a floor and a first-token target of 2 seconds.
 func rule(class string, tier int, refuse bool) Rule {
-	return Rule{Class: class, Tier: tier, Weight: 1, Floor: 0.1, FirstToken: 2 * time.Second, Refuse: refuse, Repeatable: true}
+	return Rule{Class: class, Tier: tier, Weight: 1, Floor: 0.1, FirstToken: 2 * time.Second, RefuseLate: refuse, Repeatable: true}
 }
 
 // testPool returns a pool with two upstreams, a and b, with the given number of slots each.
--- a/decide/refuse.go
+++ b/decide/refuse.go
@@ -32,7 +32,7 @@
 	if p.cfg.Queue > 0 && len(p.waiting) >= p.cfg.Queue && !p.evict(now, rule.Tier) {
 		return QueueFull
 	}
-	if rule.Refuse && !p.canMeetTarget(now, w) {
+	if rule.RefuseLate && !p.canMeetTarget(now, w) {
 		return Late
 	}
 	return NoReason
@@ -126,7 +126,7 @@
 	for len(p.expiry) > 0 && p.expiry[0].expires <= now {
 		w := p.expiry[0]
 		deadline := w.bid.Remaining > 0 && now >= w.arrived+w.bid.Waited+w.bid.Remaining
-		if deadline || w.class.rule.Refuse && w.bid.Resume == "" {
+		if deadline || w.class.rule.RefuseLate && w.bid.Resume == "" {
 			p.refuse(now, w, Late)
 			continue
 		}
