--- a/mirror/publisher.go
+++ b/mirror/publisher.go
@@ -29,8 +29,8 @@
 	Changes(ctx context.Context, after uint64, wait time.Duration) ([]Item, uint64, error)
 }
 
-// ErrForgotten means that the publisher no longer keeps the changes asked for.
-var ErrForgotten = &Error{Op: "changes", Kind: KindForgotten}
+// ErrHistoryExpired means that the publisher no longer keeps the changes asked for.
+var ErrHistoryExpired = &Error{Op: "changes", Kind: KindForgotten}
 
 // ErrNotNeeded is the cause with which a read is cancelled when its result is already known from
 // another source.
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -72,7 +72,7 @@
 			r.asOf = asOf // the publisher waited for changes that long before it answered
 		}
 	}
-	if r.full || errors.Is(r.err, mirror.ErrForgotten) {
+	if r.full || errors.Is(r.err, mirror.ErrHistoryExpired) {
 		m.readFull(ctx, r)
 	}
 	return r
--- a/relay/reader_test.go
+++ b/relay/reader_test.go
@@ -26,7 +26,7 @@
 
 // Changes implements mirror.Publisher.
 func (f *flakyPublisher) Changes(context.Context, uint64, time.Duration) ([]mirror.Item, uint64, error) {
-	return nil, 0, mirror.ErrForgotten
+	return nil, 0, mirror.ErrHistoryExpired
 }
 
 // A full read that may continue a failed one is as old as the first of them.
--- a/relay/stub_test.go
+++ b/relay/stub_test.go
@@ -199,7 +199,7 @@
 	}
 	items, ok := b.mirror.Since(after)
 	if !ok {
-		return nil, 0, mirror.ErrForgotten
+		return nil, 0, mirror.ErrHistoryExpired
 	}
 	return items, b.mirror.Revision(), nil
 }
