--- a/cell/limit.go
+++ b/cell/limit.go
@@ -36,8 +36,8 @@
 		}
 	}
 	if c := n.customer(l.req.Customer); c != nil {
-		add("customer", c.Name, "concurrency", decide.ConcurrencyLimit, float64(c.Concurrency), c.Scope, decide.OverCustomer)
-		add("customer", c.Name, "rate", decide.RateLimit, c.Rate, c.Scope, decide.OverCustomer)
+		add("customer", c.Name, "concurrency", decide.ConcurrencyLimit, float64(c.Concurrency), c.Scope, decide.OverCustomerLimit)
+		add("customer", c.Name, "rate", decide.RateLimit, c.Rate, c.Scope, decide.OverCustomerLimit)
 	}
 	if c := n.table.Class(l.req.Class); c != nil {
 		add("class", c.Name, "rate", decide.RateLimit, c.Rate, c.Scope, decide.OverClassLimit)
@@ -177,9 +177,9 @@
 	for _, c := range n.table.Customers {
 		switch key {
 		case limitKey("customer", c.Name, "rate"):
-			return n.limitFor(key, decide.RateLimit, c.Rate, c.Scope, decide.OverCustomer)
+			return n.limitFor(key, decide.RateLimit, c.Rate, c.Scope, decide.OverCustomerLimit)
 		case limitKey("customer", c.Name, "concurrency"):
-			return n.limitFor(key, decide.ConcurrencyLimit, float64(c.Concurrency), c.Scope, decide.OverCustomer)
+			return n.limitFor(key, decide.ConcurrencyLimit, float64(c.Concurrency), c.Scope, decide.OverCustomerLimit)
 		}
 	}
 	for _, c := range n.table.Classes {
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -50,25 +50,25 @@
 
 // Reasons for a refusal.
 const (
-	NoReason       Reason = iota
-	OverClassLimit        // the class is over its limit
-	OverCustomer          // the customer is over its limit
-	Late                  // the deadline or target has passed or cannot be met
-	QueueFull             // the queue is full and holds no request of a lower tier to evict
-	Evicted               // evicted from a full queue by a request of a higher tier
-	NoUpstream            // no upstream of this pool serves the class
-	CallerLeft            // the caller disconnected
-	Stopping              // the box is shutting down
-	DuplicateKey          // a request with the same idempotency key may have run already
-	KeyNotVouched         // no box can rule out that the idempotency key was used before
-	KeyElsewhere          // another failure domain or box decides on the idempotency key
-	UpstreamFailed        // the upstream failed and a retry is not allowed
-	RetriesSpent          // the retry budget of the class is exhausted
-	BadRequest            // the request is malformed
-	NotAllowed            // the API key is missing or unknown, or does not permit the class
-	NoTable               // this box has not received a service table yet
-	Overloaded            // this box is out of resources
-	Withheld              // upstreams ended while running this request, so it is not run again
+	NoReason          Reason = iota
+	OverClassLimit           // the class is over its limit
+	OverCustomerLimit        // the customer is over its limit
+	Late                     // the deadline or target has passed or cannot be met
+	QueueFull                // the queue is full and holds no request of a lower tier to evict
+	Evicted                  // evicted from a full queue by a request of a higher tier
+	NoUpstream               // no upstream of this pool serves the class
+	CallerLeft               // the caller disconnected
+	Stopping                 // the box is shutting down
+	DuplicateKey             // a request with the same idempotency key may have run already
+	KeyNotVouched            // no box can rule out that the idempotency key was used before
+	KeyElsewhere             // another failure domain or box decides on the idempotency key
+	UpstreamFailed           // the upstream failed and a retry is not allowed
+	RetriesSpent             // the retry budget of the class is exhausted
+	BadRequest               // the request is malformed
+	NotAllowed               // the API key is missing or unknown, or does not permit the class
+	NoTable                  // this box has not received a service table yet
+	Overloaded               // this box is out of resources
+	Withheld                 // upstreams ended while running this request, so it is not run again
 )
 
 var reasonNames = [...]string{"none", "over_class_limit", "over_customer_limit", "late", "queue_full",
--- a/internal/caller/answer.go
+++ b/internal/caller/answer.go
@@ -72,22 +72,22 @@
 
 // messages holds the text of error answers by reason.
 var messages = map[decide.Reason]string{
-	decide.OverClassLimit: "the class is over its limit",
-	decide.OverCustomer:   "the customer is over its limit",
-	decide.Late:           "its target cannot be met or its deadline has passed",
-	decide.QueueFull:      "the queue is full",
-	decide.Evicted:        "it gave way to a higher tier in a full queue",
-	decide.NoUpstream:     "no upstream serves this class here",
-	decide.Stopping:       "this box is ending",
-	decide.DuplicateKey:   "the idempotency key was used before",
-	decide.KeyNotVouched:  "nobody here can vouch that the idempotency key was not used before",
-	decide.KeyElsewhere:   "the idempotency key belongs to another failure domain",
-	decide.UpstreamFailed: "the upstream failed",
-	decide.RetriesSpent:   "the upstream failed and the retries are spent",
-	decide.NoTable:        "this box has no table yet",
-	decide.Overloaded:     "this box can take no more",
-	decide.BadRequest:     "the request is wrong",
-	decide.Withheld:       "upstreams have ended under it",
+	decide.OverClassLimit:    "the class is over its limit",
+	decide.OverCustomerLimit: "the customer is over its limit",
+	decide.Late:              "its target cannot be met or its deadline has passed",
+	decide.QueueFull:         "the queue is full",
+	decide.Evicted:           "it gave way to a higher tier in a full queue",
+	decide.NoUpstream:        "no upstream serves this class here",
+	decide.Stopping:          "this box is ending",
+	decide.DuplicateKey:      "the idempotency key was used before",
+	decide.KeyNotVouched:     "nobody here can vouch that the idempotency key was not used before",
+	decide.KeyElsewhere:      "the idempotency key belongs to another failure domain",
+	decide.UpstreamFailed:    "the upstream failed",
+	decide.RetriesSpent:      "the upstream failed and the retries are spent",
+	decide.NoTable:           "this box has no table yet",
+	decide.Overloaded:        "this box can take no more",
+	decide.BadRequest:        "the request is wrong",
+	decide.Withheld:          "upstreams have ended under it",
 }
 
 func refusalOf(f cell.Final) refusal {
@@ -97,7 +97,7 @@
 // statusOf returns the HTTP status code of a refusal.
 func statusOf(f cell.Final) int {
 	switch f.Reason {
-	case decide.OverClassLimit, decide.OverCustomer, decide.QueueFull, decide.Evicted:
+	case decide.OverClassLimit, decide.OverCustomerLimit, decide.QueueFull, decide.Evicted:
 		return fasthttp.StatusTooManyRequests
 	case decide.DuplicateKey, decide.KeyElsewhere:
 		return fasthttp.StatusConflict
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -117,7 +117,7 @@
 		{"bad idempotency key", answer, "k", "POST", pathChat, chat, "Idempotency-Key: dmd1:x", 400, "idempotency key", "no"},
 		{"unknown path", answer, "k", "GET", "/nowhere", "", "", 404, "no such path", "no"},
 		{"late", refuse(cell.Final{Reason: decide.Late, RetryAfter: 1500 * time.Millisecond}), "k", "POST", pathChat, chat, "", 503, `"code":"late"`, "no"},
-		{"over a limit", refuse(cell.Final{Reason: decide.OverCustomer}), "k", "POST", pathChat, chat, "", 429, "over_customer_limit", "no"},
+		{"over a limit", refuse(cell.Final{Reason: decide.OverCustomerLimit}), "k", "POST", pathChat, chat, "", 429, "over_customer_limit", "no"},
 		{"may have run", refuse(cell.Final{Reason: decide.UpstreamFailed, Ran: true}), "k", "POST", pathChat, chat, "", 502, "upstream_failed", "unknown"},
 		{"key used before", refuse(cell.Final{Reason: decide.DuplicateKey, Ran: true}), "k", "POST", pathChat, chat, "", 409, "duplicate_key", "unknown"},
 		{"models", answer, "k", "GET", pathModels, "", "", 200, `"id":"m"`, ""},
