--- a/mirror/error.go
+++ b/mirror/error.go
@@ -5,10 +5,10 @@
 
 // Kinds of error.
 const (
-	KindForgotten   Kind = "forgotten"  // the changes asked for are no longer kept
-	KindUnreachable Kind = "away"       // the publisher did not respond
-	KindRefused     Kind = "refused"    // the publisher responded with an error
-	KindNotNeeded   Kind = "not needed" // the result is already known from another source
+	KindHistoryExpired Kind = "forgotten"  // the changes asked for are no longer kept
+	KindUnreachable    Kind = "away"       // the publisher did not respond
+	KindRefused        Kind = "refused"    // the publisher responded with an error
+	KindNotNeeded      Kind = "not needed" // the result is already known from another source
 )
 
 // Error describes a failed operation; Op names the operation.
--- a/mirror/publisher.go
+++ b/mirror/publisher.go
@@ -30,7 +30,7 @@
 }
 
 // ErrHistoryExpired means that the publisher no longer keeps the changes asked for.
-var ErrHistoryExpired = &Error{Op: "changes", Kind: KindForgotten}
+var ErrHistoryExpired = &Error{Op: "changes", Kind: KindHistoryExpired}
 
 // ErrNotNeeded is the cause with which a read is cancelled when its result is already known from
 // another source.
