--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -120,7 +120,7 @@
 			control.Size(&cell.Heartbeat{}),
 		"bid": control.Size(&cell.Bid{Set: set, Bid: decide.Bid{ID: id, Class: "question", Customer: "customer-123",
 			Waited: time.Millisecond, Work: 250, Prefix: id}}),
-		"grant":    control.Size(&cell.Grant{Set: set, ID: id, Upstream: upstream, StartBy: time.Second, Keep: time.Second}),
+		"grant":    control.Size(&cell.Grant{Set: set, ID: id, Upstream: upstream, StartBy: time.Second, KeepFor: time.Second}),
 		"release":  control.Size(&cell.Release{Set: set, ID: id, Upstream: upstream, Tokens: 250, Pace: 40 * time.Millisecond, First: 100 * time.Millisecond}),
 		"holding":  control.Size(&cell.Holding{Set: set, Count: 20, Digest: id}),
 		"claim":    control.Size(&cell.Claim{Key: "dmd1:domain-12:1800000000000:0123456789abcdef", ID: id}),
@@ -152,7 +152,7 @@
 		p := decide.NewPool(decide.PoolConfig{})
 		var list []decide.Backend
 		for i := range n {
-			list = append(list, decide.Backend{Name: fmt.Sprintf("runner-%04d", i), Slots: 165, Pausing: true})
+			list = append(list, decide.Backend{Name: fmt.Sprintf("runner-%04d", i), Slots: 165, CanPause: true})
 		}
 		p.SetBackends(0, list)
 		return p
@@ -232,7 +232,7 @@
 	p.SetRules(0, []decide.Rule{{Class: "c", Tier: 1, Weight: 1, Floor: 0.1, FirstToken: time.Hour, Repeatable: true}}, 1<<20)
 	var list []decide.Backend
 	for i := range upstreams {
-		list = append(list, decide.Backend{Name: fmt.Sprintf("runner-%04d", i), Slots: slots, Pausing: true})
+		list = append(list, decide.Backend{Name: fmt.Sprintf("runner-%04d", i), Slots: slots, CanPause: true})
 	}
 	p.SetBackends(0, list)
 	return p
--- a/cell/types.go
+++ b/cell/types.go
@@ -16,18 +16,18 @@
 // Heartbeat reports that the sender is alive and passes on its view of the
 // other boxes.
 type Heartbeat struct {
-	Counter   uint64
-	Table     uint64 // revision in force
-	Digest    uint64 // of that table
-	Roster    uint64 // revision of the platform's list of boxes
-	Leaving   bool
-	Blind     bool   // the sender's last read of the platform failed
-	Probe     bool   // the receiver must answer
-	Joining   bool   // the answer must list every known box
-	Announce  bool   // the receiver should pass on the sender's state
-	Withheld  uint64 // digest of the requests that the sender withholds
-	Full      bool   // Sightings lists every box that the sender knows
-	Sightings []Sighting
+	Counter             uint64
+	Table               uint64 // revision in force
+	Digest              uint64 // of that table
+	Roster              uint64 // revision of the platform's list of boxes
+	Leaving             bool
+	PlatformUnreachable bool   // the sender's last read of the platform failed
+	Probe               bool   // the receiver must answer
+	Joining             bool   // the answer must list every known box
+	Announce            bool   // the receiver should pass on the sender's state
+	Withheld            uint64 // digest of the requests that the sender withholds
+	Full                bool   // Sightings lists every box that the sender knows
+	Sightings           []Sighting
 }
 
 // Sighting is the newest known state of a third box.
@@ -59,7 +59,7 @@
 	ID       uint64
 	Upstream string
 	StartBy  time.Duration
-	Keep     time.Duration // how long the slot may be kept after the answer
+	KeepFor  time.Duration // how long the slot may be kept after the answer
 	Attempt  uint32        // attempt of the bid that it answers
 }
 
@@ -95,7 +95,7 @@
 	Pace     time.Duration       // per token; 0 if unknown
 	First    time.Duration       // from sending to the first token; 0 if unknown
 	Attempt  uint32              // attempt of the bid that the slot was granted for
-	Said     decide.AnswerNotice // what the upstream reported of itself in its answer
+	Notice   decide.AnswerNotice // what the upstream reported of itself in its answer
 }
 
 // Holding summarizes the slots that the sender holds in a set and the bids
@@ -197,15 +197,15 @@
 
 // Kinds of action.
 const (
-	SendMessage  ActionKind = iota // send Message to box To
-	Dispatch                       // send Request to Upstream, continuing after Tokens
-	CancelRun                      // cancel the run of Request
-	PauseRun                       // pause the run of Request
-	End                            // end the request with Final
-	PullFrom                       // fetch the table and the list from box To
-	ReadPlatform                   // read the table and the list from the platform
-	GiveOrder                      // send Order to Upstream
-	Record                         // append Event to the timeline
+	SendMessage    ActionKind = iota // send Message to box To
+	Dispatch                         // send Request to Upstream, continuing after Tokens
+	CancelRun                        // cancel the run of Request
+	PauseRun                         // pause the run of Request
+	End                              // end the request with Final
+	PullFrom                         // fetch the table and the list from box To
+	ReadPlatform                     // read the table and the list from the platform
+	IssueLoadOrder                   // send Order to Upstream
+	Record                           // append Event to the timeline
 )
 
 // Final describes how a request ended without a complete answer.
@@ -233,14 +233,14 @@
 
 // Result describes how a run on an upstream ended.
 type Result struct {
-	Outcome decide.Outcome
-	Ran     bool                // a byte may have been sent to the upstream
-	Tokens  int                 // generated in total, including earlier runs
-	Pace    time.Duration       // per token; 0 if unknown
-	First   time.Duration       // from sending to the first token; 0 if unknown
-	Refused bool                // the upstream itself reported that it did not run the request
-	Said    decide.AnswerNotice // what the upstream reported of itself, in its answer or in an earlier one for which nothing was sent
-	Ended   bool                // the upstream cut the run off, and its address no longer accepts connections
+	Outcome         decide.Outcome
+	Ran             bool                // a byte may have been sent to the upstream
+	Tokens          int                 // generated in total, including earlier runs
+	Pace            time.Duration       // per token; 0 if unknown
+	First           time.Duration       // from sending to the first token; 0 if unknown
+	Refused         bool                // the upstream itself reported that it did not run the request
+	Notice          decide.AnswerNotice // what the upstream reported of itself, in its answer or in an earlier one for which nothing was sent
+	UpstreamCrashed bool                // the upstream cut the run off, and its address no longer accepts connections
 }
 
 // BoxEntry is a box on the platform's list.
