--- a/cell/chart.go
+++ b/cell/chart.go
@@ -1,6 +1,8 @@
 package cell
 
-import _ "embed" // for the embedded chart of request states
+// This file embeds the state chart of a request.
+
+import _ "embed" // for requestChartFile
 
 //go:embed request.chart.json
 var requestChartFile []byte
--- a/cell/claim.go
+++ b/cell/claim.go
@@ -76,7 +76,7 @@
 	case decide.ClaimDuplicate:
 		n.end(l, Final{Reason: decide.DuplicateKey, Ran: true})
 	default:
-		n.end(l, Final{Reason: decide.KeyNotVouched, Ran: true, RetryAfter: n.timing.Dead})
+		n.end(l, Final{Reason: decide.KeyNotVouched, Ran: true, RetryAfter: n.timing.DeadTimeout})
 	}
 }
 
@@ -99,7 +99,7 @@
 	for _, l := range n.sortedRequests(func(l *localRequest) bool { return l.state == stateClaiming }) {
 		switch {
 		case n.now-l.claimStarted >= n.timing.ClaimGiveUp:
-			n.end(l, Final{Reason: decide.KeyNotVouched, Ran: true, RetryAfter: n.timing.Dead})
+			n.end(l, Final{Reason: decide.KeyNotVouched, Ran: true, RetryAfter: n.timing.DeadTimeout})
 		case n.now-l.claimSent >= n.timing.ClaimRetry:
 			n.claim(l)
 		}
--- a/cell/kept_slots.go
+++ b/cell/kept_slots.go
@@ -2,7 +2,7 @@
 
 // This file defines kept slots: when an answer is complete, its slot is used
 // for the next request of the same set without asking the owner again, if
-// the owner allows it. Invariants: a kept slot is counted in the sum that
+// the owner allows it. Invariants: a kept slot is counted in the summary that
 // renews the leases, so the owner does not grant it to another request; it
 // is returned when its time has passed, when the owner recalls it, or when
 // the owner changes.
@@ -123,19 +123,19 @@
 	}
 }
 
-// addKeptToSums counts the kept slots in the sums that renew the leases.
-func (n *Node) addKeptToSums(sums map[holdingKey]*Holding) {
+// addKeptToSummaries counts the kept slots in the summaries that renew the leases.
+func (n *Node) addKeptToSummaries(summaries map[holdingKey]*Holding) {
 	for set, list := range n.keptSlots {
 		if len(list) == 0 || n.owners[set] == "" {
 			continue
 		}
 		key := holdingKey{n.owners[set], set}
-		if sums[key] == nil {
-			sums[key] = &Holding{Set: set}
+		if summaries[key] == nil {
+			summaries[key] = &Holding{Set: set}
 		}
 		for _, s := range list {
-			sums[key].Count++
-			sums[key].Digest ^= s.id
+			summaries[key].Count++
+			summaries[key].Digest ^= s.id
 		}
 	}
 }
--- a/cell/limit.go
+++ b/cell/limit.go
@@ -23,16 +23,17 @@
 	nextPeer int                      // index of the next peer to ask
 }
 
-// limitKey returns the name of a limit in messages between boxes.
-func limitKey(what, name, kind string) string { return what + "/" + name + "/" + kind }
+// limitKey returns the name of a limit in messages between boxes: the kind
+// of its subject (customer or class), the subject's name, and the kind of limit.
+func limitKey(subject, name, kind string) string { return subject + "/" + name + "/" + kind }
 
 // limitsOf returns the limits that a request must pass. A concurrency limit
 // comes before a rate limit, since it can be given back.
 func (n *Node) limitsOf(l *localRequest) []*limit {
 	var out []*limit
-	add := func(what, name, kind string, lk decide.LimitKind, total float64, scope table.Scope, reason decide.Reason) {
+	add := func(subject, name, kind string, limitKind decide.LimitKind, total float64, scope table.Scope, reason decide.Reason) {
 		if total > 0 {
-			out = append(out, n.limitFor(limitKey(what, name, kind), lk, total, scope, reason))
+			out = append(out, n.limitFor(limitKey(subject, name, kind), limitKind, total, scope, reason))
 		}
 	}
 	if c := n.customer(l.req.Customer); c != nil {
@@ -124,20 +125,20 @@
 		n.end(l, Final{Reason: m.reason, RetryAfter: m.share.RetryAfter(n.now)})
 		return
 	}
-	l.parkedUntil = n.now + n.timing.LimitWait
+	l.parkedUntil = n.now + n.timing.LoanWait
 	l.parkedFor = m
 	n.parked = append(n.parked, l)
 	n.requestLoan(m, live)
 }
 
 // requestLoan asks a few peers in turn to lend part of a limit. A peer is
-// asked again only after half of LimitWait.
+// asked again only after half of LoanWait.
 func (n *Node) requestLoan(m *limit, live []string) {
 	key := n.keyOf(m)
 	for range min(len(live), n.timing.Fanout) {
 		peer := live[m.nextPeer%len(live)]
 		m.nextPeer++
-		if askedAt, ok := m.askedAt[peer]; ok && n.now-askedAt < n.timing.LimitWait/2 {
+		if askedAt, ok := m.askedAt[peer]; ok && n.now-askedAt < n.timing.LoanWait/2 {
 			continue
 		}
 		m.askedAt[peer] = n.now
--- a/cell/member.go
+++ b/cell/member.go
@@ -200,7 +200,7 @@
 			m.setState(now, p, memberAlive)
 		}
 	case memberSuspect, memberDead:
-		heardRecently := p.lastHeard > 0 && now-p.lastHeard < m.timing.Probe*probeTries
+		heardRecently := p.lastHeard > 0 && now-p.lastHeard < m.timing.ProbeRetryInterval*probeTries
 		switch {
 		case p.state == memberAlive && (s.Counter < p.counter || heardRecently):
 			p.gossipLeft = m.gossipRepeats() // this box has newer information
@@ -216,7 +216,7 @@
 	var repeat []string
 	for _, name := range m.names {
 		p := m.peers[name]
-		if p.probedSince == 0 || now-p.probedSince < time.Duration(p.tries)*m.timing.Probe {
+		if p.probedSince == 0 || now-p.probedSince < time.Duration(p.tries)*m.timing.ProbeRetryInterval {
 			continue
 		}
 		if p.tries < probeTries {
@@ -237,7 +237,7 @@
 func (m *membership) sweep(now time.Duration, changed func(p *peer)) {
 	for _, name := range m.names {
 		p := m.peers[name]
-		if p.state == memberSuspect && now-p.stateSince >= m.timing.Suspect {
+		if p.state == memberSuspect && now-p.stateSince >= m.timing.SuspectTimeout {
 			m.setState(now, p, memberDead)
 		}
 		if alive := p.state == memberAlive || p.state == memberSuspect; alive != p.reportedAlive {
@@ -264,7 +264,7 @@
 	}
 	if !full {
 		slices.SortStableFunc(changes, func(a, b *peer) int { return b.gossipLeft - a.gossipLeft })
-		changes = changes[:min(len(changes), m.timing.Gossip)]
+		changes = changes[:min(len(changes), m.timing.MaxSightings)]
 	}
 	for _, p := range changes {
 		p.gossipLeft = max(0, p.gossipLeft-1)
--- a/cell/node.go
+++ b/cell/node.go
@@ -95,36 +95,36 @@
 	withheldDigest  uint64                   // of the withheld requests
 	upstreamCrashes map[string]upstreamCrash // by upstream: the crashes that this box saw
 
-	nextHeartbeat time.Duration
-	nextHolding   time.Duration
-	nextRenew     time.Duration
-	nextSpare     time.Duration
-	emptySumsLeft map[holdingKey]int       // how many more times an empty sum is sent
-	lastSent      map[string]time.Duration // by box: the time of the last message to it
+	nextHeartbeat      time.Duration
+	nextHolding        time.Duration
+	nextRenew          time.Duration
+	nextSpare          time.Duration
+	emptySummariesLeft map[holdingKey]int       // how many more times an empty summary is sent
+	lastSent           map[string]time.Duration // by box: the time of the last message to it
 }
 
 // NewNode returns a node for one incarnation of a box.
 func NewNode(cfg Config) *Node {
 	n := &Node{
-		cfg:             cfg,
-		timing:          cfg.Timing,
-		random:          rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)),
-		claims:          decide.NewClaims(cfg.Domain, cfg.Box, cfg.Boot, cfg.Timing.Dead),
-		owners:          make(map[string]string),
-		pools:           make(map[string]*decide.Pool),
-		orders:          make(map[string]*decide.Orders),
-		dirty:           make(map[string]bool),
-		spares:          make(map[string]map[string]*spare),
-		requests:        make(map[uint64]*localRequest),
-		limits:          make(map[string]*limit),
-		lengths:         make(map[string]*decide.Lengths),
-		budgets:         make(map[string]*decide.RetryBudget),
-		emptySumsLeft:   make(map[holdingKey]int),
-		lastSent:        make(map[string]time.Duration),
-		keptSlots:       make(map[string][]keptSlot),
-		recalledAt:      make(map[string]time.Duration),
-		ownShareBlocked: make(map[string]time.Duration),
-		upstreamCrashes: make(map[string]upstreamCrash),
+		cfg:                cfg,
+		timing:             cfg.Timing,
+		random:             rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)),
+		claims:             decide.NewClaims(cfg.Domain, cfg.Box, cfg.Boot, cfg.Timing.DeadTimeout),
+		owners:             make(map[string]string),
+		pools:              make(map[string]*decide.Pool),
+		orders:             make(map[string]*decide.Orders),
+		dirty:              make(map[string]bool),
+		spares:             make(map[string]map[string]*spare),
+		requests:           make(map[uint64]*localRequest),
+		limits:             make(map[string]*limit),
+		lengths:            make(map[string]*decide.Lengths),
+		budgets:            make(map[string]*decide.RetryBudget),
+		emptySummariesLeft: make(map[holdingKey]int),
+		lastSent:           make(map[string]time.Duration),
+		keptSlots:          make(map[string][]keptSlot),
+		recalledAt:         make(map[string]time.Duration),
+		ownShareBlocked:    make(map[string]time.Duration),
+		upstreamCrashes:    make(map[string]upstreamCrash),
 	}
 	n.members = newMembership(cfg.Box, cfg.Boot, cfg.Timing, n.random)
 	return n
--- a/cell/overflow.go
+++ b/cell/overflow.go
@@ -36,7 +36,7 @@
 	if n.now < n.nextSpare || n.cfg.Standalone {
 		return
 	}
-	n.nextSpare = n.now + n.timing.Spare
+	n.nextSpare = n.now + n.timing.SpareInterval
 	for _, set := range n.Owned() {
 		others := n.otherDomains()
 		slots := n.spareSlots(n.pools[set], len(others))
@@ -126,7 +126,7 @@
 	var best *spare
 	for _, d := range domains {
 		s := n.spares[set][d]
-		if n.now-s.heardAt < spareLifePeriods*n.timing.Spare && s.slotsFor(tier) > 0 && (best == nil || s.slotsFor(tier) > best.slotsFor(tier)) {
+		if n.now-s.heardAt < spareLifePeriods*n.timing.SpareInterval && s.slotsFor(tier) > 0 && (best == nil || s.slotsFor(tier) > best.slotsFor(tier)) {
 			best = s
 		}
 	}
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -75,7 +75,7 @@
 
 func (n *Node) takeOwnership(set string) {
 	cfg := n.cfg.Pool
-	cfg.Learn = n.timing.Learn
+	cfg.Learn = n.timing.OwnerLearnTime
 	if cfg.KeepAbove == 0 {
 		cfg.KeepAbove = keepSlotsAbove
 	}
@@ -283,7 +283,7 @@
 	if p == nil {
 		return
 	}
-	if m.WaitingCount > 0 && !m.Full && n.now-n.lastSent[from] >= n.timing.Holding {
+	if m.WaitingCount > 0 && !m.Full && n.now-n.lastSent[from] >= n.timing.WaitingRenewInterval {
 		n.sendHeartbeat([]string{from}) // a box with waiting bids needs to hear that the owner is alive
 	}
 	if m.Full {
--- a/cell/renew.go
+++ b/cell/renew.go
@@ -1,9 +1,9 @@
 package cell
 
-// This file defines how a holder renews its leases and bids: it sends a sum
+// This file defines how a holder renews its leases and bids: it sends a summary
 // to each owner, and the full list if the owner asks for it. Invariant: each
 // slot that the box holds and each bid that it has waiting is in exactly one
-// sum.
+// summary.
 
 import (
 	"maps"
@@ -15,41 +15,41 @@
 // holdingKey identifies the leases of one set at one owner.
 type holdingKey struct{ owner, set string }
 
-// emptySums is the number of times an empty sum is sent after the last slot
+// emptySummaries is the number of times an empty summary is sent after the last slot
 // was returned.
-const emptySums = 3
+const emptySummaries = 3
 
-// tickHolding sends each owner the sum that renews the leases there.
+// tickHolding sends each owner the summary that renews the leases there.
 func (n *Node) tickHolding() {
 	if n.now < n.nextHolding {
 		return
 	}
-	n.nextHolding = n.now + n.timing.Holding
+	n.nextHolding = n.now + n.timing.WaitingRenewInterval
 	all := n.now >= n.nextRenew
 	if all {
-		n.nextRenew = n.now + n.timing.Renew
+		n.nextRenew = n.now + n.timing.RenewInterval
 	}
-	sums := make(map[holdingKey]*Holding)
+	summaries := make(map[holdingKey]*Holding)
 	for _, l := range n.requests {
-		n.addToSum(sums, l)
+		n.addToSummary(summaries, l)
 	}
-	n.addKeptToSums(sums)
+	n.addKeptToSummaries(summaries)
 	if !all {
-		// In between, only owners with a waiting bid of this box get a sum:
+		// In between, only owners with a waiting bid of this box get a summary:
 		// this finds a lost bid soon, and leases live long enough without
 		// it.
-		maps.DeleteFunc(sums, func(_ holdingKey, h *Holding) bool { return h.WaitingCount == 0 })
+		maps.DeleteFunc(summaries, func(_ holdingKey, h *Holding) bool { return h.WaitingCount == 0 })
 	}
-	for key := range n.emptySumsLeft {
-		if all && sums[key] == nil {
-			sums[key] = &Holding{Set: key.set}
-			if n.emptySumsLeft[key]--; n.emptySumsLeft[key] <= 0 {
-				delete(n.emptySumsLeft, key)
+	for key := range n.emptySummariesLeft {
+		if all && summaries[key] == nil {
+			summaries[key] = &Holding{Set: key.set}
+			if n.emptySummariesLeft[key]--; n.emptySummariesLeft[key] <= 0 {
+				delete(n.emptySummariesLeft, key)
 			}
 		}
 	}
-	keys := make([]holdingKey, 0, len(sums))
-	for key := range sums {
+	keys := make([]holdingKey, 0, len(summaries))
+	for key := range summaries {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b holdingKey) int {
@@ -59,13 +59,13 @@
 		return 1
 	})
 	for _, key := range keys {
-		n.sendSum(key, sums[key])
+		n.sendSummary(key, summaries[key])
 	}
 }
 
-func (n *Node) sendSum(key holdingKey, h *Holding) {
+func (n *Node) sendSummary(key holdingKey, h *Holding) {
 	if h.Count > 0 || h.WaitingCount > 0 {
-		n.emptySumsLeft[key] = emptySums
+		n.emptySummariesLeft[key] = emptySummaries
 	}
 	if key.owner == n.cfg.Box {
 		if p := n.pools[key.set]; p != nil {
@@ -76,15 +76,15 @@
 	n.send(key.owner, h)
 }
 
-func (n *Node) addToSum(sums map[holdingKey]*Holding, l *localRequest) {
+func (n *Node) addToSummary(summaries map[holdingKey]*Holding, l *localRequest) {
 	if l.owner == "" {
 		return
 	}
 	key := holdingKey{l.owner, l.set}
-	h := sums[key]
+	h := summaries[key]
 	if h == nil {
 		h = &Holding{Set: l.set}
-		sums[key] = h
+		summaries[key] = h
 	}
 	switch {
 	case l.state == stateWaiting:
@@ -126,7 +126,7 @@
 func (n *Node) sendFullHolding(set, owner string) {
 	h := &Holding{Set: set, Full: true}
 	for _, l := range n.sortedRequests(func(l *localRequest) bool { return l.set == set && l.owner == owner }) {
-		n.addToSum(map[holdingKey]*Holding{{owner, set}: h}, l)
+		n.addToSummary(map[holdingKey]*Holding{{owner, set}: h}, l)
 		switch {
 		case l.state == stateWaiting:
 			h.Waiting = append(h.Waiting, l.req.ID)
--- a/cell/schedule_test.go
+++ b/cell/schedule_test.go
@@ -36,8 +36,8 @@
 	searchDepth = 4
 	// searchStep is long enough for a box to become suspected, and too short
 	// for the suspicion to be settled.
-	searchStep = 900 * time.Millisecond
-	searchSlot = 2
+	searchStep  = 900 * time.Millisecond
+	searchSlots = 2
 )
 
 // TestAllShortFaultSchedules runs every schedule of the moves, with two
@@ -58,7 +58,7 @@
 		}
 	}
 	walk(nil)
-	t.Logf("%d schedules, maximum running at once on %d slots: %d", pow(len(scheduleMoves), searchDepth), searchSlot, maxRunning)
+	t.Logf("%d schedules, maximum running at once on %d slots: %d", pow(len(scheduleMoves), searchDepth), searchSlots, maxRunning)
 }
 
 func pow(n, e int) int {
@@ -71,10 +71,10 @@
 func searchSchedule(t *testing.T, path []int) int {
 	s := newSimulation(t, 1, 1, 2, 1)
 	for _, e := range s.engines {
-		e.slots = searchSlot
+		e.slots = searchSlots
 	}
 	for i := range s.table.Upstreams {
-		s.table.Upstreams[i].Slots = searchSlot
+		s.table.Upstreams[i].Slots = searchSlots
 	}
 	s.table = s.table.WithRevision(1)
 	s.startAll()
@@ -110,8 +110,8 @@
 		}
 	}
 	maxRunning := s.engines["e0.0"].maxRunning
-	if maxRunning > 2*searchSlot {
-		fail("%d requests ran at once on %d slots, want at most twice the slots", maxRunning, searchSlot)
+	if maxRunning > 2*searchSlots {
+		fail("%d requests ran at once on %d slots, want at most twice the slots", maxRunning, searchSlots)
 	}
 	return maxRunning
 }
--- a/cell/simulation_test.go
+++ b/cell/simulation_test.go
@@ -197,20 +197,20 @@
 	return out
 }
 
-func (s *simulation) after(d time.Duration, do func()) {
+func (s *simulation) after(d time.Duration, fn func()) {
 	s.order++
-	heap.Push(&s.queue, event{s.now + d, s.order, do})
+	heap.Push(&s.queue, event{s.now + d, s.order, fn})
 }
 
 // on calls fn on a box if the incarnation is still running. If the box is
 // paused, fn is called when it resumes.
-func (s *simulation) on(b *testBox, boot uint64, do func()) {
+func (s *simulation) on(b *testBox, boot uint64, fn func()) {
 	switch {
 	case b.dead || b.boot != boot:
 	case b.paused:
-		b.pending = append(b.pending, func() { s.on(b, boot, do) })
+		b.pending = append(b.pending, func() { s.on(b, boot, fn) })
 	default:
-		do()
+		fn()
 		s.perform(b)
 	}
 }
@@ -243,11 +243,11 @@
 
 // runUntil advances the simulation until ok returns true, and fails the test
 // after limit.
-func (s *simulation) runUntil(what string, limit time.Duration, ok func() bool) {
+func (s *simulation) runUntil(condition string, limit time.Duration, ok func() bool) {
 	s.t.Helper()
 	for end := s.now + limit; !ok(); s.run(testTick) {
 		if s.now > end {
-			s.t.Fatalf("timed out waiting for %s after %v", what, limit)
+			s.t.Fatalf("timed out waiting for %s after %v", condition, limit)
 		}
 	}
 }
@@ -259,10 +259,10 @@
 func (s *simulation) resume(name string) {
 	b := s.boxes[name]
 	b.paused = false
-	held := b.pending
+	pending := b.pending
 	b.pending = nil
-	for _, do := range held {
-		do()
+	for _, fn := range pending {
+		fn()
 	}
 }
 
