--- a/cell/owner.go
+++ b/cell/owner.go
@@ -76,8 +76,8 @@
 func (n *Node) takeOwnership(set string) {
 	cfg := n.cfg.Pool
 	cfg.Learn = n.timing.OwnerLearnTime
-	if cfg.KeepAbove == 0 {
-		cfg.KeepAbove = keepSlotsAbove
+	if cfg.RetainAbove == 0 {
+		cfg.RetainAbove = keepSlotsAbove
 	}
 	cfg.Seed = n.cfg.Seed ^ n.cfg.Boot
 	p := decide.NewPool(cfg)
@@ -85,7 +85,7 @@
 	n.configurePool(set)
 	live := n.members.live()
 	if !n.cfg.Standalone && !n.cfg.Disabled.OwnerLearning && len(live) > 0 {
-		p.Learn(n.now, live)
+		p.StartLearning(n.now, live)
 	}
 	p.Adopt(n.now, n.cfg.Box, n.heldIn(set, n.cfg.Box), nil)
 	n.orders[set] = decide.NewOrders(n.now, n.timing.LeaseLife)
@@ -273,7 +273,7 @@
 func (n *Node) onRelease(m *Release) {
 	if p := n.pools[m.Set]; p != nil {
 		p.ApplyNotice(n.now, m.Upstream, m.Notice)
-		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, TimePerToken: m.Pace, First: m.First, Attempt: m.Attempt})
+		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, TimePerToken: m.Pace, TimeToFirstToken: m.First, Attempt: m.Attempt})
 		n.dirty[m.Set] = true
 	}
 }
--- a/route/homes.go
+++ b/route/homes.go
@@ -7,13 +7,13 @@
 
 // Homes are the regions in which a request may run.
 type Homes struct {
-	Bound   bool     // only upstreams in Regions may run the request; false: all may
-	Regions []string // empty with Bound: no upstream may run the request
+	Restricted bool     // only upstreams in Regions may run the request; false: all may
+	Regions    []string // empty with Bound: no upstream may run the request
 }
 
-// HomesOf returns the regions in which a request may run, given its route and its customer; c is
+// AllowedRegions returns the regions in which a request may run, given its route and its customer; c is
 // nil if the request has no customer.
-func HomesOf(r *Route, c *Customer) Homes {
+func AllowedRegions(r *Route, c *Customer) Homes {
 	switch {
 	case c == nil || len(c.Homes) == 0:
 		return Homes{len(r.Homes) > 0, r.Homes}
