--- a/cell/owner.go
+++ b/cell/owner.go
@@ -75,7 +75,7 @@
 
 func (n *Node) takeOwnership(set string) {
 	cfg := n.cfg.Pool
-	cfg.Learn = n.timing.OwnerLearnTime
+	cfg.LearnPeriod = n.timing.OwnerLearnTime
 	if cfg.RetainAbove == 0 {
 		cfg.RetainAbove = keepSlotsAbove
 	}
--- a/decide/pool.go
+++ b/decide/pool.go
@@ -16,8 +16,8 @@
 type PoolConfig struct {
 	// Queue is the maximum number of waiting requests over all classes.
 	Queue int
-	// Learn is how long a new owner waits for the boxes to list their leases.
-	Learn time.Duration
+	// LearnPeriod is how long a new owner waits for the boxes to list their leases.
+	LearnPeriod time.Duration
 	// NoPause disables pausing of lower tiers, to measure its benefit.
 	NoPause bool
 	// RetainAbove is the number of leases from which on holders may retain slots
--- a/decide/pool_test.go
+++ b/decide/pool_test.go
@@ -19,7 +19,7 @@
 
 // testPool returns a pool with two upstreams, a and b, with the given number of slots each.
 func testPool(slots int, rules ...Rule) *Pool {
-	p := NewPool(PoolConfig{Learn: time.Second})
+	p := NewPool(PoolConfig{LearnPeriod: time.Second})
 	p.SetRules(0, rules, 100)
 	p.SetBackends(0, []Backend{{Name: "a", Slots: slots, CanPause: true}, {Name: "b", Slots: slots, CanPause: true}})
 	return p
--- a/decide/renew.go
+++ b/decide/renew.go
@@ -25,7 +25,7 @@
 // pool. Until all of the given boxes have listed their leases or PoolConfig.StartLearning has
 // passed, the pool grants only slots that the upstreams' own reports show as free.
 func (p *Pool) StartLearning(now Time, boxes []string) {
-	p.learnUntil = now + p.cfg.Learn
+	p.learnUntil = now + p.cfg.LearnPeriod
 	clear(p.pendingBoxes)
 	for _, b := range boxes {
 		p.pendingBoxes[b] = true
