--- a/soak/faults.go
+++ b/soak/faults.go
@@ -100,7 +100,7 @@
 	{"let upstreams fail most requests", failUpstreams},
 	{"let an upstream leave without the store", letLeave},
 	{"let an upstream ask for pauses", letPause},
-	{"forget the store's history", func(w *world) func() { w.store.Forget(); return nil }},
+	{"forget the store's history", func(w *world) func() { w.store.DiscardHistory(); return nil }},
 	{"change the document", func(w *world) func() {
 		w.document.Version += 1 + uint64(w.random.IntN(3))
 		if err := w.publish(); err != nil {
