--- a/internal/control/codec.go
+++ b/internal/control/codec.go
@@ -32,15 +32,15 @@
 
 // Values of Drop.
 const (
-	DropNone     Drop = ""
-	DropSize     Drop = "size"
-	DropMAC      Drop = "mac"
-	DropGarbage  Drop = "garbage"
-	DropOldBoot  Drop = "old_boot"
-	DropReplay   Drop = "replay"
-	DropOwn      Drop = "own"
-	DropUnknown  Drop = "unknown_kind"
-	DropRingFull Drop = "ring_full"
+	DropNone      Drop = ""
+	DropSize      Drop = "size"
+	DropMAC       Drop = "mac"
+	DropMalformed Drop = "garbage"
+	DropOldBoot   Drop = "old_boot"
+	DropReplay    Drop = "replay"
+	DropOwn       Drop = "own"
+	DropUnknown   Drop = "unknown_kind"
+	DropRingFull  Drop = "ring_full"
 )
 
 // Received is the content of a datagram.
@@ -138,7 +138,7 @@
 	}
 	var d wire.Datagram
 	if err := proto.Unmarshal(body, &d); err != nil || d.Sender == "" {
-		return Received{}, DropGarbage
+		return Received{}, DropMalformed
 	}
 	if d.Sender == c.sender {
 		return Received{}, DropOwn
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -107,7 +107,7 @@
 		{"truncated", func(*Codec) []byte { g := one(codec("a", 1, key)); return g[:len(g)-1] }, DropMAC},
 		{"flipped bit", func(*Codec) []byte { g := one(codec("a", 1, key)); g[3] ^= 1; return g }, DropMAC},
 		{"own datagram", func(*Codec) []byte { return one(codec("b", 1, key)) }, DropOwn},
-		{"empty sender", func(*Codec) []byte { return one(codec("", 1, key)) }, DropGarbage},
+		{"empty sender", func(*Codec) []byte { return one(codec("", 1, key)) }, DropMalformed},
 		{"old incarnation", func(b *Codec) []byte {
 			b.Decode(one(codec("a", 2, key)))
 			return one(codec("a", 1, key))
