--- a/cell/finish.go
+++ b/cell/finish.go
@@ -85,7 +85,7 @@
 
 // release returns the slot to its owner, unless this box keeps it.
 func (n *Node) release(l *localRequest, r Result) {
-	if r.Outcome == decide.Answered && !r.Notice.Any() && n.keepSlot(l) {
+	if r.Outcome == decide.Answered && !r.Notice.HasContent() && n.keepSlot(l) {
 		return
 	}
 	outcome := r.Outcome
--- a/cell/notices.go
+++ b/cell/notices.go
@@ -19,7 +19,7 @@
 // noteUpstreamNotice records what the upstream of a request reported of
 // itself.
 func (n *Node) noteUpstreamNotice(l *localRequest, s decide.AnswerNotice) {
-	if !s.Any() {
+	if !s.HasContent() {
 		return
 	}
 	blockedUntil := n.now + s.Pause
--- a/decide/notice.go
+++ b/decide/notice.go
@@ -14,13 +14,13 @@
 	Age     time.Duration // time since the answer
 }
 
-// Any reports whether the notice contains anything.
-func (s AnswerNotice) Any() bool { return s.Leaving || s.Pause > 0 }
+// HasContent reports whether the notice contains anything.
+func (s AnswerNotice) HasContent() bool { return s.Leaving || s.Pause > 0 }
 
 // ApplyNotice applies a notice to an upstream. Notices of unknown upstreams are ignored.
 func (p *Pool) ApplyNotice(now Time, upstream string, s AnswerNotice) {
 	b := p.byName[upstream]
-	if b == nil || !s.Any() {
+	if b == nil || !s.HasContent() {
 		return
 	}
 	if s.Leaving {
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -91,7 +91,7 @@
 	if c.Fresh {
 		open = h.dial
 	}
-	if n := h.activeNotice(c.Address); n.Any() {
+	if n := h.activeNotice(c.Address); n.HasContent() {
 		return cell.Result{Outcome: decide.Unused, Tokens: c.From, Notice: n}
 	}
 	k, err := open(ctx, c.Address)
@@ -102,7 +102,7 @@
 		return cell.Result{Outcome: decide.Failed, Tokens: c.From}
 	}
 	active := h.activeNotice(c.Address) // one may have arrived while the connection was opened
-	if active.Any() || h.cfg.Clock.Boot() > c.StartBy || ctx.Err() != nil || !s.Sending() {
+	if active.HasContent() || h.cfg.Clock.Boot() > c.StartBy || ctx.Err() != nil || !s.Sending() {
 		h.put(c.Address, k)
 		return cell.Result{Outcome: decide.Unused, Tokens: c.From, Notice: active}
 	}
--- a/internal/upstream/notice.go
+++ b/internal/upstream/notice.go
@@ -45,7 +45,7 @@
 // recordNotice records the notice in the headers of an answer, and returns it.
 func (h *HTTP) recordNotice(address string, resp *fasthttp.Response) decide.AnswerNotice {
 	n := parseNotice(resp, time.Now())
-	if !n.Any() {
+	if !n.HasContent() {
 		return n
 	}
 	now := h.cfg.Clock.Boot()
@@ -73,7 +73,7 @@
 	if n.Leaving {
 		n.Age = now - latest.leavingAt
 	}
-	if !n.Any() {
+	if !n.HasContent() {
 		delete(h.notices, address)
 	}
 	return n
--- a/internal/upstream/notice_test.go
+++ b/internal/upstream/notice_test.go
@@ -47,7 +47,7 @@
 			r = h.Run(context.Background(), callTo(s.Addr().String(), false), &sink)
 			is.Equal(r.Outcome == decide.Unused, c.leaving || c.pauses)
 			is.Equal(sink.sent, !c.leaving && !c.pauses)
-			is.Equal(r.Notice.Any(), c.leaving || c.pauses)
+			is.Equal(r.Notice.HasContent(), c.leaving || c.pauses)
 			_, err := h.Report(context.Background(), s.Addr().String())
 			is.Equal(errors.Is(err, errPaused), c.pauses)
 		})
@@ -76,7 +76,7 @@
 	is.Equal(h.activeNotice("a"), decide.AnswerNotice{Leaving: true, Age: time.Second})
 	is.Equal(h.activeNotice("b"), decide.AnswerNotice{Pause: time.Second})
 	clock.now = 10 * time.Second
-	is.True(!h.activeNotice("a").Any())
-	is.True(!h.activeNotice("b").Any())
+	is.True(!h.activeNotice("a").HasContent())
+	is.True(!h.activeNotice("b").HasContent())
 	is.Equal(len(h.notices), 0)
 }
