--- a/internal/caller/answer.go
+++ b/internal/caller/answer.go
@@ -37,7 +37,8 @@
 	} `json:"error"`
 }
 
-// ranText returns the value that says in an answer whether the request has run.
+// ranText returns the value of HeaderRan, which is also that of the field ran in the
+// error body: whether the request may have run.
 func ranText(ran bool) string {
 	if ran {
 		return "unknown"
--- a/internal/caller/exchange.go
+++ b/internal/caller/exchange.go
@@ -18,11 +18,11 @@
 type pieceKind uint8
 
 const (
-	pieceEvent pieceKind = iota // event of a stream
-	pieceWhole                  // answer of a plain service, which also ends the exchange
-	endWhole                    // end of a complete stream
-	endRefused                  // end without a complete answer
-	endLeft                     // the caller has disconnected
+	pieceEvent      pieceKind = iota // event of a stream
+	pieceWhole                       // answer of a plain service, which also ends the exchange
+	endWhole                         // end of a complete stream
+	endRefused                       // end without a complete answer
+	endDisconnected                  // the caller has disconnected
 )
 
 // piece is an element of an answer.
--- a/internal/caller/serve.go
+++ b/internal/caller/serve.go
@@ -55,7 +55,7 @@
 	for {
 		e, ok := x.next()
 		switch {
-		case !ok || e.kind == endLeft:
+		case !ok || e.kind == endDisconnected:
 			ctx.SetConnectionClose()
 			return
 		case e.kind == endRefused:
@@ -83,7 +83,7 @@
 		s.unwatch(x.ID)
 		s.open.Add(-1)
 	}
-	if !ok || first.kind == endLeft {
+	if !ok || first.kind == endDisconnected {
 		done()
 		ctx.SetConnectionClose()
 		return
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -55,10 +55,10 @@
 func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	a, b := codec("a", 1, key), codec("b", 1, key)
-	grams, err := a.Encode(nil, messages())
+	datagrams, err := a.Encode(nil, messages())
 	is.NoErr(err)
-	is.Equal(len(grams), 1)
-	r, drop := b.Decode(grams[0])
+	is.Equal(len(datagrams), 1)
+	r, drop := b.Decode(datagrams[0])
 	is.Equal(drop, DropNone)
 	is.Equal(r.Sender, "a")
 	is.Equal(r.Stamp, timeline.Stamp{Wall: 5, Logical: 6})
@@ -73,12 +73,12 @@
 	for range 500 {
 		many = append(many, messages()[1])
 	}
-	grams, err := codec("a", 1, key).Encode(nil, many)
+	datagrams, err := codec("a", 1, key).Encode(nil, many)
 	is.NoErr(err)
-	is.True(len(grams) > 1)
+	is.True(len(datagrams) > 1)
 	n := 0
 	b := codec("b", 1, key)
-	for _, g := range grams {
+	for _, g := range datagrams {
 		is.True(len(g) <= maxDatagram)
 		r, _ := b.Decode(g)
 		n += len(r.Messages)
@@ -88,53 +88,53 @@
 
 // TestDrops covers the reasons for which a datagram is dropped.
 func TestDrops(t *testing.T) {
-	one := func(c *Codec) []byte {
-		grams, err := c.Encode(nil, []cell.Message{&cell.Recall{Set: "s"}})
+	encodeOne := func(c *Codec) []byte {
+		datagrams, err := c.Encode(nil, []cell.Message{&cell.Recall{Set: "s"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return grams[0]
+		return datagrams[0]
 	}
 	for _, c := range []struct {
-		name string
-		gram func(b *Codec) []byte
-		want Drop
+		name     string
+		datagram func(b *Codec) []byte
+		want     Drop
 	}{
 		{"empty", func(*Codec) []byte { return nil }, DropSize},
 		{"shorter than a MAC", func(*Codec) []byte { return make([]byte, 10) }, DropSize},
 		{"garbage", func(*Codec) []byte { return []byte("some text that is no datagram at all") }, DropMAC},
-		{"another key", func(*Codec) []byte { return one(codec("a", 1, []byte("another key entirely"))) }, DropMAC},
-		{"truncated", func(*Codec) []byte { g := one(codec("a", 1, key)); return g[:len(g)-1] }, DropMAC},
-		{"flipped bit", func(*Codec) []byte { g := one(codec("a", 1, key)); g[3] ^= 1; return g }, DropMAC},
-		{"own datagram", func(*Codec) []byte { return one(codec("b", 1, key)) }, DropOwn},
-		{"empty sender", func(*Codec) []byte { return one(codec("", 1, key)) }, DropGarbage},
+		{"another key", func(*Codec) []byte { return encodeOne(codec("a", 1, []byte("another key entirely"))) }, DropMAC},
+		{"truncated", func(*Codec) []byte { g := encodeOne(codec("a", 1, key)); return g[:len(g)-1] }, DropMAC},
+		{"flipped bit", func(*Codec) []byte { g := encodeOne(codec("a", 1, key)); g[3] ^= 1; return g }, DropMAC},
+		{"own datagram", func(*Codec) []byte { return encodeOne(codec("b", 1, key)) }, DropOwn},
+		{"empty sender", func(*Codec) []byte { return encodeOne(codec("", 1, key)) }, DropGarbage},
 		{"old incarnation", func(b *Codec) []byte {
-			b.Decode(one(codec("a", 2, key)))
-			return one(codec("a", 1, key))
+			b.Decode(encodeOne(codec("a", 2, key)))
+			return encodeOne(codec("a", 1, key))
 		}, DropOldBoot},
 		{"duplicate", func(b *Codec) []byte {
-			g := one(codec("a", 1, key))
+			g := encodeOne(codec("a", 1, key))
 			b.Decode(g)
 			return g
 		}, DropReplay},
 		{"reordered beyond the replay window", func(b *Codec) []byte {
 			a := codec("a", 1, key)
-			old := one(a)
+			old := encodeOne(a)
 			for range replayWindow + 1 {
-				b.Decode(one(a))
+				b.Decode(encodeOne(a))
 			}
 			return old
 		}, DropReplay},
 		{"reordered within the replay window", func(b *Codec) []byte {
 			a := codec("a", 1, key)
-			first := one(a)
-			b.Decode(one(a))
+			first := encodeOne(a)
+			b.Decode(encodeOne(a))
 			return first
 		}, DropNone},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := codec("b", 1, key)
-			_, drop := b.Decode(c.gram(b))
+			_, drop := b.Decode(c.datagram(b))
 			is.New(t).Equal(drop, c.want)
 		})
 	}
@@ -159,11 +159,11 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	grams, err := codec("a", 1, key).Encode(nil, messages())
+	datagrams, err := codec("a", 1, key).Encode(nil, messages())
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(grams[0][:len(grams[0])-macSize])
+	f.Add(datagrams[0][:len(datagrams[0])-macSize])
 	f.Fuzz(func(_ *testing.T, body []byte) {
 		b := codec("b", 1, key)
 		// A valid MAC lets the body reach the parser.
--- a/internal/control/node_fuzz_test.go
+++ b/internal/control/node_fuzz_test.go
@@ -11,11 +11,11 @@
 // FuzzNode passes arbitrary datagrams with a valid MAC to a node, which must not
 // panic.
 func FuzzNode(f *testing.F) {
-	grams, err := codec("a", 1, key).Encode(nil, messages())
+	datagrams, err := codec("a", 1, key).Encode(nil, messages())
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(grams[0][:len(grams[0])-macSize])
+	f.Add(datagrams[0][:len(datagrams[0])-macSize])
 	t, err := table.Parse("t", []byte(`{"classes":[{"name":"c","tier":1,"first_token":"1s","floor":0.1,"set":"s","repeatable":true,"rate":5}],
 		"customers":[{"name":"u","default_class":"c","concurrency":3}],
 		"upstreams":[{"name":"e","domain":"d","address":"127.0.0.1:1","set":"s","slots":1}]}`))
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -52,7 +52,7 @@
 	return min(end.Sub(now), MaxDelay), true
 }
 
-// Decimal parses a non-negative decimal number of digits and at most one point, without sign or exponent. A number too large for a
+// Decimal parses a decimal number of 0 or more that consists of digits and at most one point, without sign or exponent. A number too large for a
 // float64 is returned as infinity.
 func Decimal(text string) (number float64, ok bool) {
 	if strings.Trim(text, "0123456789.") != "" {
--- a/internal/timer/timer.go
+++ b/internal/timer/timer.go
@@ -16,7 +16,7 @@
 // Clock provides the monotonic and the wall time.
 type Clock interface {
 	Boot() time.Duration // since the machine's boot, time in suspension included
-	Wall() time.Time
+	Wall() time.Time     // wall-clock time, which counts from 1970
 }
 
 // SystemClock is the clock of the operating system.
