--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -121,7 +121,7 @@
 		"bid": control.Size(&cell.Bid{Set: set, Bid: decide.Bid{ID: id, Class: "question", Customer: "customer-123",
 			Waited: time.Millisecond, Work: 250, Prefix: id}}),
 		"grant":    control.Size(&cell.Grant{Set: set, ID: id, Upstream: upstream, StartBy: time.Second, KeepFor: time.Second}),
-		"release":  control.Size(&cell.Release{Set: set, ID: id, Upstream: upstream, Tokens: 250, TimePerToken: 40 * time.Millisecond, First: 100 * time.Millisecond}),
+		"release":  control.Size(&cell.Release{Set: set, ID: id, Upstream: upstream, Tokens: 250, TimePerToken: 40 * time.Millisecond, TimeToFirstToken: 100 * time.Millisecond}),
 		"holding":  control.Size(&cell.Holding{Set: set, Count: 20, Digest: id}),
 		"claim":    control.Size(&cell.Claim{Key: "dmd1:domain-12:1800000000000:0123456789abcdef", ID: id}),
 		"ask":      control.Size(&cell.Ask{Limit: "customer/customer-123/rate", Want: 1}),
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -273,7 +273,7 @@
 func (n *Node) onRelease(m *Release) {
 	if p := n.pools[m.Set]; p != nil {
 		p.ApplyNotice(n.now, m.Upstream, m.Notice)
-		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, TimePerToken: m.TimePerToken, TimeToFirstToken: m.First, Attempt: m.Attempt})
+		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, TimePerToken: m.TimePerToken, TimeToFirstToken: m.TimeToFirstToken, Attempt: m.Attempt})
 		n.dirty[m.Set] = true
 	}
 }
--- a/cell/types.go
+++ b/cell/types.go
@@ -87,15 +87,15 @@
 
 // Release returns a slot to the owner.
 type Release struct {
-	Set          string
-	ID           uint64
-	Upstream     string
-	Tokens       int
-	Outcome      decide.Outcome
-	TimePerToken time.Duration       // per token; 0 if unknown
-	First        time.Duration       // from sending to the first token; 0 if unknown
-	Attempt      uint32              // attempt of the bid that the slot was granted for
-	Notice       decide.AnswerNotice // what the upstream reported of itself in its answer
+	Set              string
+	ID               uint64
+	Upstream         string
+	Tokens           int
+	Outcome          decide.Outcome
+	TimePerToken     time.Duration       // per token; 0 if unknown
+	TimeToFirstToken time.Duration       // from sending to the first token; 0 if unknown
+	Attempt          uint32              // attempt of the bid that the slot was granted for
+	Notice           decide.AnswerNotice // what the upstream reported of itself in its answer
 }
 
 // Holding summarizes the slots that the sender holds in a set and the bids
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -39,7 +39,7 @@
 		&cell.Recall{Set: "s"},
 		&cell.Refusal{Set: "s", ID: 1, Reason: decide.Late, RetryAfter: time.Second, LowerWaiting: 1, LowerRunning: 2, Redirect: "b"},
 		&cell.Preempt{Set: "s", ID: 1},
-		&cell.Release{Set: "s", ID: 1, Upstream: "e", Tokens: 3, Outcome: decide.Failed, TimePerToken: time.Millisecond, First: time.Millisecond, Attempt: 3},
+		&cell.Release{Set: "s", ID: 1, Upstream: "e", Tokens: 3, Outcome: decide.Failed, TimePerToken: time.Millisecond, TimeToFirstToken: time.Millisecond, Attempt: 3},
 		&cell.Holding{Set: "s", Count: 1, Digest: 2, WaitingCount: 3, WaitingDigest: 4, Full: true, Waiting: []uint64{9},
 			Held: []decide.HeldLease{{ID: 1, Upstream: "e", Class: "c", Customer: "u", Work: 2, Attempt: 3}}},
 		&cell.HoldingAsk{Set: "s"},
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -52,7 +52,7 @@
 		return &wire.Message{Body: &wire.Message_Preempt{Preempt: &wire.Preempt{Id: m.ID, Set: m.Set}}}
 	case *cell.Release:
 		return &wire.Message{Body: &wire.Message_Release{Release: &wire.Release{
-			Id: m.ID, Set: m.Set, Upstream: m.Upstream, Tokens: uint32(m.Tokens), Outcome: uint32(m.Outcome), Pace: micros(m.TimePerToken), First: micros(m.First), Attempt: m.Attempt,
+			Id: m.ID, Set: m.Set, Upstream: m.Upstream, Tokens: uint32(m.Tokens), Outcome: uint32(m.Outcome), Pace: micros(m.TimePerToken), First: micros(m.TimeToFirstToken), Attempt: m.Attempt,
 			Leaving: m.Notice.Leaving, Pause: micros(m.Notice.Pause), SaidAge: micros(m.Notice.Age)}}}
 	case *cell.Holding:
 		return &wire.Message{Body: &wire.Message_Holding{Holding: holdingToWire(m)}}
@@ -123,7 +123,7 @@
 		if w.Outcome > uint32(decide.Draining) {
 			return nil
 		}
-		return &cell.Release{Set: w.Set, ID: w.Id, Upstream: w.Upstream, Tokens: int(w.Tokens), Outcome: decide.Outcome(w.Outcome), TimePerToken: fromMicros(w.Pace), First: fromMicros(w.First), Attempt: w.Attempt,
+		return &cell.Release{Set: w.Set, ID: w.Id, Upstream: w.Upstream, Tokens: int(w.Tokens), Outcome: decide.Outcome(w.Outcome), TimePerToken: fromMicros(w.Pace), TimeToFirstToken: fromMicros(w.First), Attempt: w.Attempt,
 			Notice: decide.AnswerNotice{Leaving: w.Leaving, Pause: fromMicros(w.Pause), Age: fromMicros(w.SaidAge)}}
 	case *wire.Message_Holding:
 		return holdingFromWire(b.Holding)
