--- a/core.go
+++ b/core.go
@@ -209,7 +209,7 @@
 	b.history.setList(l)
 	for _, e := range l.Boxes {
 		if e.Name != b.cfg.Settings.Box {
-			b.book.set(e.Name, e.Control, e.Ops)
+			b.addresses.set(e.Name, e.Control, e.Ops)
 			b.link.SetAddress(e.Name, e.Control)
 		}
 	}
--- a/doormast.go
+++ b/doormast.go
@@ -42,37 +42,37 @@
 
 // Box is one entry box of the router.
 type Box struct {
-	cfg      Config
-	boot     uint64
-	clock    timer.Clock
-	log      *logrus.Entry
-	node     *cell.Node // owned by the core goroutine
-	arrivals *ring.Ring[caller.Arrival]
-	notices  *ring.Ring[notice]
-	reads    *ring.Ring[readRequest]
-	pulls    *ring.Ring[string]
-	timers   *timer.Service
-	stamps   timeline.Clock
-	events   *timeline.Ring
-	stats    *stats
-	callers  *caller.Server
-	link     *control.Link
-	ops      *ops.Server
-	runner   upstream.Runner
-	reader   platform.Reader
-	book     addressBook
-	history  tableHistory
-
-	table    atomic.Pointer[table.Table]
-	watched  atomic.Pointer[[]watchedUpstream]
-	leaving  atomic.Bool
-	requests atomic.Uint64
-	runs     map[uint64]*run           // owned by the core goroutine
-	outbox   map[string][]cell.Message // owned by the core goroutine
-	stop     context.CancelFunc
-	ended    chan dutyEnd
-	duties   int
-	drained  chan struct{}
+	cfg       Config
+	boot      uint64 // start of the process in Unix nanoseconds; identifies this run of the box
+	clock     timer.Clock
+	log       *logrus.Entry
+	node      *cell.Node // owned by the core goroutine
+	arrivals  *ring.Ring[caller.Arrival]
+	notices   *ring.Ring[notice]
+	reads     *ring.Ring[readRequest]
+	pulls     *ring.Ring[string]
+	timers    *timer.Service
+	stamps    timeline.Clock // logical clock of the timeline's events
+	events    *timeline.Ring
+	stats     *stats
+	callers   *caller.Server
+	link      *control.Link
+	ops       *ops.Server
+	runner    upstream.Runner
+	reader    platform.Reader
+	addresses addressBook
+	history   tableHistory // data that other boxes pull
+
+	table      atomic.Pointer[table.Table]
+	watched    atomic.Pointer[[]watchedUpstream]
+	leaving    atomic.Bool
+	requests   atomic.Uint64
+	runs       map[uint64]*run           // owned by the core goroutine
+	outbox     map[string][]cell.Message // owned by the core goroutine
+	stop       context.CancelFunc        // ends the duties
+	dutyEnds   chan dutyEnd
+	duties     int           // number of duties started
+	drainAsked chan struct{} // receives a value when an operator requests a planned stop
 }
 
 // dutyEnd is the result of a duty.
@@ -82,12 +82,12 @@
 }
 
 const (
-	timerStep      = 10 * time.Millisecond
-	tickInterval   = 50 * time.Millisecond
-	sweepInterval  = 50 * time.Millisecond
-	reportInterval = 250 * time.Millisecond
-	noticeRingSize = 1 << 13
-	smallRingSize  = 64
+	timerStep      = 10 * time.Millisecond  // resolution of the timers
+	tickInterval   = 50 * time.Millisecond  // between ticks of the node
+	sweepInterval  = 50 * time.Millisecond  // between checks for callers that disconnected
+	reportInterval = 250 * time.Millisecond // between load reports of an engine
+	noticeRingSize = 1 << 13                // capacity of the ring of notices
+	smallRingSize  = 64                     // capacity of the rings of reads and of pulls
 )
 
 // Start starts a box, which serves requests when Start returns; Close or Stop ends it. The
@@ -116,24 +116,24 @@
 	s := cfg.Settings
 	boot := uint64(cfg.Clock.Wall().UnixNano())
 	b := &Box{
-		cfg:      cfg,
-		boot:     boot,
-		clock:    cfg.Clock,
-		log:      cfg.Log.WithField("box", s.Box),
-		arrivals: ring.New[caller.Arrival](s.Limits.InProgress),
-		notices:  ring.New[notice](noticeRingSize),
-		reads:    ring.New[readRequest](smallRingSize),
-		pulls:    ring.New[string](smallRingSize),
-		events:   timeline.NewRing(s.Timeline),
-		stats:    newStats(),
-		runs:     make(map[uint64]*run),
-		ended:    make(chan dutyEnd, 8),
-		drained:  make(chan struct{}, 1),
+		cfg:        cfg,
+		boot:       boot,
+		clock:      cfg.Clock,
+		log:        cfg.Log.WithField("box", s.Box),
+		arrivals:   ring.New[caller.Arrival](s.Limits.InProgress),
+		notices:    ring.New[notice](noticeRingSize),
+		reads:      ring.New[readRequest](smallRingSize),
+		pulls:      ring.New[string](smallRingSize),
+		events:     timeline.NewRing(s.Timeline),
+		stats:      newStats(),
+		runs:       make(map[uint64]*run),
+		dutyEnds:   make(chan dutyEnd, 8),
+		drainAsked: make(chan struct{}, 1),
 	}
 	var peers []cell.BoxEntry
 	for _, p := range s.Peers {
 		peers = append(peers, cell.BoxEntry{Name: p.Box, Domain: p.Domain})
-		b.book.set(p.Box, p.Control, p.Ops)
+		b.addresses.set(p.Box, p.Control, p.Ops)
 	}
 	b.node = cell.NewNode(cell.Config{Box: s.Box, Domain: s.Domain, Boot: boot, Seed: boot, Timing: cfg.Timing, Peers: peers})
 	b.reader = platform.NewHTTP(s.Platform)
@@ -196,7 +196,7 @@
 // duty starts a goroutine that runs f and reports its end.
 func (b *Box) duty(ctx context.Context, name string, f func(context.Context) error) {
 	b.duties++
-	go func() { b.ended <- dutyEnd{name, f(ctx)} }()
+	go func() { b.dutyEnds <- dutyEnd{name, f(ctx)} }()
 }
 
 // componentLog writes log lines with the name of a component as their prefix.
@@ -270,7 +270,7 @@
 func (b *Box) Close() error {
 	b.stop()
 	for range b.duties {
-		end := <-b.ended
+		end := <-b.dutyEnds
 		if end.err != nil {
 			b.logFor(end.duty).Errorf("duty failed: %v", end.err)
 		}
--- a/duties.go
+++ b/duties.go
@@ -169,7 +169,7 @@
 }
 
 func (b *Box) pull(ctx context.Context, box string) error {
-	address := b.book.ops(box)
+	address := b.addresses.ops(box)
 	if address == "" {
 		return fmt.Errorf("address unknown")
 	}
--- a/mirror/publisher.go
+++ b/mirror/publisher.go
@@ -25,7 +25,7 @@
 	// the cause ErrNotNeeded, it stops after the page in progress.
 	ReadAll(ctx context.Context) ([]Item, uint64, error)
 	// Changes returns the changes after a revision, and waits for up to wait if there are
-	// none. ErrForgotten means that they are no longer kept, so that all items must be read.
+	// none. ErrHistoryExpired means that they are no longer kept, so that all items must be read.
 	Changes(ctx context.Context, after uint64, wait time.Duration) ([]Item, uint64, error)
 }
 
--- a/operators.go
+++ b/operators.go
@@ -55,7 +55,7 @@
 	b := (*Box)(o)
 	b.Drain()
 	select {
-	case b.drained <- struct{}{}:
+	case b.drainAsked <- struct{}{}:
 	default:
 	}
 	return &wire.DrainResponse{InProgress: uint64(b.callers.Open())}, nil
@@ -67,7 +67,7 @@
 }
 
 // DrainAsked returns a channel that receives a value when an operator requests a planned stop.
-func (b *Box) DrainAsked() <-chan struct{} { return b.drained }
+func (b *Box) DrainAsked() <-chan struct{} { return b.drainAsked }
 
 func eventToWire(e timeline.Event) *wire.TimelineEvent {
 	return &wire.TimelineEvent{Wall: e.Wall, Logical: uint32(e.Logical), Box: e.Box, Boot: e.Boot, Kind: string(e.Kind),
--- a/route/homes.go
+++ b/route/homes.go
@@ -8,7 +8,7 @@
 // Homes are the regions in which a request may run.
 type Homes struct {
 	Restricted bool     // only upstreams in Regions may run the request; false: all may
-	Regions    []string // empty with Bound: no upstream may run the request
+	Regions    []string // empty with Restricted: no upstream may run the request
 }
 
 // AllowedRegions returns the regions in which a request may run, given its route and its customer; c is
--- a/route/homes_test.go
+++ b/route/homes_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestHomesOf(t *testing.T) {
+func TestAllowedRegions(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		route, customer []string
--- a/settings/relay_test.go
+++ b/settings/relay_test.go
@@ -37,7 +37,7 @@
 	is.Equal(s.Links.Tuning().RegionKB, 0.0)
 }
 
-func TestPublishedIsTheShorterBound(t *testing.T) {
+func TestPublishDeadlineIsTheShorterBound(t *testing.T) {
 	is := is.New(t)
 	for bounds, want := range map[RelayBounds]float64{
 		{DocumentMillis: 3000}:                       3,
--- a/stats.go
+++ b/stats.go
@@ -164,15 +164,15 @@
 	c.whole.Update(int64(after / time.Microsecond))
 }
 
-// wastedTokens counts the tokens of an abandoned or failed run as wasted, except the first before
-// tokens, which were delivered earlier.
-func (s *stats) wastedTokens(row *table.Class, r cell.Result, before int) {
+// wastedTokens counts the tokens of an abandoned or failed run as wasted, except the first
+// delivered tokens, which earlier runs had sent to the caller.
+func (s *stats) wastedTokens(row *table.Class, r cell.Result, delivered int) {
 	if row == nil || r.Outcome != decide.Abandoned && (r.Outcome != decide.Failed || !r.Ran) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.class(row.Name, row.Tier).wasted.Inc(int64(max(0, r.Tokens-before)))
+	s.class(row.Name, row.Tier).wasted.Inc(int64(max(0, r.Tokens-delivered)))
 }
 
 // status returns the counters of all classes for operators, ordered by tier and name.
