--- a/cell/simulation_test.go
+++ b/cell/simulation_test.go
@@ -419,7 +419,7 @@
 		s.endRun(r)
 		s.on(b, boot, func() {
 			s.answered++
-			s.finish(b, boot, id, Result{Outcome: decide.Answered, Ran: true, Tokens: r.total, Pace: r.engine.tokenTime, Notice: decide.AnswerNotice{Leaving: r.engine.announcesLeaving}})
+			s.finish(b, boot, id, Result{Outcome: decide.Answered, Ran: true, Tokens: r.total, TimePerToken: r.engine.tokenTime, Notice: decide.AnswerNotice{Leaving: r.engine.announcesLeaving}})
 		})
 		return
 	}
--- a/cell/types.go
+++ b/cell/types.go
@@ -236,7 +236,7 @@
 	Outcome         decide.Outcome
 	Ran             bool                // a byte may have been sent to the upstream
 	Tokens          int                 // generated in total, including earlier runs
-	Pace            time.Duration       // per token; 0 if unknown
+	TimePerToken    time.Duration       // per token; 0 if unknown
 	First           time.Duration       // from sending to the first token; 0 if unknown
 	Refused         bool                // the upstream itself reported that it did not run the request
 	Notice          decide.AnswerNotice // what the upstream reported of itself, in its answer or in an earlier one for which nothing was sent
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -110,7 +110,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = k.Close() })
 	r := h.runOn(k, run)
 	r.Tokens, r.Notice = run.tokens, run.notice
-	r.Pace = run.pace(h.cfg.Clock.Boot())
+	r.TimePerToken = run.pace(h.cfg.Clock.Boot())
 	if run.first > 0 {
 		r.First = run.first - run.sent
 	}
