--- a/decide/backend.go
+++ b/decide/backend.go
@@ -14,7 +14,7 @@
 type Backend struct {
 	Name     string
 	Slots    int
-	Leaving  bool
+	Leaving  bool   // the list of upstreams marks it as leaving
 	CanPause bool   // supports pausing and resuming an answer
 	Model    string // model that must be loaded; "" accepts any
 }
@@ -25,7 +25,7 @@
 	Age      time.Duration // since the upstream took the measurements
 	Running  int
 	Waiting  int
-	Leaving  bool
+	Leaving  bool // it is shutting down and takes no new requests
 	// Prefixes and Evicted are the prompt prefixes that entered and left the cache
 	// since the last report. Gap says that cache events were lost in between.
 	Prefixes []uint64
@@ -60,17 +60,17 @@
 	index              int                // position in Pool.backends
 	held               int                // leases of this pool
 	history            [historyLength]int // maximum of held in each of the last seconds
-	second             int64
-	foreignLoad        int           // requests on the upstream without a lease of this pool
-	timePerToken       float64       // moving average, in seconds
-	measured           bool          // timePerToken has a sample
-	availableSince     Time          // start of the ramp-up: when first seen or last returned
-	failures           int           // consecutive failures
-	breakDuration      time.Duration // duration of the current or last break
-	brokenUntil        Time          // end of the break
+	second             int64              // the second of the latest entry in history
+	foreignLoad        int                // requests on the upstream without a lease of this pool
+	timePerToken       float64            // moving average, in seconds
+	measured           bool               // timePerToken has a sample
+	availableSince     Time               // start of the ramp-up: when first seen or last returned
+	failures           int                // consecutive failures
+	breakDuration      time.Duration      // duration of the current or last break
+	brokenUntil        Time               // end of the break
 	reported           bool
 	report             Report
-	reportAt           Time
+	reportAt           Time     // when the upstream took the measurements
 	grantedSinceReport int      // used by a new owner
 	prefixOrder        []uint64 // cached prefixes, oldest first
 	leavingByReport    bool     // the latest report says that the upstream is shutting down
@@ -82,6 +82,7 @@
 	limit                  int // usable slots as of the last refresh
 }
 
+// newBackend returns a backend that was first seen now.
 func newBackend(now Time, b Backend) *backend {
 	return &backend{Backend: b, availableSince: now, timePerToken: defaultTimePerToken}
 }
@@ -145,6 +146,7 @@
 	b.prefixOrder = append(b.prefixOrder, prefix)
 }
 
+// removePrefix deletes the record that b has a prefix in its cache.
 func (p *Pool) removePrefix(b *backend, prefix uint64) {
 	holders := p.prefixHolders[prefix]
 	i := slices.Index(holders, b)
@@ -161,6 +163,7 @@
 	}
 }
 
+// clearPrefixes deletes all prefix records of b.
 func (p *Pool) clearPrefixes(b *backend) {
 	for len(b.prefixOrder) > 0 {
 		p.removePrefix(b, b.prefixOrder[len(b.prefixOrder)-1])
--- a/decide/claims.go
+++ b/decide/claims.go
@@ -262,6 +262,7 @@
 	}
 }
 
+// equal reports whether two lists of boxes are the same, order included.
 func equal(a, b []string) bool {
 	if len(a) != len(b) {
 		return false
--- a/decide/notice.go
+++ b/decide/notice.go
@@ -15,20 +15,20 @@
 }
 
 // HasContent reports whether the notice contains anything.
-func (s AnswerNotice) HasContent() bool { return s.Leaving || s.Pause > 0 }
+func (n AnswerNotice) HasContent() bool { return n.Leaving || n.Pause > 0 }
 
 // ApplyNotice applies a notice to an upstream. Notices of unknown upstreams are ignored.
-func (p *Pool) ApplyNotice(now Time, upstream string, s AnswerNotice) {
+func (p *Pool) ApplyNotice(now Time, upstream string, n AnswerNotice) {
 	b := p.byName[upstream]
-	if b == nil || !s.HasContent() {
+	if b == nil || !n.HasContent() {
 		return
 	}
-	if s.Leaving {
-		p.noteLeaving(b, now-s.Age)
+	if n.Leaving {
+		p.noteLeaving(b, now-n.Age)
 	}
-	if till := now + s.Pause; s.Pause > 0 && till > b.pausedUntil {
-		b.pausedUntil, b.availableSince = till, till // ramp up after the pause, as after a break
-		p.recallPending = true                       // slots retained there must not be used during the pause
+	if end := now + n.Pause; n.Pause > 0 && end > b.pausedUntil {
+		b.pausedUntil, b.availableSince = end, end // ramp up after the pause, as after a break
+		p.recallPending = true                     // slots retained there must not be used during the pause
 	}
 	p.refreshed = now - refreshInterval
 }
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -28,39 +28,39 @@
 	head  int
 }
 
-func (l *fifo) push(w *waiter) {
-	if l.head > 32 && l.head*2 > len(l.items) {
-		n := copy(l.items, l.items[l.head:])
-		clear(l.items[n:])
-		l.items, l.head = l.items[:n], 0
+func (f *fifo) push(w *waiter) {
+	if f.head > 32 && f.head*2 > len(f.items) {
+		n := copy(f.items, f.items[f.head:])
+		clear(f.items[n:])
+		f.items, f.head = f.items[:n], 0
 	}
-	l.items = append(l.items, w)
+	f.items = append(f.items, w)
 }
 
 // first returns the oldest waiter that was not removed and has the given late flag,
 // or nil.
-func (l *fifo) first(late bool) *waiter {
-	for l.head < len(l.items) {
-		w := l.items[l.head]
+func (f *fifo) first(late bool) *waiter {
+	for f.head < len(f.items) {
+		w := f.items[f.head]
 		if !w.removed && w.late == late {
 			return w
 		}
-		l.items[l.head] = nil
-		l.head++
+		f.items[f.head] = nil
+		f.head++
 	}
-	l.items, l.head = l.items[:0], 0
+	f.items, f.head = f.items[:0], 0
 	return nil
 }
 
 // last returns the newest waiter that was not removed and has the given late flag, or
 // nil.
-func (l *fifo) last(late bool) *waiter {
-	for len(l.items) > l.head {
-		w := l.items[len(l.items)-1]
+func (f *fifo) last(late bool) *waiter {
+	for len(f.items) > f.head {
+		w := f.items[len(f.items)-1]
 		if !w.removed && w.late == late {
 			return w
 		}
-		l.items = l.items[:len(l.items)-1]
+		f.items = f.items[:len(f.items)-1]
 	}
 	return nil
 }
