--- a/cell/finish.go
+++ b/cell/finish.go
@@ -93,7 +93,7 @@
 		outcome = decide.Draining
 	}
 	n.noteUpstreamNotice(l, r.Notice)
-	m := &Release{Notice: r.Notice, Set: l.set, ID: l.slot, Upstream: l.upstream, Tokens: r.Tokens, Outcome: outcome, TimePerToken: r.TimePerToken, TimeToFirstToken: r.First, Attempt: l.slotAttempt}
+	m := &Release{Notice: r.Notice, Set: l.set, ID: l.slot, Upstream: l.upstream, Tokens: r.Tokens, Outcome: outcome, TimePerToken: r.TimePerToken, TimeToFirstToken: r.TimeToFirstToken, Attempt: l.slotAttempt}
 	if l.owner != "" {
 		n.deliver(l.owner, m)
 	}
--- a/cell/types.go
+++ b/cell/types.go
@@ -233,14 +233,14 @@
 
 // Result describes how a run on an upstream ended.
 type Result struct {
-	Outcome         decide.Outcome
-	Ran             bool                // a byte may have been sent to the upstream
-	Tokens          int                 // generated in total, including earlier runs
-	TimePerToken    time.Duration       // per token; 0 if unknown
-	First           time.Duration       // from sending to the first token; 0 if unknown
-	Refused         bool                // the upstream itself reported that it did not run the request
-	Notice          decide.AnswerNotice // what the upstream reported of itself, in its answer or in an earlier one for which nothing was sent
-	UpstreamCrashed bool                // the upstream cut the run off, and its address no longer accepts connections
+	Outcome          decide.Outcome
+	Ran              bool                // a byte may have been sent to the upstream
+	Tokens           int                 // generated in total, including earlier runs
+	TimePerToken     time.Duration       // per token; 0 if unknown
+	TimeToFirstToken time.Duration       // from sending to the first token; 0 if unknown
+	Refused          bool                // the upstream itself reported that it did not run the request
+	Notice           decide.AnswerNotice // what the upstream reported of itself, in its answer or in an earlier one for which nothing was sent
+	UpstreamCrashed  bool                // the upstream cut the run off, and its address no longer accepts connections
 }
 
 // BoxEntry is a box on the platform's list.
--- a/experiment/runs.go
+++ b/experiment/runs.go
@@ -56,7 +56,7 @@
 	l.close(r)
 	if r.box.node != nil {
 		l.tell(r.box, func(n *cell.Node) {
-			n.Finished(l.now, r.id, cell.Result{Outcome: decide.Answered, Ran: true, Tokens: j.total, TimePerToken: e.pace, First: j.prefill + e.pace})
+			n.Finished(l.now, r.id, cell.Result{Outcome: decide.Answered, Ran: true, Tokens: j.total, TimePerToken: e.pace, TimeToFirstToken: j.prefill + e.pace})
 		})
 	}
 }
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -112,7 +112,7 @@
 	r.Tokens, r.Notice = run.tokens, run.notice
 	r.TimePerToken = run.pace(h.cfg.Clock.Boot())
 	if run.first > 0 {
-		r.First = run.first - run.sent
+		r.TimeToFirstToken = run.first - run.sent
 	}
 	if stop() && run.clean {
 		h.put(c.Address, k)
