--- a/doormast.go
+++ b/doormast.go
@@ -169,14 +169,14 @@
 		return err
 	}
 	b.callers, err = caller.Listen(caller.Config{
-		Address:     s.Listen.Callers,
-		Core:        (*callerCore)(b),
-		MaxBody:     s.Limits.Body,
-		MaxHeaders:  s.Limits.Headers,
-		MaxConns:    s.Limits.Connections,
-		ReadTimeout: s.Limits.ReadWait.Std(),
-		WriteWait:   s.Limits.WriteWait.Std(),
-		Buffer:      s.Limits.Buffer,
+		Address:      s.Listen.Callers,
+		Core:         (*callerCore)(b),
+		MaxBody:      s.Limits.Body,
+		MaxHeaders:   s.Limits.Headers,
+		MaxConns:     s.Limits.Connections,
+		ReadTimeout:  s.Limits.ReadWait.Std(),
+		WriteTimeout: s.Limits.WriteWait.Std(),
+		Buffer:       s.Limits.Buffer,
 	})
 	return err
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -75,14 +75,14 @@
 
 // Config configures a Server.
 type Config struct {
-	Address     string // IP:port to listen on, TCP
-	Core        Core
-	MaxBody     int           // largest body of a request, in bytes
-	MaxHeaders  int           // largest size of a request's headers, in bytes
-	MaxConns    int           // connections of all callers together
-	ReadTimeout time.Duration // timeout for reading a whole request
-	WriteWait   time.Duration // timeout for writing one piece of a stream
-	Buffer      int           // pieces buffered for each request
+	Address      string // IP:port to listen on, TCP
+	Core         Core
+	MaxBody      int           // largest body of a request, in bytes
+	MaxHeaders   int           // largest size of a request's headers, in bytes
+	MaxConns     int           // connections of all callers together
+	ReadTimeout  time.Duration // timeout for reading a whole request
+	WriteTimeout time.Duration // timeout for writing one piece of a stream
+	Buffer       int           // pieces buffered for each request
 }
 
 // Server serves callers.
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	core := &fakeCore{table: parsed, on: on, left: make(chan uint64, 10), refused: make(map[decide.Reason]int)}
-	s, err := Listen(Config{Address: "127.0.0.1:0", Core: core, MaxBody: 2000, MaxHeaders: 4096, MaxConns: 50, ReadTimeout: 5 * time.Second, WriteWait: 5 * time.Second, Buffer: 4})
+	s, err := Listen(Config{Address: "127.0.0.1:0", Core: core, MaxBody: 2000, MaxHeaders: 4096, MaxConns: 50, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, Buffer: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -287,11 +287,11 @@
 	is := is.New(t)
 	var s *Server
 	s, _ = start(t, func(a Arrival) {
-		<-time.After(2 * s.cfg.WriteWait)
+		<-time.After(2 * s.cfg.WriteTimeout)
 		_ = a.Exchange.Event([]byte("one"))
 		a.Exchange.Done()
 	})
-	s.cfg.WriteWait = 20 * time.Millisecond
+	s.cfg.WriteTimeout = 20 * time.Millisecond
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for range 2 {
--- a/internal/caller/serve.go
+++ b/internal/caller/serve.go
@@ -108,7 +108,7 @@
 	// The connection may serve another request, whose answer may take longer to begin.
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }()
 	for {
-		_ = conn.SetWriteDeadline(time.Now().Add(s.cfg.WriteWait))
+		_ = conn.SetWriteDeadline(time.Now().Add(s.cfg.WriteTimeout))
 		if err := writePiece(w, e); err != nil {
 			x.Leave()
 			s.cfg.Core.Left(x.ID)
