--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -332,7 +332,7 @@
 	if n > 5 {
 		t.Errorf("%d events accepted for a caller that reads none, want at most 5", n)
 	}
-	if err := x.Event(nil); !errors.Is(err, ErrLeft) {
+	if err := x.Event(nil); !errors.Is(err, ErrDisconnected) {
 		t.Errorf("got error %v, want ErrLeft", err)
 	}
 }
--- a/internal/caller/exchange.go
+++ b/internal/caller/exchange.go
@@ -12,8 +12,8 @@
 	"github.com/doormast/doormast/cell"
 )
 
-// ErrLeft is returned to the writer when the caller has disconnected.
-var ErrLeft = errors.New("caller: the caller has left")
+// ErrDisconnected is returned to the writer when the caller has disconnected.
+var ErrDisconnected = errors.New("caller: the caller has left")
 
 type pieceKind uint8
 
@@ -64,7 +64,7 @@
 // the queue is full. It returns ErrLeft if the caller has disconnected or the exchange
 // has already ended.
 func (x *Exchange) Whole(status int, contentType string, body []byte) error {
-	err := ErrLeft
+	err := ErrDisconnected
 	x.end.Do(func() { err = x.push(piece{kind: pieceWhole, status: status, contentType: contentType, data: body}) })
 	return err
 }
@@ -99,14 +99,14 @@
 func (x *Exchange) push(p piece) error {
 	select {
 	case <-x.left:
-		return ErrLeft
+		return ErrDisconnected
 	default:
 	}
 	select {
 	case x.pieces <- p:
 		return nil
 	case <-x.left:
-		return ErrLeft
+		return ErrDisconnected
 	}
 }
 
