--- a/doormast.go
+++ b/doormast.go
@@ -339,8 +339,8 @@
 	return true
 }
 
-// Left notifies the core that a caller has disconnected.
-func (c *callerCore) Left(id uint64) {
+// Disconnected notifies the core that a caller has disconnected.
+func (c *callerCore) Disconnected(id uint64) {
 	(*Box)(c).notify(notice{kind: noticeCallerLeft, request: id})
 }
 
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -61,8 +61,8 @@
 	NextID() uint64
 	// Arrive submits a request. It returns false if the box is overloaded.
 	Arrive(a Arrival) bool
-	// Left reports that the caller of a request has disconnected.
-	Left(id uint64)
+	// Disconnected reports that the caller of a request has disconnected.
+	Disconnected(id uint64)
 	// Mint issues an idempotency key, or returns "" if the box is too busy.
 	Mint(ctx context.Context) string
 	// Healthy reports whether the load balancer should send requests to this box.
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -51,7 +51,7 @@
 	go f.on(a)
 	return true
 }
-func (f *fakeCore) Left(id uint64)              { f.left <- id }
+func (f *fakeCore) Disconnected(id uint64)      { f.left <- id }
 func (f *fakeCore) Mint(context.Context) string { return "minted" }
 func (f *fakeCore) Healthy() bool               { return f.table != nil }
 func (f *fakeCore) Metrics() []byte             { return []byte("metric 1\n") }
--- a/internal/caller/serve.go
+++ b/internal/caller/serve.go
@@ -111,7 +111,7 @@
 		_ = conn.SetWriteDeadline(time.Now().Add(s.cfg.WriteTimeout))
 		if err := writePiece(w, e); err != nil {
 			x.Leave()
-			s.cfg.Core.Left(x.ID)
+			s.cfg.Core.Disconnected(x.ID)
 			return
 		}
 		if e.kind != pieceEvent {
@@ -171,6 +171,6 @@
 	}
 	s.mu.Unlock()
 	for _, id := range disconnected {
-		s.cfg.Core.Left(id)
+		s.cfg.Core.Disconnected(id)
 	}
 }
