--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -51,7 +51,7 @@
 	go f.on(a)
 	return true
 }
-func (f *fakeCore) Left(id uint64)              { f.left <- id }
+func (f *fakeCore) Disconnected(id uint64)      { f.left <- id }
 func (f *fakeCore) Mint(context.Context) string { return "minted" }
 func (f *fakeCore) Healthy() bool               { return f.table != nil }
 func (f *fakeCore) Metrics() []byte             { return []byte("metric 1\n") }
@@ -332,7 +332,7 @@
 	if n > 5 {
 		t.Errorf("%d events accepted for a caller that reads none, want at most 5", n)
 	}
-	if err := x.Event(nil); !errors.Is(err, ErrLeft) {
+	if err := x.Event(nil); !errors.Is(err, ErrDisconnected) {
 		t.Errorf("got error %v, want ErrLeft", err)
 	}
 }
