--- a/internal/caller/exchange.go
+++ b/internal/caller/exchange.go
@@ -92,8 +92,8 @@
 // Leave records that the caller has disconnected.
 func (x *Exchange) Leave() { x.leave.Do(func() { close(x.left) }) }
 
-// Left returns a channel that is closed when the caller has disconnected.
-func (x *Exchange) Left() <-chan struct{} { return x.left }
+// Disconnected returns a channel that is closed when the caller has disconnected.
+func (x *Exchange) Disconnected() <-chan struct{} { return x.left }
 
 // push queues a piece, or returns ErrLeft if the caller has disconnected.
 func (x *Exchange) push(p piece) error {
--- a/run.go
+++ b/run.go
@@ -87,7 +87,7 @@
 // the request must not be sent.
 func (s *sink) Sending() bool {
 	select {
-	case <-s.exchange.Left():
+	case <-s.exchange.Disconnected():
 		return false
 	default:
 	}
