--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -324,7 +324,7 @@
 	for len(pushed) < 4 {
 		time.Sleep(time.Millisecond)
 	}
-	x.Leave()
+	x.Disconnect()
 	n := 0
 	for range pushed {
 		n++
--- a/internal/caller/exchange.go
+++ b/internal/caller/exchange.go
@@ -89,8 +89,8 @@
 	})
 }
 
-// Leave records that the caller has disconnected.
-func (x *Exchange) Leave() { x.leave.Do(func() { close(x.left) }) }
+// Disconnect records that the caller has disconnected.
+func (x *Exchange) Disconnect() { x.leave.Do(func() { close(x.left) }) }
 
 // Disconnected returns a channel that is closed when the caller has disconnected.
 func (x *Exchange) Disconnected() <-chan struct{} { return x.left }
--- a/internal/caller/serve.go
+++ b/internal/caller/serve.go
@@ -110,7 +110,7 @@
 	for {
 		_ = conn.SetWriteDeadline(time.Now().Add(s.cfg.WriteTimeout))
 		if err := writePiece(w, e); err != nil {
-			x.Leave()
+			x.Disconnect()
 			s.cfg.Core.Disconnected(x.ID)
 			return
 		}
@@ -164,7 +164,7 @@
 	var disconnected []uint64
 	for id, w := range s.watched {
 		if closedByPeer(w.conn) {
-			w.exchange.Leave()
+			w.exchange.Disconnect()
 			disconnected = append(disconnected, id)
 			delete(s.watched, id)
 		}
