--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -333,6 +333,6 @@
 		t.Errorf("%d events accepted for a caller that reads none, want at most 5", n)
 	}
 	if err := x.Event(nil); !errors.Is(err, ErrDisconnected) {
-		t.Errorf("got error %v, want ErrLeft", err)
+		t.Errorf("got error %v, want ErrDisconnected", err)
 	}
 }
--- a/internal/caller/exchange.go
+++ b/internal/caller/exchange.go
@@ -13,7 +13,7 @@
 )
 
 // ErrDisconnected is returned to the writer when the caller has disconnected.
-var ErrDisconnected = errors.New("caller: the caller has left")
+var ErrDisconnected = errors.New("caller: the caller has disconnected")
 
 type pieceKind uint8
 
@@ -43,25 +43,25 @@
 	Type   string // content type
 	Body   []byte
 
-	pieces chan piece
-	left   chan struct{} // closed when the caller has disconnected
-	leave  sync.Once
-	end    sync.Once
+	pieces       chan piece
+	disconnected chan struct{} // closed when the caller has disconnected
+	disconnect   sync.Once
+	end          sync.Once
 }
 
 // NewExchange returns an exchange whose queue holds up to buffer pieces.
 func NewExchange(buffer int) *Exchange {
-	return &Exchange{pieces: make(chan piece, buffer), left: make(chan struct{})}
+	return &Exchange{pieces: make(chan piece, buffer), disconnected: make(chan struct{})}
 }
 
 // Event queues a copy of an event of the stream. It blocks while the queue is full
-// and returns ErrLeft once the caller has disconnected.
+// and returns ErrDisconnected once the caller has disconnected.
 func (x *Exchange) Event(data []byte) error {
 	return x.push(piece{kind: pieceEvent, data: append([]byte(nil), data...)})
 }
 
 // Whole queues the answer of a plain service and ends the exchange. It blocks while
-// the queue is full. It returns ErrLeft if the caller has disconnected or the exchange
+// the queue is full. It returns ErrDisconnected if the caller has disconnected or the exchange
 // has already ended.
 func (x *Exchange) Whole(status int, contentType string, body []byte) error {
 	err := ErrDisconnected
@@ -90,22 +90,22 @@
 }
 
 // Disconnect records that the caller has disconnected.
-func (x *Exchange) Disconnect() { x.leave.Do(func() { close(x.left) }) }
+func (x *Exchange) Disconnect() { x.disconnect.Do(func() { close(x.disconnected) }) }
 
 // Disconnected returns a channel that is closed when the caller has disconnected.
-func (x *Exchange) Disconnected() <-chan struct{} { return x.left }
+func (x *Exchange) Disconnected() <-chan struct{} { return x.disconnected }
 
-// push queues a piece, or returns ErrLeft if the caller has disconnected.
+// push queues a piece, or returns ErrDisconnected if the caller has disconnected.
 func (x *Exchange) push(p piece) error {
 	select {
-	case <-x.left:
+	case <-x.disconnected:
 		return ErrDisconnected
 	default:
 	}
 	select {
 	case x.pieces <- p:
 		return nil
-	case <-x.left:
+	case <-x.disconnected:
 		return ErrDisconnected
 	}
 }
@@ -115,7 +115,7 @@
 	select {
 	case p := <-x.pieces:
 		return p, true
-	case <-x.left:
+	case <-x.disconnected:
 		return piece{}, false
 	}
 }
--- a/internal/caller/request.go
+++ b/internal/caller/request.go
@@ -2,7 +2,7 @@
 
 // This file defines the parsing and validation of callers' requests. The invariant: a
 // submitted request has a customer of the table and a class that the customer may
-// use, and its answer is limited by the class's max_tokens.
+// use, and a chat completion asks for no more tokens than the class's max_tokens.
 
 import (
 	"encoding/json"
--- a/internal/upstream/http_test.go
+++ b/internal/upstream/http_test.go
@@ -207,7 +207,7 @@
 		is.Equal(h.Run(context.Background(), callTo(s.Addr().String(), false), &collector{}).Outcome, decide.Answered)
 	}
 	is.Equal(s.connections(), 1)
-	failing := &collector{fail: errors.New("the caller has left")}
+	failing := &collector{fail: errors.New("the caller has disconnected")}
 	is.Equal(h.Run(context.Background(), callTo(s.Addr().String(), false), failing).Outcome, decide.Abandoned)
 	var sink collector
 	is.Equal(h.Run(context.Background(), callTo(s.Addr().String(), false), &sink).Outcome, decide.Answered)
--- a/internal/upstream/notice.go
+++ b/internal/upstream/notice.go
@@ -15,12 +15,12 @@
 	"github.com/doormast/doormast/internal/retryafter"
 )
 
-// leavingHold is how long this box sends nothing to an upstream after a notice of leaving, without word from the owner of the set. It is
+// leavingHold is how long this box, by its own decision, sends nothing to an upstream after a notice of leaving. It is
 // longer than slots are kept, and than grants and releases take to arrive.
 const leavingHold = 5 * time.Second
 
 // errPaused reports that an upstream has asked for a pause that has not ended.
-var errPaused = errors.New("upstream: it asks for a pause")
+var errPaused = errors.New("upstream: no requests until the end of the pause that it asked for")
 
 // notice records the latest notices of an upstream, by the boot clock.
 type notice struct {
