--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what surrounds the system: the
-// platform, a model engine and a plain service. They are for tests, the demo and
-// trying things out, never for use.
+// Package standin implements minimal stand-ins for the router's external
+// dependencies: the platform, a model engine and a plain HTTP service. They serve
+// tests, the demo and local experiments, and are not for production use.
 package standin
 
 import (
@@ -11,13 +11,14 @@
 	"time"
 )
 
-// server is what the stand-ins have in common.
+// server is the HTTP server that each stand-in embeds.
 type server struct {
 	http     *http.Server
 	listener net.Listener
 	done     chan error
 }
 
+// serve listens on a TCP address and serves h in a goroutine.
 func serve(address string, h http.Handler) (*server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -28,20 +29,21 @@
 	return s, nil
 }
 
-// Address is where the stand-in listens.
+// Address returns the host:port that the stand-in listens on.
 func (s *server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the stand-in at once, as a crash would.
+// Close closes the listener and all connections at once, as a crash would.
 func (s *server) Close() error {
 	err := s.http.Close()
-	if end := <-s.done; !errors.Is(end, http.ErrServerClosed) {
-		return end
+	if serveErr := <-s.done; !errors.Is(serveErr, http.ErrServerClosed) {
+		return serveErr
 	}
 	return err
 }
 
-func reply(w http.ResponseWriter, v any) {
+// writeJSON sends v as the JSON body of a response.
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// The other side may have gone; there is nobody to tell.
+	// A write fails only when the client has disconnected, so no error can be sent.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/standin/enginefaults.go
+++ b/standin/enginefaults.go
@@ -1,7 +1,7 @@
 package standin
 
-// This file defines what can be wrong with a stand-in engine, and how it turns requests away. The invariant: a request that is
-// turned away has not run, and says so.
+// This file defines the faults that can be injected into a stand-in engine, and the rejection of
+// requests. Invariant: a rejected request has not run, and its response says so.
 
 import (
 	"encoding/json"
@@ -9,20 +9,20 @@
 	"strconv"
 )
 
-// Faults are what can be wrong with an engine.
+// Faults are the faults injected into an engine; the zero value is none.
 type Faults struct {
-	Slow     float64 `json:"slow"`      // factor on the pace; 0 is none
-	CutAfter int     `json:"cut_after"` // tokens after which each stream breaks; 0 is none
-	Refuse   bool    `json:"refuse"`    // answer that nothing runs here
-	Leaving  bool    `json:"leaving"`
-	Announce bool    `json:"announce"` // say that it is leaving, and serve on
-	Pause    float64 `json:"pause"`    // refuse and ask for a pause of so many seconds; 0 is none
-	Drop     bool    `json:"drop"`     // close connections without an answer
-	Gap      bool    `json:"gap"`      // lose cache events
-	Hang     bool    `json:"hang"`     // accept and generate nothing
+	Slow     float64 `json:"slow"`      // multiplies the time per token; 0 is off
+	CutAfter int     `json:"cut_after"` // tokens after which each stream's connection is closed; 0 is off
+	Refuse   bool    `json:"refuse"`    // reject all requests as not executed
+	Leaving  bool    `json:"leaving"`   // reject all requests, and say that the engine is shutting down
+	Announce bool    `json:"announce"`  // say that the engine is shutting down, but keep serving
+	Pause    float64 `json:"pause"`     // reject all requests with this Retry-After, in seconds; 0 is off
+	Drop     bool    `json:"drop"`      // close connections without a response
+	Gap      bool    `json:"gap"`       // omit cache events from reports
+	Hang     bool    `json:"hang"`      // accept requests but generate no tokens
 }
 
-// SetFaults puts faults in force, also for what runs.
+// SetFaults replaces the injected faults, also for runs in progress.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -38,16 +38,17 @@
 	e.SetFaults(f)
 }
 
-func (e *Engine) now() Faults {
+// currentFaults returns the injected faults.
+func (e *Engine) currentFaults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// refuses reports whether all requests are turned away.
+// refuses reports whether all requests are rejected.
 func (f Faults) refuses() bool { return f.Refuse || f.Leaving || f.Pause > 0 }
 
-// refuse turns a request away.
+// refuse rejects a request with status 503 and marks it as not executed.
 func (e *Engine) refuse(w http.ResponseWriter, f Faults) {
 	e.mu.Lock()
 	e.refused++
--- a/standin/enginereport.go
+++ b/standin/enginereport.go
@@ -1,7 +1,8 @@
 package standin
 
-// This file defines what a stand-in engine reports, and the orders that it carries out. The
-// invariant: an engine that checks fences carries out no order older than one it has seen.
+// This file defines a stand-in engine's load reports and the orders that it executes.
+// Invariant: an engine that checks fences executes no order whose fence is older than one it
+// has accepted.
 
 import (
 	"encoding/json"
@@ -10,6 +11,7 @@
 	"time"
 )
 
+// engineReport is the JSON body of a load report.
 type engineReport struct {
 	AgeMillis int64         `json:"age_ms"`
 	Running   int           `json:"running"`
@@ -23,7 +25,8 @@
 	Events    []engineEvent `json:"events"`
 }
 
-// report tells the load as it was a while ago, and the cache events since.
+// report sends the load as of about ReportLag ago, and the cache events whose sequence number
+// is higher than the form value "after".
 func (e *Engine) report(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.FormValue("after"), 10, 64)
 	e.mu.Lock()
@@ -44,17 +47,19 @@
 		}
 	}
 	e.mu.Unlock()
-	reply(w, out)
+	writeJSON(w, out)
 }
 
+// engineOrder is the JSON body of an order.
 type engineOrder struct {
 	Fence uint64 `json:"fence"`
 	Load  string `json:"load"`
 	Role  string `json:"role"`
 }
 
-// order takes a fenced order: one with an older fence than seen is not carried
-// out. An engine that does not check carries out everything.
+// order executes an order with a fencing token. An engine that checks fences rejects an order
+// whose fence is not higher than the last accepted; one that does not check them accepts any
+// fence but 0.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o engineOrder
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -72,10 +77,10 @@
 	}
 	fence := e.fence
 	e.mu.Unlock()
-	reply(w, map[string]any{"accepted": accepted, "fence": fence})
+	writeJSON(w, map[string]any{"accepted": accepted, "fence": fence})
 }
 
-// Loaded lists the loads carried out, in order.
+// Loaded returns the models of the load orders executed, oldest first.
 func (e *Engine) Loaded() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engineslots.go
+++ b/standin/engineslots.go
@@ -1,20 +1,22 @@
 package standin
 
-// This file defines the slots of a stand-in engine's batch. The invariant: whoever waits for
-// one the longest among the most urgent gets the next that comes free.
+// This file defines the batch slots of a stand-in engine and their priority queue. Invariant: a
+// released slot goes to the waiter with the lowest priority number, and among equals to the one
+// that has waited longest.
 
 import (
 	"container/heap"
 	"net/http"
 )
 
-// slotWaiter waits for a batching slot.
+// slotWaiter is a request that waits for a batch slot; ready is closed when it gets one.
 type slotWaiter struct {
 	priority int
 	order    uint64
 	ready    chan struct{}
 }
 
+// slotQueue implements heap.Interface, ordered by priority and then by arrival.
 type slotQueue []*slotWaiter
 
 func (q slotQueue) Len() int { return len(q) }
@@ -33,7 +35,8 @@
 	return w
 }
 
-// acquire waits for a slot of the batch, by priority.
+// acquire waits for a batch slot. It returns false, without a slot, if the run was stopped or
+// the client disconnected.
 func (e *Engine) acquire(r *http.Request, run *engineRun, priority int) bool {
 	e.mu.Lock()
 	if e.running < e.cfg.Slots {
@@ -41,12 +44,12 @@
 		e.mu.Unlock()
 		return true
 	}
-	e.sequence++ // also serves as the order of arrival
-	me := &slotWaiter{priority, e.sequence, make(chan struct{})}
-	heap.Push(&e.queue, me)
+	e.sequence++ // orders waiters by arrival
+	waiter := &slotWaiter{priority, e.sequence, make(chan struct{})}
+	heap.Push(&e.queue, waiter)
 	e.mu.Unlock()
 	select {
-	case <-me.ready:
+	case <-waiter.ready:
 		return true
 	case <-r.Context().Done():
 	case <-run.stop:
@@ -54,22 +57,24 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i, other := range e.queue {
-		if other == me {
+		if other == waiter {
 			heap.Remove(&e.queue, i)
 			return false
 		}
 	}
-	e.handOn() // the slot came just now
+	e.releaseLocked() // the slot was granted at the same time
 	return false
 }
 
+// release gives up a slot.
 func (e *Engine) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.handOn()
+	e.releaseLocked()
 }
 
-func (e *Engine) handOn() {
+// releaseLocked passes a slot to the first waiter, or frees it. The caller holds e.mu.
+func (e *Engine) releaseLocked() {
 	if len(e.queue) > 0 {
 		close(heap.Pop(&e.queue).(*slotWaiter).ready)
 		return
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -1,7 +1,7 @@
 package standin
 
-// This file defines the stand-in plain service. It counts executions by key, and
-// so is the judge of what ran at most once.
+// This file defines the stand-in for a plain HTTP service. It counts executions by request body,
+// so that tests can check that each request was executed at most once.
 
 import (
 	"encoding/json"
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// PlainFaults are what can be wrong with a plain service.
+// PlainFaults are the faults injected into a plain service; the zero value is none.
 type PlainFaults struct {
-	DropAfter bool `json:"drop_after"` // execute, then close without an answer
-	Refuse    bool `json:"refuse"`     // say that it did not run
-	DelayMS   int  `json:"delay_ms"`
+	DropAfter bool `json:"drop_after"` // execute, then close the connection without a response
+	Refuse    bool `json:"refuse"`     // reject requests as not executed
+	DelayMS   int  `json:"delay_ms"`   // delay before the response, in milliseconds
 }
 
-// Plain is a stand-in plain service.
+// Plain is a stand-in for a plain HTTP service.
 type Plain struct {
 	*server
 	mu         sync.Mutex
@@ -27,11 +27,11 @@
 	total      int
 }
 
-// NewPlain starts a plain service.
+// NewPlain starts a plain service that listens on address.
 func NewPlain(address string) (*Plain, error) {
 	p := &Plain{executions: make(map[string]int)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /executions", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Executions()) })
+	mux.HandleFunc("GET /executions", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Executions()) })
 	mux.HandleFunc("POST /faults", p.putFaults)
 	mux.HandleFunc("/", p.execute)
 	var err error
@@ -39,7 +39,7 @@
 	return p, err
 }
 
-// SetFaults puts faults in force.
+// SetFaults replaces the injected faults.
 func (p *Plain) SetFaults(f PlainFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,7 +55,7 @@
 	p.SetFaults(f)
 }
 
-// Executions counts what was executed, by the body of the request.
+// Executions returns the number of executions by request body.
 func (p *Plain) Executions() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,6 +66,7 @@
 	return out
 }
 
+// execute counts a request and echoes its body.
 func (p *Plain) execute(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
@@ -89,5 +90,5 @@
 	if f.DropAfter {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, map[string]any{"executed": n, "echo": string(body)})
+	writeJSON(w, map[string]any{"executed": n, "echo": string(body)})
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -1,7 +1,8 @@
 package standin
 
-// This file defines the stand-in platform: it publishes a table and a list, and
-// counts who asks. Only the operators' side of it can be written to.
+// This file defines the stand-in platform, which publishes the configuration table and the list
+// of boxes, and counts reads. Invariant: over HTTP, only the operators' paths change what it
+// publishes.
 
 import (
 	"encoding/json"
@@ -15,102 +16,105 @@
 	"github.com/doormast/doormast/table"
 )
 
-// Platform is a stand-in platform.
+// Platform is a stand-in for the platform.
 type Platform struct {
 	*server
-	mu       sync.Mutex
-	changed  chan struct{}
-	document []byte
-	revision uint64
-	list     platform.List
-	down     bool
-	old      []byte // served instead of the document, to play a stale platform
-	calls    int
-	watches  int
-	most     int // watches at once
-}
-
-// NewPlatform starts a platform at address.
+	mu         sync.Mutex
+	changed    chan struct{} // closed and replaced at each change
+	document   []byte
+	revision   uint64
+	list       platform.List
+	down       bool
+	stale      []byte // if set, served in place of document, to simulate a stale platform
+	calls      int
+	watches    int // watches in progress
+	maxWatches int // highest number of concurrent watches
+}
+
+// NewPlatform starts a platform that listens on address.
 func NewPlatform(address string) (*Platform, error) {
 	p := &Platform{changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/table", func(w http.ResponseWriter, r *http.Request) { p.watch(w, r, p.newTable) })
-	mux.HandleFunc("GET /v1/list", func(w http.ResponseWriter, r *http.Request) { p.watch(w, r, p.newList) })
+	mux.HandleFunc("GET /v1/table", func(w http.ResponseWriter, r *http.Request) { p.watch(w, r, p.tableAfter) })
+	mux.HandleFunc("GET /v1/list", func(w http.ResponseWriter, r *http.Request) { p.watch(w, r, p.listAfter) })
 	mux.HandleFunc("PUT /operators/table", p.putTable)
 	mux.HandleFunc("PUT /operators/list", p.putList)
-	mux.HandleFunc("GET /operators/calls", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Calls()) })
+	mux.HandleFunc("GET /operators/calls", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Calls()) })
 	mux.HandleFunc("POST /operators/down", func(_ http.ResponseWriter, r *http.Request) { p.SetDown(r.FormValue("on") == "1") })
 	var err error
 	p.server, err = serve(address, mux)
 	return p, err
 }
 
-// PlatformCalls counts what the platform was asked.
+// PlatformCalls holds the total of reads and the highest number of concurrent ones.
 type PlatformCalls struct {
 	Calls       int `json:"calls"`
 	MostWatches int `json:"most_watches"`
 }
 
-// Calls returns the counts.
+// Calls returns the counters of reads.
 func (p *Platform) Calls() PlatformCalls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return PlatformCalls{p.calls, p.most}
+	return PlatformCalls{p.calls, p.maxWatches}
 }
 
-// SetTable publishes a table and returns its revision.
+// SetTable publishes a table under the next revision, which it returns.
 func (p *Platform) SetTable(t *table.Table) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.revision++
 	p.document = t.WithRevision(p.revision).Document()
-	p.wake()
+	p.notifyWatches()
 	return p.revision
 }
 
-// SetRaw publishes a document as it is, right or wrong.
+// SetRaw publishes a document without validating it, and returns the platform's next revision.
 func (p *Platform) SetRaw(document []byte) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.revision++
 	p.document = document
-	p.wake()
+	p.notifyWatches()
 	return p.revision
 }
 
-// SetList publishes a list.
+// SetList publishes a list of boxes under the next revision.
 func (p *Platform) SetList(l platform.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l.Revision = p.list.Revision + 1
 	p.list = l
-	p.wake()
+	p.notifyWatches()
 }
 
-// SetDown makes the platform fail every call, or work again.
+// SetDown makes the platform answer every read with status 503, or serve again.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
-	p.wake()
+	p.notifyWatches()
 }
 
-// ServeOld makes the platform serve an old document, or the newest if nil.
+// ServeOld makes the platform serve the given document to every read of the table, or the
+// latest table again if document is nil.
 func (p *Platform) ServeOld(document []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.old = document
-	p.wake()
+	p.stale = document
+	p.notifyWatches()
 }
 
-func (p *Platform) wake() {
+// notifyWatches makes all watches check for changes. The caller holds p.mu.
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *Platform) newTable(after uint64) any {
-	if p.old != nil {
-		return json.RawMessage(p.old)
+// tableAfter returns the table if it is newer than revision after, or nil.
+func (p *Platform) tableAfter(after uint64) any {
+	if p.stale != nil {
+		return json.RawMessage(p.stale)
 	}
 	if p.document == nil || p.revision <= after {
 		return nil
@@ -118,7 +122,8 @@
 	return json.RawMessage(p.document)
 }
 
-func (p *Platform) newList(after uint64) any {
+// listAfter returns the list if it is newer than revision after, or nil.
+func (p *Platform) listAfter(after uint64) any {
 	if p.list.Revision == 0 || p.list.Revision <= after {
 		return nil
 	}
@@ -126,15 +131,15 @@
 	return l
 }
 
-// watch answers once there is something newer than the caller has, or its time
-// is over.
+// watch serves a long poll: it responds as soon as there is a revision newer than the form
+// value "after", or with status 304 when the duration "wait" has passed.
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request, newer func(uint64) any) {
 	after, _ := strconv.ParseUint(r.FormValue("after"), 10, 64)
 	wait, _ := time.ParseDuration(r.FormValue("wait"))
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
-	p.enter(1)
-	defer p.enter(-1)
+	p.countWatch(1)
+	defer p.countWatch(-1)
 	for {
 		p.mu.Lock()
 		down, v, changed := p.down, newer(after), p.changed
@@ -144,7 +149,7 @@
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		case v != nil:
-			reply(w, v)
+			writeJSON(w, v)
 			return
 		}
 		select {
@@ -158,18 +163,19 @@
 	}
 }
 
-func (p *Platform) enter(n int) {
+// countWatch adds n to the watches in progress, and counts a call if n is positive.
+func (p *Platform) countWatch(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n > 0 {
 		p.calls++
 	}
 	p.watches += n
-	p.most = max(p.most, p.watches)
+	p.maxWatches = max(p.maxWatches, p.watches)
 }
 
-// putTable takes an operator's edit. If-Match names the revision that it was
-// made from, so that of two racing edits one fails.
+// putTable publishes an operator's table. If-Match, if sent, names the revision that the edit
+// is based on; the platform rejects the edit if the table has changed since.
 func (p *Platform) putTable(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, table.MaxSize+1))
 	if err != nil {
@@ -182,13 +188,13 @@
 		return
 	}
 	p.mu.Lock()
-	from, current := r.Header.Get("If-Match"), strconv.FormatUint(p.revision, 10)
+	base, current := r.Header.Get("If-Match"), strconv.FormatUint(p.revision, 10)
 	p.mu.Unlock()
-	if from != "" && from != current {
+	if base != "" && base != current {
 		http.Error(w, "the table is at revision "+current, http.StatusPreconditionFailed)
 		return
 	}
-	reply(w, map[string]uint64{"revision": p.SetTable(t)})
+	writeJSON(w, map[string]uint64{"revision": p.SetTable(t)})
 }
 
 func (p *Platform) putList(w http.ResponseWriter, r *http.Request) {
