--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,6 +1,7 @@
-// Package capacity measures slopes, what one more of something costs, and works
-// out from them what each role needs at the target size. The page it writes,
-// docs/CAPACITY.md, holds no figure that does not follow from the kept slopes.
+// Package capacity measures marginal costs (slopes): the bytes, processor time and
+// memory that one more box, request, stream or table row takes. From them it
+// extrapolates what each role of a box needs at the target size. Every figure in
+// the generated page, docs/CAPACITY.md, is computed from the stored slopes.
 package capacity
 
 import (
@@ -19,22 +20,23 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// Slopes is what was measured, and on what.
+// Slopes holds the measured marginal costs and the machine that they were measured on.
 type Slopes struct {
 	Date     string                    `json:"date"`
 	Go       string                    `json:"go"`
 	Cores    int                       `json:"cores"`
 	Cells    []experiment.CellResult   `json:"cells"`
 	Spread   []experiment.SpreadResult `json:"spread"`
-	Wire     map[string]int            `json:"wire"`     // bytes of a message
-	Memory   map[string]float64        `json:"memory"`   // bytes of one more
-	Decision []DecisionCost            `json:"decision"` // by how many wait
+	Wire     map[string]int            `json:"wire"`     // encoded bytes, by message type
+	Memory   map[string]float64        `json:"memory"`   // heap bytes of one more item, by kind of item
+	Decision []DecisionCost            `json:"decision"` // one entry for each number of waiting requests
 	Table    TableCost                 `json:"table"`
 	Edge     EdgeCost                  `json:"edge"`
-	Sweeps   []Sweep                   `json:"sweeps"` // entered by hand, and kept when the rest is measured
+	Sweeps   []Sweep                   `json:"sweeps"` // entered by hand; a new measurement keeps them
 }
 
-// DecisionCost is what a grant and its release cost an owner.
+// DecisionCost is the cost to a set's owner of one bid, one release and the grant
+// that follows.
 type DecisionCost struct {
 	Waiting   int     `json:"waiting"`
 	Upstreams int     `json:"upstreams"`
@@ -42,64 +44,68 @@
 	Allocs    float64 `json:"allocs"`
 }
 
-// TableCost is what tables and their changes cost.
+// TableCost is the size of a table and the time to parse it and to apply a change.
 type TableCost struct {
 	Upstreams   int     `json:"upstreams"`
 	Customers   int     `json:"customers"`
 	Document    int     `json:"document"`     // bytes
-	UpstreamRow float64 `json:"upstream_row"` // bytes of one more
+	UpstreamRow float64 `json:"upstream_row"` // bytes of one more row
 	CustomerRow float64 `json:"customer_row"`
 	Parse       float64 `json:"parse"` // seconds
-	Delta       int     `json:"delta"` // bytes of a change of one row
+	Delta       int     `json:"delta"` // bytes of a delta that changes one row
 	Apply       float64 `json:"apply"` // seconds
 }
 
-// EdgeCost is what requests and streams cost the whole daemon.
+// EdgeCost is the cost to the daemon of requests and streams, less that of the same
+// requests sent directly to the engine stand-in.
 type EdgeCost struct {
-	EventNanos   float64 `json:"event_nanos"`   // processor time of a streamed event, both stand-ins' share not taken off
+	EventNanos   float64 `json:"event_nanos"`   // processor time of a streamed event
 	EventAllocs  float64 `json:"event_allocs"`  // allocations of a streamed event
-	RequestNanos float64 `json:"request_nanos"` // processor time of a request with an answer of one token
-	StreamBytes  float64 `json:"stream_bytes"`  // memory of an open stream, of 1,000
-	ManyBytes    float64 `json:"many_bytes"`    // the same, of 4,000
-	AddedMedian  float64 `json:"added_median"`  // microseconds to the first byte of an answer
+	RequestNanos float64 `json:"request_nanos"` // processor time of a request whose answer is one token
+	StreamBytes  float64 `json:"stream_bytes"`  // memory for each of 1,000 open streams
+	ManyBytes    float64 `json:"many_bytes"`    // memory for each of 4,000 open streams
+	AddedMedian  float64 `json:"added_median"`  // microseconds added to the time to the first byte of an answer
 	AddedP99     float64 `json:"added_p99"`
 }
 
-// Measure takes all slopes. It lasts about two minutes.
+// Measure measures all slopes but the sweeps, and reports each stage to progress.
+// It takes about two minutes.
 func Measure(progress func(string)) (*Slopes, error) {
 	s := &Slopes{Date: time.Now().UTC().Format(time.DateOnly), Go: runtime.Version(), Cores: runtime.NumCPU(),
 		Wire: wireSizes(), Memory: make(map[string]float64)}
-	for _, c := range cells() {
-		progress(fmt.Sprintf("a domain of %d boxes and %d upstreams at %g requests/s for each box", c.Boxes, c.Upstreams, c.Rate))
+	for _, c := range cellConfigs() {
+		progress(fmt.Sprintf("measuring control traffic: a domain of %d boxes and %d upstreams, %g requests/s per box", c.Boxes, c.Upstreams, c.Rate))
 		s.Cells = append(s.Cells, experiment.MeasureCell(c))
 	}
 	for _, c := range []struct {
 		boxes, dead int
 		loss        float64
 	}{{8, 0, 0}, {93, 0, 0}, {93, 0, 0.1}, {93, 2, 0.1}} {
-		progress(fmt.Sprintf("a change of the table in a domain of %d boxes, %d readers dead", c.boxes, c.dead))
+		progress(fmt.Sprintf("measuring a table change: a domain of %d boxes, %d table readers failed", c.boxes, c.dead))
 		s.Spread = append(s.Spread, experiment.MeasureSpread(c.boxes, c.dead, c.loss))
 	}
-	progress("memory and decisions")
+	progress("measuring memory and decisions")
 	measureMemory(s.Memory)
 	for _, n := range []int{0, 100, 1000, 10000} {
 		s.Decision = append(s.Decision, measureDecision(n))
 	}
-	progress("tables")
+	progress("measuring tables")
 	var err error
 	if s.Table, err = measureTable(); err != nil {
 		return nil, err
 	}
-	progress("requests and streams through a real daemon")
+	progress("measuring requests and streams through a daemon")
 	s.Edge, err = measureEdge()
 	return s, err
 }
 
-// overloadRate is the rate of the overloaded domain, in requests a second of a box.
+// overloadRate is the request rate in the overloaded domain, in requests a second
+// for each box: twice the rate of the other runs.
 const overloadRate = 80
 
-// cells are the sizes measured: today's, some in between, and the target's.
-func cells() []experiment.CellConfig {
+// cellConfigs returns the failure domains to measure, from 3 boxes to the target's
+// 93, idle and under load, and one that is overloaded.
+func cellConfigs() []experiment.CellConfig {
 	var out []experiment.CellConfig
 	for _, rate := range []float64{0, 41} {
 		for _, boxes := range []int{3, 8, 24, 47, 93} {
@@ -107,11 +113,12 @@
 				Slots: 165, Rate: rate, Seconds: 25})
 		}
 	}
-	// Twice the rate: half as much again as the upstreams carry.
+	// Twice the request rate offers 1.5 times the upstreams' capacity.
 	return append(out, experiment.CellConfig{Boxes: 93, Upstreams: 345, Sets: 28, Slots: 165, Rate: overloadRate, Seconds: 15})
 }
 
-// wireSizes are the bytes of each message, with names of ordinary length.
+// wireSizes returns the encoded bytes of each message type, with names of typical
+// length.
 func wireSizes() map[string]int {
 	const set, box, upstream, id = "model-12", "box-0123", "runner-0123", uint64(1) << 60
 	return map[string]int{
@@ -132,23 +139,24 @@
 	}
 }
 
-// perItem measures the memory of one of n items that make builds.
-func perItem(n int, make func() any) float64 {
+// bytesPerItem returns the heap bytes of one of the n items that build allocates.
+func bytesPerItem(n int, build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := make()
+	kept := build()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(kept)
 	return float64(int64(after.HeapAlloc)-int64(before.HeapAlloc)) / float64(n)
 }
 
+// measureMemory stores in m the heap bytes of one item of each kind.
 func measureMemory(m map[string]float64) {
 	const n = 2000
-	m["waiting request, at its owner"] = perItem(n, func() any { return filledPool(n, 0) })
-	m["lease, at its owner"] = perItem(n, func() any { return filledPool(0, n) })
-	m["upstream, at its owner"] = perItem(n, func() any {
+	m["waiting request, at its owner"] = bytesPerItem(n, func() any { return filledPool(n, 0) })
+	m["lease, at its owner"] = bytesPerItem(n, func() any { return filledPool(0, n) })
+	m["upstream, at its owner"] = bytesPerItem(n, func() any {
 		p := decide.NewPool(decide.PoolConfig{})
 		var list []decide.Backend
 		for i := range n {
@@ -157,7 +165,7 @@
 		p.SetBackends(0, list)
 		return p
 	})
-	m["customer in a class, at its owner"] = perItem(n, func() any {
+	m["customer in a class, at its owner"] = bytesPerItem(n, func() any {
 		p := poolOf(1, 1)
 		for i := range n {
 			id := uint64(i + 1)
@@ -166,14 +174,14 @@
 		}
 		return p
 	})
-	m["share of a limit"] = perItem(n, func() any {
+	m["share of a limit"] = bytesPerItem(n, func() any {
 		var list []*decide.Share
 		for range n {
 			list = append(list, decide.NewShare(0, decide.RateLimit, 10, 93, 1))
 		}
 		return list
 	})
-	m["idempotency key"] = perItem(n, func() any {
+	m["idempotency key"] = bytesPerItem(n, func() any {
 		c := decide.NewClaims("d", "b", 1, time.Second)
 		for i := range n {
 			k, _ := decide.ParseKey(fmt.Sprintf("0123456789abcdef-%d", i))
@@ -182,14 +190,14 @@
 		}
 		return c
 	})
-	m["time line event"] = perItem(n, func() any {
+	m["time line event"] = bytesPerItem(n, func() any {
 		r := timeline.NewRing(n)
 		for i := range n {
 			r.Add(timeline.Event{Request: uint64(i)})
 		}
 		return r
 	})
-	m["box of the domain"] = perItem(93, func() any {
+	m["box of the domain"] = bytesPerItem(93, func() any {
 		node := cell.NewNode(cell.Config{Box: "b", Domain: "d", Boot: 1, Timing: cell.DefaultTiming()})
 		var r cell.Roster
 		r.Revision = 1
@@ -199,21 +207,21 @@
 		node.SetRoster(r)
 		return node
 	})
-	m["box of another domain"] = perItem(n, func() any {
+	m["box of another domain"] = bytesPerItem(n, func() any {
 		var r cell.Roster
 		for i := range n {
 			r.Boxes = append(r.Boxes, cell.BoxEntry{Name: fmt.Sprintf("box-%04d", i), Domain: fmt.Sprintf("d%d", i%29)})
 		}
 		return r
 	})
-	m["row of a table"] = perItem(n, func() any {
+	m["row of a table"] = bytesPerItem(n, func() any {
 		t, _ := table.Parse("measured", tableOf(n, 0).Document())
 		return t
 	})
-	m["request, at its holder"] = perItem(n, func() any { return holderWith(n) })
+	m["request, at its holder"] = bytesPerItem(n, func() any { return holderWith(n) })
 }
 
-// holderWith is a box that carries n waiting requests.
+// holderWith returns a node that holds n waiting requests.
 func holderWith(n int) *cell.Node {
 	node := cell.NewNode(cell.Config{Box: "b", Domain: "d", Boot: 1, Timing: cell.DefaultTiming()})
 	node.Tick(0, 0)
@@ -226,7 +234,7 @@
 	return node
 }
 
-// poolOf is a pool of one class with some upstreams.
+// poolOf returns a pool with one class and the given number of upstreams.
 func poolOf(upstreams, slots int) *decide.Pool {
 	p := decide.NewPool(decide.PoolConfig{})
 	p.SetRules(0, []decide.Rule{{Class: "c", Tier: 1, Weight: 1, Floor: 0.1, FirstToken: time.Hour, Repeatable: true}}, 1<<20)
@@ -238,6 +246,7 @@
 	return p
 }
 
+// filledPool returns a pool with the given numbers of waiting requests and leases.
 func filledPool(waiting, leases int) *decide.Pool {
 	p := poolOf(1, max(1, leases))
 	for i := range waiting + leases {
@@ -249,9 +258,9 @@
 	return p
 }
 
-// measureDecision times what one request costs an owner, with a number of others
-// waiting and 345 upstreams in view: its bid, the end of another's lease, and the
-// grant that follows.
+// measureDecision measures what one request costs a set's owner that has 345
+// upstreams and the given number of waiting requests: the bid, the release of
+// another request's lease, and the grant that follows.
 func measureDecision(waiting int) DecisionCost {
 	const upstreams, rounds = 345, 20000
 	p := poolOf(upstreams, 8)
@@ -278,6 +287,8 @@
 	return DecisionCost{Waiting: waiting, Upstreams: upstreams, Nanos: nanos, Allocs: float64(after.Mallocs-before.Mallocs) / rounds}
 }
 
+// customers holds the names in advance, so that measureDecision's allocations exclude
+// building them.
 var customers = func() (out [20]string) {
 	for i := range out {
 		out[i] = fmt.Sprintf("customer-%d", i)
@@ -285,7 +296,8 @@
 	return out
 }()
 
-// tableOf makes a table with 28 classes.
+// tableOf returns a table with 28 classes, at least 28 upstreams and the given number
+// of customers.
 func tableOf(upstreams, customers int) *table.Table {
 	t := new(table.Table)
 	for i := range 28 {
@@ -305,6 +317,8 @@
 	return t.WithRevision(1)
 }
 
+// measureTable measures the size of a table's rows and deltas, and the time to parse
+// a table and to apply a delta.
 func measureTable() (TableCost, error) {
 	const upstreams, customers = 3000, 820
 	t := tableOf(upstreams, customers)
@@ -329,7 +343,7 @@
 	return c, err
 }
 
-// Load reads slopes that were kept.
+// Load reads stored slopes from a JSON file. The error names the file.
 func Load(file string) (*Slopes, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
--- a/capacity/edge.go
+++ b/capacity/edge.go
@@ -1,7 +1,8 @@
 package capacity
 
-// This file defines the measurement of the callers' and upstreams' edges, through
-// a real daemon's library on loopback.
+// This file defines the measurement of the data path: what a request and a stream
+// cost between caller and upstream. The daemon's library runs on loopback in this
+// process, with a stand-in for the engine and for the platform.
 
 import (
 	"bufio"
@@ -29,7 +30,7 @@
 
 const edgeKey = "measured-key"
 
-// edgeSystem is one box before one stand-in engine.
+// edgeSystem is one box, one engine stand-in as its upstream, and a client.
 type edgeSystem struct {
 	engine   *standin.Engine
 	platform *standin.Platform
@@ -37,6 +38,7 @@
 	client   *http.Client
 }
 
+// startEdge starts the system and waits at most 10 s until the box has its table.
 func startEdge(slots int, pace time.Duration) (*edgeSystem, error) {
 	e := &edgeSystem{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}}
 	var err error
@@ -70,9 +72,10 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return nil, fmt.Errorf("capacity: the box got no table")
+	return nil, fmt.Errorf("capacity: the box received no table within 10 s")
 }
 
+// freeUDP returns the address of a UDP port that was free a moment ago.
 func freeUDP() string {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -89,9 +92,9 @@
 	_ = e.platform.Close()
 }
 
-// ask makes a request for an answer of some tokens and returns when its first
-// byte came.
-func (e *edgeSystem) ask(address string, tokens int) (time.Duration, error) {
+// request sends a request for an answer of the given number of tokens, reads the whole
+// answer, and returns the time to its first byte.
+func (e *edgeSystem) request(address string, tokens int) (time.Duration, error) {
 	body := fmt.Sprintf(`{"stream":true,"messages":[{"role":"user","content":"len=%d"}]}`, tokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -113,11 +116,12 @@
 	return first, err
 }
 
-// manyStreams is as many as the files that a process may open by default allow
-// here, with callers, box and engine in one.
+// manyStreams is limited by the default number of open files of a process: the
+// sockets of callers, box and engine are all in this one.
 const manyStreams = 4000
 
-// measureEdge compares with a direct connection to the stand-in, in the same run.
+// measureEdge measures requests through the box and, in the same run, sent directly to
+// the engine stand-in; the results are the differences.
 func measureEdge() (EdgeCost, error) {
 	var c EdgeCost
 	e, err := startEdge(20000, 0)
@@ -141,15 +145,17 @@
 	return c, err
 }
 
+// latency sets the median and the 99th percentile of the time that the box adds to the
+// first byte, in microseconds, after 200 warm-up rounds.
 func (e *edgeSystem) latency(address string, c *EdgeCost) error {
 	const rounds = 2000
 	var direct, through []time.Duration
 	for i := range rounds + 200 {
-		d, err := e.ask(e.engine.Address(), 1)
+		d, err := e.request(e.engine.Address(), 1)
 		if err != nil {
 			return err
 		}
-		t, err := e.ask(address, 1)
+		t, err := e.request(address, 1)
 		if err != nil {
 			return err
 		}
@@ -167,25 +173,26 @@
 	return nil
 }
 
-// work is what a number of requests cost the whole process, for each.
-type work struct {
+// requestCost is what one request costs the whole process.
+type requestCost struct {
 	nanos  float64 // processor time
 	allocs float64
 }
 
-// many makes requests, some at a time, for answers of some tokens.
-func (e *edgeSystem) many(address string, atOnce, requests, tokens int) (work, error) {
+// sendRequests sends requests over the given number of concurrent workers and returns
+// the mean cost of one.
+func (e *edgeSystem) sendRequests(address string, concurrency, requests, tokens int) (requestCost, error) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	start := processorTime()
 	var wg sync.WaitGroup
-	errs := make(chan error, atOnce)
-	for range atOnce {
+	errs := make(chan error, concurrency)
+	for range concurrency {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for range requests / atOnce {
-				if _, err := e.ask(address, tokens); err != nil {
+			for range requests / concurrency {
+				if _, err := e.request(address, tokens); err != nil {
 					errs <- err
 					return
 				}
@@ -197,40 +204,41 @@
 	runtime.ReadMemStats(&after)
 	select {
 	case err := <-errs:
-		return work{}, err
+		return requestCost{}, err
 	default:
 	}
 	n := float64(requests)
-	return work{float64(spent.Nanoseconds()) / n, float64(after.Mallocs-before.Mallocs) / n}, nil
+	return requestCost{float64(spent.Nanoseconds()) / n, float64(after.Mallocs-before.Mallocs) / n}, nil
 }
 
-// through measures requests through the daemon, less those straight from the
-// stand-in.
-func (e *edgeSystem) through(address string, atOnce, requests, tokens int) (work, error) {
-	if _, err := e.many(address, atOnce, requests, tokens); err != nil {
-		return work{}, err // warm
+// boxCost returns the cost of a request through the box less that of one sent directly
+// to the engine stand-in. A first round through the box warms it up.
+func (e *edgeSystem) boxCost(address string, concurrency, requests, tokens int) (requestCost, error) {
+	if _, err := e.sendRequests(address, concurrency, requests, tokens); err != nil {
+		return requestCost{}, err
 	}
-	direct, err := e.many(e.engine.Address(), atOnce, requests, tokens)
+	direct, err := e.sendRequests(e.engine.Address(), concurrency, requests, tokens)
 	if err != nil {
-		return work{}, err
+		return requestCost{}, err
 	}
-	w, err := e.many(address, atOnce, requests, tokens)
-	return work{w.nanos - direct.nanos, w.allocs - direct.allocs}, err
+	w, err := e.sendRequests(address, concurrency, requests, tokens)
+	return requestCost{w.nanos - direct.nanos, w.allocs - direct.allocs}, err
 }
 
-// events measures a streamed event and a short request.
+// events sets the cost of a streamed event and of a request with a one-token answer.
 func (e *edgeSystem) events(address string, c *EdgeCost) error {
 	const tokens = 4000
-	long, err := e.through(address, 16, 16, tokens)
+	long, err := e.boxCost(address, 16, 16, tokens)
 	if err != nil {
 		return err
 	}
 	c.EventNanos, c.EventAllocs = long.nanos/tokens, long.allocs/tokens
-	short, err := e.through(address, 16, 16000, 1)
+	short, err := e.boxCost(address, 16, 16000, 1)
 	c.RequestNanos = short.nanos
 	return err
 }
 
+// processorTime returns the user and system processor time of this process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -239,8 +247,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measureStreams measures the memory of an open stream through the daemon, less
-// that of one straight from the stand-in; the caller's side is in both.
+// measureStreams returns the bytes that an open stream takes in the box: the memory
+// of a stream through the box less that of one directly to the engine stand-in. Both
+// include the client's side.
 func measureStreams(openStreams int) (float64, error) {
 	direct, err := streamsBytes(openStreams, false)
 	if err != nil {
@@ -250,6 +259,7 @@
 	return through - direct, err
 }
 
+// streamsBytes returns the bytes that each of openStreams streams takes in this process.
 func streamsBytes(openStreams int, throughBox bool) (float64, error) {
 	e, err := startEdge(openStreams*2, time.Minute)
 	if err != nil {
@@ -260,7 +270,7 @@
 	if throughBox {
 		address, _ = e.box.Addresses()
 	}
-	before := inUse()
+	before := memoryInUse()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for range openStreams {
@@ -278,15 +288,15 @@
 	}
 	for range 1500 {
 		if e.engine.Counts().Running == openStreams {
-			return float64(inUse()-before) / float64(openStreams), nil
+			return float64(memoryInUse()-before) / float64(openStreams), nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return 0, fmt.Errorf("capacity: %d of %d streams opened", e.engine.Counts().Running, openStreams)
+	return 0, fmt.Errorf("capacity: %d of %d streams opened within 30 s", e.engine.Counts().Running, openStreams)
 }
 
-// inUse is the memory of the heap and the stacks.
-func inUse() int64 {
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
+func memoryInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -1,8 +1,7 @@
 package capacity
 
-// This file defines the page that is worked out from the slopes. Each figure is
-// a slope times a size; prose around it holds no figures of its own but the
-// target's.
+// This file defines the generated page. Each figure in it is a slope times a size;
+// the surrounding text states no figures but those of the target and the budgets.
 
 import (
 	"fmt"
@@ -13,59 +12,61 @@
 	"github.com/doormast/doormast/experiment"
 )
 
-// The target size, from the users' letter.
+// The target size, as the users specified it.
 const (
 	daemons      = 2700
 	runners      = 10000
 	domains      = 29
-	requestRate  = 110000.0 // a second
-	tokenRate    = 27e6     // a second
+	requestRate  = 110000.0 // requests a second, all daemons
+	tokenRate    = 27e6     // tokens a second, all daemons
 	customerRows = 820
 	models       = 28
 	changesADay  = 16000.0
 	failuresADay = 190.0
 	restartsADay = 1700.0
-	tokenPace    = 0.06 // seconds
-	// Budgets for control, for a daemon.
-	budgetCore   = 0.028
-	budgetMemory = 256 << 20
-	budgetBytes  = 7000.0
-	budgetChange = 4.0  // seconds
-	budgetFirst  = 0.62 // seconds
+	tokenPace    = 0.06 // seconds for each token of an answer
+	// Budgets of one daemon for control.
+	budgetCore       = 0.028     // share of a core
+	budgetMemory     = 256 << 20 // bytes
+	budgetBytes      = 7000.0    // sent, a second
+	budgetChange     = 4.0       // seconds until a table change is in force on all boxes
+	budgetFirstToken = 0.62      // seconds to the first token
 )
 
 const (
 	secondsADay  = 86400.0
-	boxes        = daemons / domains // in a domain
-	httpOverhead = 800.0             // bytes of a pull beside its content
-	tablesKept   = 16                // revisions that a box makes deltas from
-	eventsKept   = 20000             // of the time line
-	setsOfOwner  = 3                 // owned by the busiest box: 28 sets fall on 93 boxes
+	boxes        = daemons / domains // of a failure domain
+	httpOverhead = 800.0             // bytes of a pull in addition to its content
+	tablesKept   = 16                // past revisions that a box can compute a delta from
+	eventsKept   = 20000             // in a box's timeline ring
+	setsOfOwner  = 3                 // sets owned by the busiest box, with 28 sets distributed over 93 boxes
 )
 
-// figures is what the page works out.
+// figures holds the slopes and the figures computed from them for the target size.
 type figures struct {
 	*Slopes
-	rate      float64 // requests a second of a box
-	running   float64 // requests of a box at once
+	rate      float64 // requests a second for each box
+	running   float64 // concurrent requests of a box
 	idle      experiment.CellResult
 	busy      experiment.CellResult
-	over      experiment.CellResult // offered half as much again as it carries
-	table     float64               // bytes of the document at the target size
-	changes   float64               // a second
-	memory    []line
+	overload  experiment.CellResult // offered 1.5 times its capacity
+	table     float64               // bytes of the table document at the target size
+	changes   float64               // table changes a second
+	memory    []memoryItem
 	memorySum float64
 }
 
-// line is a part of a sum.
-type line struct {
-	what    string
-	number  float64
-	each    float64
-	carried string
+// memoryItem is one row of the memory table: count items of bytesEach bytes, kept by
+// the named component.
+type memoryItem struct {
+	name      string
+	count     float64
+	bytesEach float64
+	component string
 }
 
-func workOut(s *Slopes) *figures {
+// computeFigures extrapolates the slopes to the target size.
+func computeFigures(s *Slopes) *figures {
 	f := &figures{Slopes: s}
 	f.rate = requestRate / daemons
 	f.running = f.rate * tokenRate / requestRate * tokenPace
@@ -74,7 +75,7 @@
 		case c.Boxes == boxes && c.Rate == 0:
 			f.idle = c
 		case c.Rate == overloadRate:
-			f.over = c
+			f.overload = c
 		case c.Boxes == boxes:
 			f.busy = c
 		}
@@ -82,7 +83,7 @@
 	f.table = float64(s.Table.Document) + (runners-float64(s.Table.Upstreams))*s.Table.UpstreamRow + (customerRows-float64(s.Table.Customers))*s.Table.CustomerRow
 	f.changes = changesADay / secondsADay
 	setRunning := f.running * boxes / models
-	f.memory = []line{
+	f.memory = []memoryItem{
 		{"requests it carries", f.running, s.Memory["request, at its holder"], "`cell.Node`, holder.go"},
 		{"leases of the sets it owns", setsOfOwner * setRunning, s.Memory["lease, at its owner"], "`decide.Pool`"},
 		{"waiting requests of the sets it owns (full queues)", setsOfOwner * 1000, s.Memory["waiting request, at its owner"], "`decide.Pool`"},
@@ -96,27 +97,28 @@
 		{"events of the time line", eventsKept, s.Memory["time line event"], "`timeline.Ring`"},
 	}
 	for _, l := range f.memory {
-		f.memorySum += l.number * l.each
+		f.memorySum += l.count * l.bytesEach
 	}
 	return f
 }
 
-// tableBytes is what changes of the table cost a box, in bytes a second.
+// tableBytes returns the bytes a second that a box transfers for table changes.
 func (f *figures) tableBytes() float64 { return f.changes * (float64(f.Table.Delta) + httpOverhead) }
 
-// tableCore is the share of a core that changes of the table take.
+// tableCore returns the share of a core that a box spends on applying table deltas.
 func (f *figures) tableCore() float64 {
 	return f.changes * f.Table.Apply * f.table / float64(f.Table.Document)
 }
 
-// readerCore is the share of a core that a reader spends on parsing changes.
+// readerCore returns the share of a core that a box which reads the table from the
+// platform spends on parsing the whole document after each change.
 func (f *figures) readerCore() float64 {
 	return f.changes * f.Table.Parse * f.table / float64(f.Table.Document)
 }
 
-// WritePage writes the page.
+// WritePage writes the page in Markdown. The error is that of w.
 func WritePage(w io.Writer, s *Slopes) error {
-	f := workOut(s)
+	f := computeFigures(s)
 	var b strings.Builder
 	f.head(&b)
 	f.budgets(&b)
@@ -153,13 +155,15 @@
 		tokenRate/daemons, f.running, customerRows, models, changesADay, failuresADay, restartsADay)
 }
 
-func verdict(worked, budget float64) string {
-	if worked <= budget {
-		return fmt.Sprintf("%.0f %% left", 100*(1-worked/budget))
+// verdict states how much of a budget is left, or by what factor it is exceeded.
+func verdict(used, budget float64) string {
+	if used <= budget {
+		return fmt.Sprintf("%.0f %% left", 100*(1-used/budget))
 	}
-	return fmt.Sprintf("**over, %.1f times**", worked/budget)
+	return fmt.Sprintf("**over, %.1f times**", used/budget)
 }
 
+// worstSpread returns the slowest measured spread of a table change.
 func (f *figures) worstSpread() experiment.SpreadResult {
 	return slices.MaxFunc(f.Spread, func(a, b experiment.SpreadResult) int {
 		if a.Seconds < b.Seconds {
@@ -183,8 +187,8 @@
 	row("control sent, mean", "7 KB/s", fmt.Sprintf("%.1f KB/s", bytes/1000), verdict(bytes, budgetBytes), "bids, grants and releases that are not spared by kept slots")
 	mostBytes := f.busy.MostBytes + f.tableBytes()
 	row("control sent, busiest box", "7 KB/s", fmt.Sprintf("%.1f KB/s", mostBytes/1000), verdict(mostBytes, budgetBytes), "grants by the owner of several sets; ownership of a set would have to be divided")
-	row("control sent under overload, mean", "7 KB/s", fmt.Sprintf("%.1f KB/s", f.over.Bytes/1000), verdict(f.over.Bytes, budgetBytes), "each request is bid for, and each refusal sent, by itself")
-	row("processor under overload, busiest box", "2.8 % of a core", fmt.Sprintf("%.2f %%", 100*f.over.MostCore), verdict(f.over.MostCore, budgetCore), "the owner's decisions")
+	row("control sent under overload, mean", "7 KB/s", fmt.Sprintf("%.1f KB/s", f.overload.Bytes/1000), verdict(f.overload.Bytes, budgetBytes), "each request is bid for, and each refusal sent, by itself")
+	row("processor under overload, busiest box", "2.8 % of a core", fmt.Sprintf("%.2f %%", 100*f.overload.MostCore), verdict(f.overload.MostCore, budgetCore), "the owner's decisions")
 	reader := core + f.readerCore()
 	row("processor of a table reader", "2.8 % of a core", fmt.Sprintf("%.2f %%", 100*reader), verdict(reader, budgetCore), "parsing the whole document for each change")
 	received := bytes + f.changes*f.table
@@ -193,7 +197,7 @@
 	row("a change in force in a domain, readers dead, a tenth lost", "4 s", fmt.Sprintf("%.2f s", worst.Seconds), verdict(worst.Seconds, budgetChange), "the time until dead readers are suspected")
 	first := f.Edge.AddedP99 / 1e6
 	row("the system's part of the first token, without waiting", "0.62 s in all", fmt.Sprintf("%.2f ms median, %.2f ms 99th", f.Edge.AddedMedian/1000, f.Edge.AddedP99/1000),
-		verdict(first, budgetFirst), "waiting for a slot, which is the policy's and not this page's")
+		verdict(first, budgetFirstToken), "waiting for a slot, which is the policy's and not this page's")
 	stream := tokenRate / daemons * f.Edge.EventNanos / 1e9
 	row("carrying tokens (not control)", "none given", fmt.Sprintf("%.1f %% of a core", 100*stream), "", "processor of small boxes")
 	row("open streams (not control)", "none given", fmt.Sprintf("%.0f MB", f.running*f.Edge.StreamBytes/1e6), "", "")
@@ -227,7 +231,7 @@
 func (f *figures) memoryTable(b *strings.Builder) {
 	b.WriteString("## Memory for control\n\n| what | number | bytes each | MB | carried by |\n|---|---|---|---|---|\n")
 	for _, l := range f.memory {
-		fmt.Fprintf(b, "| %s | %.0f | %.0f | %.2f | %s |\n", l.what, l.number, l.each, l.number*l.each/1e6, l.carried)
+		fmt.Fprintf(b, "| %s | %.0f | %.0f | %.2f | %s |\n", l.name, l.count, l.bytesEach, l.count*l.bytesEach/1e6, l.component)
 	}
 	fmt.Fprintf(b, "| sum | | | %.1f | |\n\n", f.memorySum/1e6)
 }
--- a/capacity/page_test.go
+++ b/capacity/page_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestPageFollowsFromSlopes fails if the page's figures are not those that the
-// kept slopes give.
+// TestPageFollowsFromSlopes checks that docs/CAPACITY.md equals the page generated from
+// the stored slopes; it fails when one is changed without the other.
 func TestPageFollowsFromSlopes(t *testing.T) {
 	is := is.New(t)
 	s, err := Load("../docs/capacity/slopes.json")
@@ -21,8 +21,9 @@
 	is.True(bytes.Equal(got, want.Bytes())) // run: doormast capacity page docs/capacity/slopes.json > docs/CAPACITY.md
 }
 
-// TestBudgetIsJudged checks that the page says so where a budget is exceeded.
-func TestBudgetIsJudged(t *testing.T) {
+// TestVerdictStatesExceededBudget checks the text for a budget that is met and for one
+// that is exceeded.
+func TestVerdictStatesExceededBudget(t *testing.T) {
 	is := is.New(t)
 	is.Equal(verdict(5, 10), "50 % left")
 	is.Equal(verdict(15, 10), "**over, 1.5 times**")
