--- a/cmd/doormastd/main.go
+++ b/cmd/doormastd/main.go
@@ -1,7 +1,8 @@
-// Command doormastd is the daemon of one entry box.
+// Command doormastd is the daemon that runs on each entry box.
 //
-// It reads its settings, starts a box and waits: SIGTERM or SIGINT begins a
-// planned stop, a second one ends it at once.
+// It loads the settings file and serves until it receives SIGTERM or SIGINT, or
+// until an operator requests a drain. It then stops gracefully; a further signal
+// ends the graceful stop immediately.
 package main
 
 import (
@@ -29,7 +30,7 @@
 		SilenceErrors: true,
 		RunE:          func(*cobra.Command, []string) error { return run(file) },
 	}
-	cmd.Flags().StringVar(&file, "settings", "", "settings file, JSON with comments")
+	cmd.Flags().StringVar(&file, "settings", "", "path of the settings file (JSON with comments)")
 	_ = cmd.MarkFlagRequired("settings")
 	cmd.AddCommand(relayCommand())
 	if err := cmd.Execute(); err != nil {
@@ -43,41 +44,42 @@
 	if err != nil {
 		return err
 	}
-	log := newLog(s.Log)
+	log := newLogger(s.Log)
 	box, err := doormast.Start(context.Background(), doormast.Config{Settings: *s, Log: log})
 	if err != nil {
 		return err
 	}
-	stops := stopSignals(log)
+	stopRequests := notifyStop(log)
 	select {
-	case <-stops:
+	case <-stopRequests:
 	case <-box.DrainAsked():
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		<-stops
+		<-stopRequests
 		cancel()
 	}()
 	return box.Stop(ctx)
 }
 
-// stopSignals gets an entry for each signal that asks for the daemon's end.
-func stopSignals(log *logrus.Logger) <-chan struct{} {
-	stops := make(chan struct{})
+// notifyStop returns a channel that receives one value per termination signal.
+// SIGHUP is logged and otherwise ignored.
+func notifyStop(log *logrus.Logger) <-chan struct{} {
+	stopRequests := make(chan struct{})
 	go func() {
 		for s := range signals.Channel() {
 			if s == syscall.SIGHUP {
-				log.Info("settings: They are read at the start only.")
+				log.Info("SIGHUP ignored: settings are read only at startup")
 				continue
 			}
-			stops <- struct{}{}
+			stopRequests <- struct{}{}
 		}
 	}()
-	return stops
+	return stopRequests
 }
 
-func newLog(s settings.Log) *logrus.Logger {
+func newLogger(s settings.Log) *logrus.Logger {
 	log := logrus.New()
 	if level, err := logrus.ParseLevel(s.Level); err == nil {
 		log.SetLevel(level)
--- a/cmd/doormastd/relay.go
+++ b/cmd/doormastd/relay.go
@@ -1,6 +1,7 @@
 package main
 
-// This file defines the daemon of a box that relays on the users' platform.
+// This file defines the relay subcommand, which runs an entry box that forwards
+// opaque requests and takes its routes from the users' platform.
 
 import (
 	"net"
@@ -30,38 +31,41 @@
 		Args:  cobra.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return runRelay(file) },
 	}
-	cmd.Flags().StringVar(&file, "settings", "", "settings file, JSON with comments")
+	cmd.Flags().StringVar(&file, "settings", "", "path of the settings file (JSON with comments)")
 	_ = cmd.MarkFlagRequired("settings")
 	return cmd
 }
 
 const (
-	// memoryShare is the share of the box's memory up to which the collector may
-	// let the heap grow; the rest is for stacks and the kernel's buffers.
-	memoryShare = 0.5
-	megabyte    = 1 << 20
-	// bytesOfMegabit is the bytes of a megabit, as links are counted.
-	bytesOfMegabit = 1e6 / 8
-	// ownMemoryMB is kept for the process itself: its code, what it believes, its log.
-	ownMemoryMB = 48
-	// keptShare is the share of the rest that may be kept on behalf of callers and
-	// upstreams: the collector lets as much again build up before it runs.
-	keptShare = 0.5
-	// leastKeptMB is what may be kept however small the box is.
-	leastKeptMB = 8
-	// boxesAssumed is how many boxes share limits while the others are not known:
-	// what a failure domain's loss leaves of today's deployments, with room to spare.
-	boxesAssumed = 10
+	// goMemoryFraction is the fraction of the box's memory that is set as the Go
+	// runtime's soft memory limit; the rest is left for stacks and kernel buffers.
+	goMemoryFraction = 0.5
+	bytesPerMB       = 1 << 20
+	// bytesPerMegabit converts link bandwidths, which use decimal megabits.
+	bytesPerMegabit = 1e6 / 8
+	// processMemoryMB is reserved for the process itself: code, cluster state and log.
+	processMemoryMB = 48
+	// bufferFraction is the fraction of the remaining memory that may hold data
+	// buffered for callers and upstreams. It is one half because the heap can
+	// double before the garbage collector runs.
+	bufferFraction = 0.5
+	// minBufferMB is the lower bound of the buffer limit on small boxes.
+	minBufferMB = 8
+	// assumedBoxes is the number of boxes assumed to share limits until the others
+	// are discovered. It is derived, with a margin, from the number of boxes that
+	// remain in current deployments after the loss of a failure domain.
+	assumedBoxes = 10
 )
 
-// runRelay runs a box until it is told to stop.
+// runRelay runs a box until it receives SIGTERM or SIGINT. SIGHUP validates the
+// settings file again.
 func runRelay(file string) error {
 	s, err := settings.LoadRelay(file)
 	if err != nil {
 		return err
 	}
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryShare * megabyte))
+		debug.SetMemoryLimit(int64(float64(s.MemoryMB) * goMemoryFraction * bytesPerMB))
 	}
 	log := relay.NewLog(s.Box, os.Stdout)
 	defer func() { _ = log.Close() }()
@@ -73,15 +77,15 @@
 		if sig != syscall.SIGHUP {
 			break
 		}
-		reload(file, log)
+		revalidate(file, log)
 	}
 	box.Stop()
 	return nil
 }
 
-// reload reads the settings again. What they hold is only used at the start; a
-// reading that fails is worth knowing all the same.
-func reload(file string, log *relay.Log) {
+// revalidate loads the settings file and logs the result. Settings take effect only
+// at startup; the check reports an invalid file before the next restart.
+func revalidate(file string, log *relay.Log) {
 	if _, err := settings.LoadRelay(file); err != nil {
 		log.Event("settings", "not taken", relay.Fields{"error": err.Error()})
 		return
@@ -89,9 +93,9 @@
 	log.Event("settings", "read again", nil)
 }
 
-// startRelay starts a box with its listeners.
+// startRelay opens the listeners, starts the box and serves its metrics.
 func startRelay(s *settings.Relay, log *relay.Log) (*relay.Relay, error) {
-	cfg := configOf(s)
+	cfg := relayConfig(s)
 	cfg.Log = log
 	if err := listen(s, &cfg); err != nil {
 		return nil, err
@@ -104,10 +108,11 @@
 	return box, nil
 }
 
-// listen opens the box's listeners. What is open when one fails ends with the process.
+// listen opens the listeners for callers, readiness checks and other boxes and stores
+// them in cfg. On error, listeners already open are left to be closed at process exit.
 func listen(s *settings.Relay, cfg *relay.Config) error {
 	for _, l := range []struct {
-		to      *net.Listener
+		target  *net.Listener
 		address string
 		purpose string
 	}{
@@ -116,23 +121,23 @@
 		{&cfg.ControlListener, s.Listen.Control, "listen for other boxes"},
 	} {
 		var err error
-		if *l.to, err = net.Listen("tcp", l.address); err != nil {
+		if *l.target, err = net.Listen("tcp", l.address); err != nil {
 			return eris.Wrap(err, l.purpose)
 		}
 	}
 	return nil
 }
 
-// configOf is what the settings say of a box, without its listeners and its log.
-func configOf(s *settings.Relay) relay.Config {
-	off, _ := balance.ParseOff(s.Off) // the settings have been checked
+// relayConfig converts settings to a relay configuration without listeners and log.
+func relayConfig(s *settings.Relay) relay.Config {
+	disabled, _ := balance.ParseOff(s.Off) // LoadRelay has validated s.Off
 	return relay.Config{
 		Box:           s.Box,
 		Domain:        s.Domain,
 		Regions:       s.Regions,
 		Self:          self(s),
 		Seeds:         s.SeedAddresses(),
-		LinkBandwidth: s.LinkMbps * bytesOfMegabit,
+		LinkBandwidth: s.LinkMbps * bytesPerMegabit,
 		Timing:        group.TimingFor(s.Bounds.PublishDeadline()),
 		Protocol:      platform.Protocol(),
 		Publisher:     platform.NewStore(s.Platform),
@@ -141,31 +146,32 @@
 		Cold:          relay.ColdBounds{Overshoot: s.Bounds.ColdOvershoot, Slack: s.Bounds.ColdSlack},
 		Limits:        s.Bounds.Limits(),
 		Tuning:        s.Links.Tuning(),
-		Disabled:      off,
+		Disabled:      disabled,
 		FirstStart:    s.FirstStart,
-		Boxes:         boxesAssumed,
+		Boxes:         assumedBoxes,
 		StopTimeout:   s.Bounds.Grace(),
-		Memory:        keptMemory(s.MemoryMB),
+		Memory:        bufferLimit(s.MemoryMB),
 	}
 }
 
-// keptMemory is how many bytes a box may keep on behalf of callers and upstreams; 0,
-// without a bound, where its memory is not known.
-func keptMemory(memoryMB int) int64 {
+// bufferLimit returns how many bytes a box may buffer for callers and upstreams, or
+// 0 (no limit) if the box's memory size is unknown (memoryMB <= 0).
+func bufferLimit(memoryMB int) int64 {
 	if memoryMB <= 0 {
 		return 0
 	}
-	return megabyte * int64(max(keptShare*float64(memoryMB-ownMemoryMB), leastKeptMB))
+	return bytesPerMB * int64(max(bufferFraction*float64(memoryMB-processMemoryMB), minBufferMB))
 }
 
-// self is the box as the others know it. Its start is told by the time of day,
-// since nothing outlives a process here.
+// self returns the description of this box that is sent to other boxes. Boot is the
+// wall-clock start time in nanoseconds, because no counter persists across restarts.
 func self(s *settings.Relay) *wire.GroupBox {
 	return &wire.GroupBox{Name: s.Box, Domain: s.Domain, Region: s.Regions[s.Domain], Address: s.PeerAddress(s.Listen.IP), Pulls: s.Listen.Control,
 		Strength: s.Strength(), Boot: uint64(time.Now().UnixNano())}
 }
 
-// serveMetrics serves the box's figures until the process ends.
+// serveMetrics serves the box's metrics over HTTP until the process exits, and logs
+// an error if the server fails.
 func serveMetrics(address string, box *relay.Relay, log *relay.Log) {
 	err := http.ListenAndServe(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { box.WriteMetrics(w) }))
 	log.Event("metrics", "not served", relay.Fields{"error": err.Error()})
