--- a/cmd/doormast/account.go
+++ b/cmd/doormast/account.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			account := oplog.Tell(lines, span)
+			account := oplog.Summarize(lines, span)
 			if plot != "" {
 				if err := writePicture(plot, account); err != nil {
 					return err
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	if err := picture.Account(f, a); err != nil {
+	if err := picture.WritePNG(f, a); err != nil {
 		_ = f.Close()
 		return err
 	}
--- a/cmd/doormast/relay.go
+++ b/cmd/doormast/relay.go
@@ -160,7 +160,7 @@
 				return err
 			}
 			for _, l := range lines {
-				if part == "" || l.Part == part {
+				if part == "" || l.Component == part {
 					fmt.Fprintln(cmd.OutOrStdout(), l)
 				}
 			}
--- a/oplog/account.go
+++ b/oplog/account.go
@@ -1,8 +1,8 @@
 package oplog
 
-// This file defines the account of a time: how the requests of each class ended, and what
-// that had to do with. The invariant: each request's line is counted under one fate, in the
-// class and in the span of time in which it ended.
+// This file defines Account, a summary of the requests in a log: how those of each class ended,
+// with counts of retries, cache misses and migrations. The invariant: each request's line is
+// counted under exactly one outcome, in its class and in the time span in which it ended.
 
 import (
 	"cmp"
@@ -10,185 +10,186 @@
 	"time"
 )
 
-// Fate is how a request ended for its caller.
-type Fate int
+// Outcome is how a request ended for its caller.
+type Outcome int
 
-// The fates, the best first.
+// The outcomes, best first.
 const (
-	InTime     Fate = iota
-	LateFirst       // its answer, or the first of it, came after its target
-	LatePause       // a pause between its events was too long
-	Refused         // it has not run, and its caller was told when to come back
-	Unfinished      // its time was over while its answer went on
-	Cut             // its stream broke off midway
-	Failed          // it ended without a whole answer, or with a failure
-	Left            // its caller left
-	fates
+	OnTime       Outcome = iota
+	LateStart            // the answer, or the first event of a stream, came after its latency target
+	LatePause            // a pause between two events of the stream was too long
+	Refused              // the request did not run; the caller was told when to retry
+	Unfinished           // the deadline passed while the answer was streaming
+	Interrupted          // the stream ended before the answer was complete
+	Failed               // no answer, or an answer with an error status
+	Disconnected         // the caller disconnected
+	outcomeCount
 )
 
-// FateNames are the fates as tables and pictures show them.
-var FateNames = [...]string{
-	InTime: "in time", LateFirst: "late", LatePause: "late pause", Refused: "refused", Unfinished: "unfinished", Cut: "cut", Failed: "failed", Left: "left",
+// OutcomeNames are the labels of the outcomes in tables and charts.
+var OutcomeNames = [...]string{
+	OnTime: "in time", LateStart: "late", LatePause: "late pause", Refused: "refused", Unfinished: "unfinished", Interrupted: "cut", Failed: "failed", Disconnected: "left",
 }
 
-// Tally is what is told of some requests. Means are over those that it names.
-type Tally struct {
-	Requests int
-	Fates    [fates]int
-	CameBack int           // after a refusal, as far as their time left showed
-	Again    int           // sent to more than one upstream
-	Unkept   int           // their upstream was not thought to keep their prompt
-	Fetched  int           // their upstream was told of another that keeps the prompt
-	Moved    int           // their answer went on at another upstream
-	Ahead    int           // prompt tokens before them, in sum
-	Begun    int           // those whose answer began
-	First    time.Duration // until it did, in sum: waiting, and the reading of their prompts
-	Rest     time.Duration // from then to the end, in sum
+// Counts holds counters and sums over a set of requests.
+type Counts struct {
+	Requests            int
+	Outcomes            [outcomeCount]int
+	RetriedAfterRefusal int           // retries after a refusal, recognized by their remaining time
+	MultipleRuns        int           // requests sent to more than one upstream
+	CacheMisses         int           // requests whose upstream was not expected to have their prompt cached
+	CacheFetches        int           // requests whose upstream was told of another one that has the prompt cached
+	Migrated            int           // requests whose answer continued at another upstream
+	TokensAhead         int           // sum of the prompt tokens queued before each request
+	Started             int           // requests whose answer began
+	TimeToFirst         time.Duration // sum over Started requests until the answer began: queueing and prompt processing
+	TimeAfterFirst      time.Duration // sum over Started requests from the beginning of the answer to its end
 }
 
-// Group is a tally of a class, or of a class in a span of time.
+// Group holds the counts of one class, over the whole log or in one time span.
 type Group struct {
 	Class string
-	From  time.Time
-	Tally
+	Start time.Time
+	Counts
 }
 
-// Account is what a log tells of a time.
+// Account summarizes the requests in a log.
 type Account struct {
-	From    time.Time // of the first span
-	Span    time.Duration
-	Classes []Group // by class
-	Spans   []Group // by time, then by class
-	LeftOut int     // lines that boxes left out, so that requests are missing
+	Start        time.Time // start of the first span
+	Span         time.Duration
+	Classes      []Group // sorted by class
+	Spans        []Group // sorted by time, then by class
+	DroppedLines int     // log lines that boxes dropped; their requests are not counted
 }
 
-// Tell makes the account of lines that are in order, in spans of the length given.
-func Tell(lines []Line, span time.Duration) *Account {
+// Summarize returns the account of lines, which must be sorted by time, in spans of length span.
+func Summarize(lines []Line, span time.Duration) *Account {
 	a := &Account{Span: span}
 	classes := make(map[string]*Group)
 	spans := make(map[spanKey]*Group)
 	for _, l := range lines {
-		a.LeftOut += numberOf(l.Fields["lines_left_out"]) + numberOf(l.Fields["lines_dropped"])
-		class := textOf(l.Fields["route"])
-		if l.Part != "request" || class == "" {
-			continue // it was refused before its class was known
+		a.DroppedLines += intValue(l.Fields["lines_left_out"]) + intValue(l.Fields["lines_dropped"])
+		class := stringValue(l.Fields["route"])
+		if l.Component != "request" || class == "" {
+			continue // not about a request, or refused before its class was known
 		}
-		if a.From.IsZero() {
-			a.From = l.At
+		if a.Start.IsZero() {
+			a.Start = l.Time
 		}
-		at := l.At.Sub(a.From).Truncate(span)
-		groupOf(classes, class, Group{Class: class, From: a.From}).add(l)
-		groupOf(spans, spanKey{at, class}, Group{Class: class, From: a.From.Add(at)}).add(l)
+		at := l.Time.Sub(a.Start).Truncate(span)
+		getOrAdd(classes, class, Group{Class: class, Start: a.Start}).add(l)
+		getOrAdd(spans, spanKey{at, class}, Group{Class: class, Start: a.Start.Add(at)}).add(l)
 	}
-	a.Classes, a.Spans = sorted(classes), sorted(spans)
+	a.Classes, a.Spans = sortedGroups(classes), sortedGroups(spans)
 	return a
 }
 
-// spanKey is a class in a span of time, since the first.
+// spanKey identifies a class in a time span; at is the offset of the span from the first one.
 type spanKey struct {
 	at    time.Duration
 	class string
 }
 
-// groupOf is the group under the key, a new one where there is none.
-func groupOf[K comparable](groups map[K]*Group, key K, fresh Group) *Group {
+// getOrAdd returns the group stored under key; if there is none it stores and returns fresh.
+func getOrAdd[K comparable](groups map[K]*Group, key K, fresh Group) *Group {
 	if groups[key] == nil {
 		groups[key] = &fresh
 	}
 	return groups[key]
 }
 
-// sorted lists groups by time, then by class.
-func sorted[K comparable](groups map[K]*Group) []Group {
+// sortedGroups returns the groups sorted by time, then by class.
+func sortedGroups[K comparable](groups map[K]*Group) []Group {
 	list := make([]Group, 0, len(groups))
 	for _, g := range groups {
 		list = append(list, *g)
 	}
-	slices.SortFunc(list, func(a, b Group) int { return cmp.Or(a.From.Compare(b.From), cmp.Compare(a.Class, b.Class)) })
+	slices.SortFunc(list, func(a, b Group) int { return cmp.Or(a.Start.Compare(b.Start), cmp.Compare(a.Class, b.Class)) })
 	return list
 }
 
-// add counts a request's line.
-func (t *Tally) add(l Line) {
-	t.Requests++
-	t.Fates[fateOf(l)]++
-	t.Ahead += numberOf(l.Fields["ahead"])
-	t.CameBack += oneIf(l.Fields["came_back"] == true)
-	t.Again += oneIf(numberOf(l.Fields["runs"]) > 1)
-	t.Unkept += oneIf(l.Fields["kept"] == false)
-	t.Fetched += oneIf(l.Fields["fetched"] == true)
-	t.Moved += oneIf(l.Fields["moved"] == true)
-	first, total := millisOf(l.Fields["first_ms"]), millisOf(l.Fields["total_ms"])
+// add counts the log line of one request.
+func (c *Counts) add(l Line) {
+	c.Requests++
+	c.Outcomes[outcomeOf(l)]++
+	c.TokensAhead += intValue(l.Fields["ahead"])
+	c.RetriedAfterRefusal += boolToInt(l.Fields["came_back"] == true)
+	c.MultipleRuns += boolToInt(intValue(l.Fields["runs"]) > 1)
+	c.CacheMisses += boolToInt(l.Fields["kept"] == false)
+	c.CacheFetches += boolToInt(l.Fields["fetched"] == true)
+	c.Migrated += boolToInt(l.Fields["moved"] == true)
+	first, total := millisValue(l.Fields["first_ms"]), millisValue(l.Fields["total_ms"])
 	if first > 0 {
-		t.Begun++
-		t.First += first
-		t.Rest += max(0, total-first)
+		c.Started++
+		c.TimeToFirst += first
+		c.TimeAfterFirst += max(0, total-first)
 	}
 }
 
-// failures is the status from which on an answer is a failure.
-const failures = 400
+// firstErrorStatus is the lowest HTTP status that counts as a failure.
+const firstErrorStatus = 400
 
-// fateOf says how a request ended for its caller.
-func fateOf(l Line) Fate {
+// outcomeOf returns how a request ended for its caller.
+func outcomeOf(l Line) Outcome {
 	switch l.Event {
 	case "answered":
-		return fateOfAnswer(l)
+		return answerOutcome(l)
 	case "cut by the stop":
-		return Cut
+		return Interrupted
 	case "broken off", "caller left", "caller does not read":
-		return fateOfBreak(l)
+		return brokenStreamOutcome(l)
 	case "refused", "too much before it", "no upstream":
 		return Refused
 	}
 	return Failed
 }
 
-// nearEnd is how near to the end of its time, in ms, an answer that breaks off is taken to have
-// run out of it: a caller's clock and the box's differ by what is on its way.
-const nearEnd = 150
+// deadlineToleranceMS is the remaining time, in ms, below which a stream that broke off counts as
+// having reached its deadline: network delay makes the caller's deadline differ from the box's.
+const deadlineToleranceMS = 150
 
-// fateOfBreak tells answers that broke off apart by whether any time was left.
-func fateOfBreak(l Line) Fate {
-	left, known := l.Fields["left_ms"].(float64)
+// brokenStreamOutcome classifies a request that broke off, by its event and its remaining time.
+func brokenStreamOutcome(l Line) Outcome {
+	remaining, known := l.Fields["left_ms"].(float64)
 	_, began := l.Fields["late_pauses"]
 	switch {
-	case known && began && left < nearEnd:
+	case known && began && remaining < deadlineToleranceMS:
 		return Unfinished
 	case l.Event == "caller left", l.Event == "caller does not read":
-		return Left
+		return Disconnected
 	}
-	return Cut
+	return Interrupted
 }
 
-// fateOfAnswer tells answers apart by their status and when they came.
-func fateOfAnswer(l Line) Fate {
-	took := numberOf(l.Fields["total_ms"])
+// answerOutcome classifies an answer by its status and its latency: of the first event for a
+// stream, of the whole answer otherwise.
+func answerOutcome(l Line) Outcome {
+	took := intValue(l.Fields["total_ms"])
 	if _, isStream := l.Fields["late_pauses"]; isStream {
-		took = numberOf(l.Fields["first_ms"])
+		took = intValue(l.Fields["first_ms"])
 	}
-	target := numberOf(l.Fields["target_ms"])
+	target := intValue(l.Fields["target_ms"])
 	switch {
-	case numberOf(l.Fields["status"]) >= failures:
+	case intValue(l.Fields["status"]) >= firstErrorStatus:
 		return Failed
 	case target > 0 && took > target:
-		return LateFirst
-	case numberOf(l.Fields["late_pauses"]) > 0:
+		return LateStart
+	case intValue(l.Fields["late_pauses"]) > 0:
 		return LatePause
 	}
-	return InTime
+	return OnTime
 }
 
-// numberOf is a field's number, 0 where the field is missing or no number.
-func numberOf(v any) int {
+// intValue returns a field's number truncated to an int, 0 if the field is missing or not a number.
+func intValue(v any) int {
 	f, _ := v.(float64)
 	return int(f)
 }
 
-// millisOf is a field's time.
-func millisOf(v any) time.Duration { return time.Duration(numberOf(v)) * time.Millisecond }
+// millisValue returns a field given in milliseconds as a duration.
+func millisValue(v any) time.Duration { return time.Duration(intValue(v)) * time.Millisecond }
 
-func oneIf(ok bool) int {
+func boolToInt(ok bool) int {
 	if ok {
 		return 1
 	}
--- a/oplog/error.go
+++ b/oplog/error.go
@@ -1,12 +1,12 @@
 package oplog
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindUnknown is the kind of an error about a request that no line names.
-const KindUnknown Kind = "no line names it"
+// KindRequestNotFound means that no log line has the id of the request.
+const KindRequestNotFound Kind = "no log line has this request id"
 
-// Error says what was looked for.
+// Error is a failed operation. Op names the operation and the request id.
 type Error struct {
 	Op   string
 	Kind Kind
--- a/oplog/explain.go
+++ b/oplog/explain.go
@@ -1,8 +1,8 @@
 package oplog
 
-// This file defines how a request is explained: its own lines, and what its boxes
-// came to believe shortly before and while it was under way. The invariant: every line
-// that names the request is shown.
+// This file defines Explain, which prints the log lines of one request together with the state
+// changes that its boxes logged shortly before and during it. The invariant: every line with the
+// request's id is printed.
 
 import (
 	"fmt"
@@ -10,24 +10,25 @@
 	"time"
 )
 
-// before is how long before a request's first line a change of belief may bear on it:
-// the longest that a document or a leaving upstream may take to be known.
-const before = 5 * time.Second
+// lookback is how long before a request's first line a state change counts as relevant to it:
+// the longest time for a document or the departure of an upstream to reach the boxes.
+const lookback = 5 * time.Second
 
-// Explain writes what the lines tell about a request. The lines are in order. The
-// error is an Error of KindUnknown where none names the request, or w's.
+// Explain writes the lines of the request id, each with its meaning, and the state changes
+// relevant to it. The lines must be sorted by time. The error is an *Error of
+// KindRequestNotFound if no line has the id, or a write error of w.
 func Explain(w io.Writer, lines []Line, id string) error {
-	own := about(lines, id)
+	own := linesOfRequest(lines, id)
 	if len(own) == 0 {
-		return &Error{Op: "explain " + id, Kind: KindUnknown}
+		return &Error{Op: "explain " + id, Kind: KindRequestNotFound}
 	}
-	s := scopeOf(own)
+	s := newScope(own)
 	for _, l := range lines {
 		var err error
 		switch {
-		case textOf(l.Fields["id"]) == id:
-			_, err = fmt.Fprintf(w, "%s\n  %s\n", l, meaning(l))
-		case s.holds(l) && bears(l, s.upstreams):
+		case stringValue(l.Fields["id"]) == id:
+			_, err = fmt.Fprintf(w, "%s\n  %s\n", l, describe(l))
+		case s.contains(l) && isRelevant(l, s.upstreams):
 			_, err = fmt.Fprintf(w, "    %s\n", l)
 		}
 		if err != nil {
@@ -37,92 +38,92 @@
 	return nil
 }
 
-// scope is when and where a request was under way.
+// scope is the time window, boxes and upstreams of a request.
 type scope struct {
 	from, to  time.Time
 	boxes     map[string]bool
-	upstreams map[string]bool // by id
+	upstreams map[string]bool // keyed by id
 }
 
-// scopeOf makes it of the request's own lines, of which there is one at least.
-func scopeOf(own []Line) scope {
+// newScope derives the scope from the request's own lines, of which there must be at least one.
+func newScope(own []Line) scope {
 	s := scope{
-		from:      own[0].At.Add(-before),
-		to:        own[len(own)-1].At,
+		from:      own[0].Time.Add(-lookback),
+		to:        own[len(own)-1].Time,
 		boxes:     make(map[string]bool),
 		upstreams: make(map[string]bool),
 	}
 	for _, l := range own {
 		s.boxes[l.Box] = true
-		s.upstreams[textOf(l.Fields["upstream"])] = true
+		s.upstreams[stringValue(l.Fields["upstream"])] = true
 	}
 	return s
 }
 
-// holds reports whether a line comes from one of the boxes, and in that time.
-func (s scope) holds(l Line) bool {
-	return !l.At.Before(s.from) && !l.At.After(s.to) && s.boxes[l.Box]
+// contains reports whether a line comes from one of the boxes within the time window.
+func (s scope) contains(l Line) bool {
+	return !l.Time.Before(s.from) && !l.Time.After(s.to) && s.boxes[l.Box]
 }
 
-// about returns the lines that name the request.
-func about(lines []Line, id string) []Line {
+// linesOfRequest returns the lines that have the request's id.
+func linesOfRequest(lines []Line, id string) []Line {
 	var own []Line
 	for _, l := range lines {
-		if textOf(l.Fields["id"]) == id {
+		if stringValue(l.Fields["id"]) == id {
 			own = append(own, l)
 		}
 	}
 	return own
 }
 
-// bears reports whether a line that is no request's may bear on a request that went
-// to the upstreams.
-func bears(l Line, upstreams map[string]bool) bool {
-	switch l.Part {
+// isRelevant reports whether a state change may have affected a request that was sent to the
+// given upstreams.
+func isRelevant(l Line, upstreams map[string]bool) bool {
+	switch l.Component {
 	case "document", "domain", "publisher", "box", "group", "settings", "published", "content":
 		return true
 	case "upstream":
-		return upstreams[textOf(l.Fields["upstream"])]
+		return upstreams[stringValue(l.Fields["upstream"])]
 	}
 	return false
 }
 
-// meanings tell what a kind of line says, in a sentence.
-var meanings = map[string]string{
-	"request: answered":                     "The upstream's answer went to the caller.",
-	"request: refused":                      "The box answered by itself; no upstream was asked. The reason, the document's version and its age are given.",
-	"request: no upstream":                  "No upstream could be asked any more: all were leaving, out of reach, or had been tried.",
-	"request: too much before it":           "The upstream had so many prompt tokens to read before this one (ahead) that it would have been late; the caller was told when to come back.",
-	"request: upstreams ask for a pause":    "All upstreams of the service want nothing from this box for longer than the caller waits; it was told when the first pause ends.",
-	"request: no answer":                    "A run may have happened and brought no answer, and the route, the attempts or the budget allowed no other.",
-	"request: out of time":                  "The caller's or the route's time was over while an upstream was at work.",
-	"request: broken off":                   "The stream's run ended before its end and could not go on elsewhere; the caller's connection was closed.",
-	"request: cut by the stop":              "The box's planned stop came to the end of its grace while an upstream was at work; the process's end cut the answer.",
-	"request: caller left":                  "The caller closed its connection; the run was ended.",
-	"request: caller does not read":         "The caller took nothing of its answer for seconds and was cut off; nothing is held against the upstream.",
-	"content: withheld":                     "Upstreams have ended under this content (ended, as boxes saw and told each other): it is refused until for_ms have passed, or it is answered whole.",
-	"upstream: says that it is leaving":     "An answer of it to this box says so: this life of it is sent nothing from here on, whatever its entry says (list_age_ms).",
-	"upstream: asks for a pause":            "It turned a request away and wants none from this box for pause_ms (asked is what it sent); requests return after till_ms.",
-	"upstream: used as before its pause":    "Requests have returned to it after a pause, in growing numbers.",
-	"upstream: asked whether it is leaving": "It has started again, and the answers that said it is leaving may have been of this start; it gets requests unless it says so again.",
-	"upstream: pause not taken":             "It turned a request away and sent something else than a time for which it wants none; why says what is wrong.",
-	"upstream: names a limit":               "An answer of it, seen here or by a box that told, names how many requests a second it takes from all boxes together (per_second, before). This box has sent it sent_lately in the last span_ms, and may send it ration in any ration_span_ms from now on.",
-	"upstream: names no limit any more":     "An answer of it to a request that was sent after the last one that named its limit names none.",
-	"upstream: ended":                       "It cut a run off and nobody listens at its address any more: its end is held against what was cut off there.",
-	"box: was suspended":                    "The machine was suspended for that long (for_ms): requests under way have so much less time, and what is known is older by as much.",
-	"caller: cut off":                       "The caller took nothing of its answer for two seconds, or went on taking it long after its time (reason); its connection was reset.",
-	"caller: turned away":                   "The box keeps as much for others as its memory allows (memory_used of memory_bound); the request has not run, and was told when to come back.",
-	"run: silent":                           "The connection carried nothing more while its upstream, asked twice on a fresh one, had made more events than came (made, events), or knew nothing of the run: it was ended, and goes on elsewhere where it may.",
-	"run: moves":                            "The answer would not end in its caller's time where it runs (here_ms), and would elsewhere (there_ms): its memory is copied and it goes on there.",
-	"run: not moved":                        "Its upstream did not answer the call to copy it; the answer goes on where it is, or breaks off.",
-	"run: not retried":                      "The service's retry budget on this box is used up: of window_ms count taken requests and spent retries, and the slack divided by boxes.",
-	"run: failed":                           "A run brought nothing: unsent (no connection), refused (the upstream did not run it) or unknown (it may have run).",
+// descriptions explains each kind of line; the key is "component: event".
+var descriptions = map[string]string{
+	"request: answered":                     "The upstream's answer was sent to the caller.",
+	"request: refused":                      "The box refused the request without asking an upstream. The line has the reason, and the version and age of the document.",
+	"request: no upstream":                  "No upstream was left to try: all were leaving, unreachable, or had been tried.",
+	"request: too much before it":           "The upstream had so many prompt tokens queued before this request (ahead) that the answer would have been late; the caller was told when to retry.",
+	"request: upstreams ask for a pause":    "All upstreams of the service asked this box to pause for longer than the caller waits; the caller was told when the first pause ends.",
+	"request: no answer":                    "A run may have happened and returned no answer; the route, the number of attempts or the retry budget allowed no other run.",
+	"request: out of time":                  "The deadline of the caller or of the route passed while an upstream was processing the request.",
+	"request: broken off":                   "The run ended before the stream was complete and could not continue on another upstream; the caller's connection was closed.",
+	"request: cut by the stop":              "The grace period of the box's shutdown ended while an upstream was processing the request; the exit of the process interrupted the answer.",
+	"request: caller left":                  "The caller closed its connection; the run was cancelled.",
+	"request: caller does not read":         "The caller read nothing of its answer for seconds and was disconnected; this does not count as a failure of the upstream.",
+	"content: withheld":                     "Upstreams crashed while processing this content (ended counts the crashes that boxes saw or reported to each other): it is refused until for_ms have passed or it gets a complete answer.",
+	"upstream: says that it is leaving":     "An answer of the upstream to this box says so: this box sends it nothing more until it restarts, whatever its entry in the list says (list_age_ms).",
+	"upstream: asks for a pause":            "The upstream rejected a request and asked this box to send none for pause_ms (asked is the value it sent); requests resume after till_ms.",
+	"upstream: used as before its pause":    "The upstream's share of requests has grown back to its level before the pause.",
+	"upstream: asked whether it is leaving": "The upstream has restarted, and the answers that said it is leaving may have come from its current process; it gets requests unless it says so again.",
+	"upstream: pause not taken":             "The upstream rejected a request with an invalid pause duration; why says what is wrong.",
+	"upstream: names a limit":               "An answer of the upstream, to this box or to one that reported it, gives the requests per second it accepts from all boxes together (per_second; before is the previous limit). This box sent it sent_lately requests in the last span_ms, and may send it ration requests in any ration_span_ms from now on.",
+	"upstream: names no limit any more":     "The upstream answered a request, sent after the last one whose answer gave its limit, without giving a limit.",
+	"upstream: ended":                       "The upstream broke off a run and its address no longer accepts connections: its crash is counted against the content of the runs it broke off.",
+	"box: was suspended":                    "The machine was suspended for for_ms: the remaining time of requests in progress is shorter, and the box's state is older, by that much.",
+	"caller: cut off":                       "The caller read nothing of its answer for two seconds, or was still reading long after its deadline (reason); its connection was reset.",
+	"caller: turned away":                   "The box has reached its memory limit (memory_used of memory_bound); the request did not run, and the caller was told when to retry.",
+	"run: silent":                           "The connection delivered nothing more, while the upstream, asked twice on a new connection, had produced more events than arrived (made, events) or did not know the run: the run was ended, and continues on another upstream if allowed.",
+	"run: moves":                            "The answer would miss the caller's deadline on its upstream (here_ms) but meet it on another (there_ms): its memory is copied there and the run continues there.",
+	"run: not moved":                        "The upstream did not answer the call to copy the run; the answer continues there, or breaks off.",
+	"run: not retried":                      "The service's retry budget on this box is exhausted: it follows from the requests (taken) and retries (spent) of the last window_ms, and the slack divided by boxes.",
+	"run: failed":                           "A run returned nothing: unsent (no connection), refused (the upstream did not run it) or unknown (it may have run).",
 }
 
-// meaning is what a line tells, in a sentence.
-func meaning(l Line) string {
-	if m := meanings[l.Part+": "+l.Event]; m != "" {
+// describe returns a sentence that explains the line.
+func describe(l Line) string {
+	if m := descriptions[l.Component+": "+l.Event]; m != "" {
 		return m
 	}
-	return "No more is known of this kind of line."
+	return "This kind of line has no description."
 }
--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -1,10 +1,9 @@
-// Package oplog reads the lines that relaying boxes log, over all boxes, and tells
-// what happened to a request.
+// Package oplog reads the logs of relaying boxes, merges them, explains what happened to a
+// request and summarizes how requests ended.
 package oplog
 
-// This file defines how lines are read. The invariant: what is no line of a box is
-// counted and passed over, never an error, since logs come through pipes that mix
-// and cut.
+// This file defines Line and the reading of logs. The invariant: text that is not a log line of a
+// box is counted and skipped, never an error, since log pipelines mix and truncate lines.
 
 import (
 	"bufio"
@@ -18,43 +17,43 @@
 	"time"
 )
 
-// Line is one line of a box.
+// Line is one log line of a box.
 type Line struct {
-	At     time.Time
-	Box    string
-	Part   string // of the box
-	Event  string
-	Fields map[string]any // what else it tells
+	Time      time.Time
+	Box       string
+	Component string // of the box, the part of msg before ": "
+	Event     string
+	Fields    map[string]any // the other fields of the line, by name
 }
 
 const (
-	// maxLine bounds a line, in bytes; longer ones are no lines of a box.
-	maxLine = 1 << 20
-	// usualLine is the room for a line to begin with, in bytes.
-	usualLine = 64 << 10
+	// maxLineBytes is the longest line that Read accepts.
+	maxLineBytes = 1 << 20
+	// initialBufferBytes is the initial size of the read buffer.
+	initialBufferBytes = 64 << 10
 )
 
-// Read reads the lines of a log; passed is how many lines were none of a box. What
-// stands before a line's brace, such as the time of whoever collects logs, is
-// dropped.
-func Read(r io.Reader) (lines []Line, passed int, err error) {
+// Read reads the lines of a log; skipped counts the lines that are not log lines of a box. Text
+// before the first brace of a line, such as a log collector's timestamp, is ignored. The error is
+// that of r, or bufio.ErrTooLong for a line longer than maxLineBytes.
+func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, 0, usualLine), maxLine)
+	in.Buffer(make([]byte, 0, initialBufferBytes), maxLineBytes)
 	for in.Scan() {
-		if line, ok := parse(in.Bytes()); ok {
+		if line, ok := parseLine(in.Bytes()); ok {
 			lines = append(lines, line)
 		} else {
-			passed++
+			skipped++
 		}
 	}
-	return lines, passed, in.Err()
+	return lines, skipped, in.Err()
 }
 
-// lineFields are those that every line has; Line has fields of its own for them.
-var lineFields = []string{"time", "msg", "box", "level"}
+// commonFields are on every line; they are left out of Line.Fields.
+var commonFields = []string{"time", "msg", "box", "level"}
 
-// parse reads a line; false means that it is none of a box.
-func parse(text []byte) (Line, bool) {
+// parseLine parses a line; false means that it is not a log line of a box.
+func parseLine(text []byte) (Line, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
@@ -63,38 +62,38 @@
 	if json.Unmarshal(text[start:], &fields) != nil {
 		return Line{}, false
 	}
-	at, err := time.Parse(time.RFC3339, textOf(fields["time"]))
-	part, event, ok := strings.Cut(textOf(fields["msg"]), ": ")
+	at, err := time.Parse(time.RFC3339, stringValue(fields["time"]))
+	component, event, ok := strings.Cut(stringValue(fields["msg"]), ": ")
 	if err != nil || !ok {
 		return Line{}, false
 	}
-	line := Line{At: at, Box: textOf(fields["box"]), Part: part, Event: event, Fields: fields}
-	for _, name := range lineFields {
+	line := Line{Time: at, Box: stringValue(fields["box"]), Component: component, Event: event, Fields: fields}
+	for _, name := range commonFields {
 		delete(fields, name)
 	}
 	return line, true
 }
 
-// textOf is a field's text, empty where the field is missing or no text.
-func textOf(v any) string {
+// stringValue returns a field's string, empty if the field is missing or not a string.
+func stringValue(v any) string {
 	s, _ := v.(string)
 	return s
 }
 
-// Merge puts the lines of several logs in the order of their times. Clocks of boxes
-// may differ, so that the order between boxes is a hint.
+// Merge returns the lines of several logs sorted by time. The clocks of boxes may differ, so the
+// order of lines from different boxes is approximate.
 func Merge(logs ...[]Line) []Line {
 	all := slices.Concat(logs...)
-	slices.SortStableFunc(all, func(a, b Line) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(all, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	return all
 }
 
 var _ fmt.Stringer = Line{}
 
-// String is a line for people.
+// String formats the line for display: time, box, component, event and the sorted fields.
 func (l Line) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s %s: %s", l.At.Format("15:04:05.000"), l.Box, l.Part, l.Event)
+	fmt.Fprintf(&b, "%s %s %s: %s", l.Time.Format("15:04:05.000"), l.Box, l.Component, l.Event)
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
 		fmt.Fprintf(&b, " %s=%v", name, l.Fields[name])
 	}
--- a/oplog/oplog_test.go
+++ b/oplog/oplog_test.go
@@ -24,23 +24,23 @@
 
 func read(t *testing.T, text string) ([]Line, int) {
 	t.Helper()
-	lines, passed, err := Read(strings.NewReader(text))
+	lines, skipped, err := Read(strings.NewReader(text))
 	is.New(t).NoErr(err)
-	return lines, passed
+	return lines, skipped
 }
 
-func TestLinesAreReadFromAnyPipe(t *testing.T) {
+func TestReadSkipsForeignText(t *testing.T) {
 	is := is.New(t)
-	lines, passed := read(t, log1)
+	lines, skipped := read(t, log1)
 	is.Equal(len(lines), 5)
-	is.Equal(passed, 2)
+	is.Equal(skipped, 2)
 	is.Equal(lines[0].Box, "box1")
-	is.Equal(lines[0].Part, "document")
+	is.Equal(lines[0].Component, "document")
 	is.Equal(lines[0].Event, "in force")
 	is.Equal(lines[0].Fields["version"], 7.0)
 }
 
-func TestARequestIsExplained(t *testing.T) {
+func TestExplain(t *testing.T) {
 	is := is.New(t)
 	a, _ := read(t, log1)
 	b, _ := read(t, log2)
@@ -50,15 +50,15 @@
 	for _, want := range []string{"document: in force", "gone from the list upstream=u1", "run: failed", "request: no answer", "may have happened"} {
 		is.True(strings.Contains(text, want))
 	}
-	is.True(!strings.Contains(text, "u2"))   // an upstream it did not go to
-	is.True(!strings.Contains(text, "box2")) // a box it did not go through
+	is.True(!strings.Contains(text, "u2"))   // an upstream that the request was not sent to
+	is.True(!strings.Contains(text, "box2")) // a box that did not handle the request
 	is.True(strings.Index(text, "gone from") < strings.Index(text, "run: failed"))
 }
 
-func TestAnUnknownRequestIsAnError(t *testing.T) {
+func TestExplainUnknownRequest(t *testing.T) {
 	is := is.New(t)
 	lines, _ := read(t, log1)
 	var e *Error
 	is.True(errors.As(Explain(&bytes.Buffer{}, lines, "other"), &e))
-	is.Equal(e.Kind, KindUnknown)
+	is.Equal(e.Kind, KindRequestNotFound)
 }
--- a/oplog/picture/picture.go
+++ b/oplog/picture/picture.go
@@ -1,9 +1,9 @@
-// Package picture draws what logs tell.
+// Package picture draws charts of log summaries.
 package picture
 
-// This file defines the picture of an account: for each class a chart of its requests over
-// time, their fates on top of each other. The invariant: all charts have the same time
-// axis, so that what happened at a moment stands in one column.
+// This file defines the PNG of an oplog.Account: for each class a stacked area chart of its
+// requests by outcome over time. The invariant: all charts have the same time axis and are
+// aligned, so that one moment is at the same horizontal position in each.
 
 import (
 	"image/color"
@@ -23,28 +23,28 @@
 const (
 	width     = 10 * vg.Inch
 	rowHeight = 2.2 * vg.Inch
-	// legendShare is the part of the time axis that is left free for the legend, behind the
-	// last span.
-	legendShare = 0.15
-	// leastShare is the part of all requests that a class must have to get a chart.
-	leastShare = 0.01
+	// legendFraction is the fraction of the time axis kept free for the legend, after the last
+	// span.
+	legendFraction = 0.15
+	// minRequestFraction is the smallest fraction of all requests for which a class gets a chart.
+	minRequestFraction = 0.01
 )
 
-// colors are those of the fates: greens and yellows for answers, reds for what got none.
+// colors holds the color of each outcome: green and yellows for answers, reds for failures.
 var colors = [...]color.Color{
-	oplog.InTime:     color.RGBA{R: 90, G: 170, B: 95, A: 255},
-	oplog.LateFirst:  color.RGBA{R: 230, G: 200, B: 80, A: 255},
-	oplog.LatePause:  color.RGBA{R: 240, G: 160, B: 60, A: 255},
-	oplog.Refused:    color.RGBA{R: 120, G: 150, B: 210, A: 255},
-	oplog.Unfinished: color.RGBA{R: 225, G: 115, B: 90, A: 255},
-	oplog.Cut:        color.RGBA{R: 200, G: 60, B: 60, A: 255},
-	oplog.Failed:     color.RGBA{R: 140, G: 30, B: 70, A: 255},
-	oplog.Left:       color.RGBA{R: 170, G: 170, B: 170, A: 255},
+	oplog.OnTime:       color.RGBA{R: 90, G: 170, B: 95, A: 255},
+	oplog.LateStart:    color.RGBA{R: 230, G: 200, B: 80, A: 255},
+	oplog.LatePause:    color.RGBA{R: 240, G: 160, B: 60, A: 255},
+	oplog.Refused:      color.RGBA{R: 120, G: 150, B: 210, A: 255},
+	oplog.Unfinished:   color.RGBA{R: 225, G: 115, B: 90, A: 255},
+	oplog.Interrupted:  color.RGBA{R: 200, G: 60, B: 60, A: 255},
+	oplog.Failed:       color.RGBA{R: 140, G: 30, B: 70, A: 255},
+	oplog.Disconnected: color.RGBA{R: 170, G: 170, B: 170, A: 255},
 }
 
-// Account draws an account as a PNG.
-func Account(w io.Writer, a *oplog.Account) error {
-	charts, err := chartsOf(a)
+// WritePNG draws an account as a PNG image.
+func WritePNG(w io.Writer, a *oplog.Account) error {
+	charts, err := newCharts(a)
 	if err != nil {
 		return err
 	}
@@ -62,24 +62,25 @@
 	return err
 }
 
-// chartsOf makes a chart of each class; one without lines where there is none.
-func chartsOf(a *oplog.Account) ([]*plot.Plot, error) {
+// newCharts returns a chart for each class with enough requests, or a single empty chart if there
+// are no classes.
+func newCharts(a *oplog.Account) ([]*plot.Plot, error) {
 	if len(a.Classes) == 0 {
 		empty := plot.New()
 		empty.Title.Text = "no requests"
 		return []*plot.Plot{empty}, nil
 	}
-	last := a.Spans[len(a.Spans)-1].From
+	last := a.Spans[len(a.Spans)-1].Start
 	all := 0
 	for _, class := range a.Classes {
 		all += class.Requests
 	}
 	var list []*plot.Plot
 	for _, class := range a.Classes {
-		if float64(class.Requests) < leastShare*float64(all) {
+		if float64(class.Requests) < minRequestFraction*float64(all) {
 			continue
 		}
-		chart, err := chartOf(a, class.Class, last)
+		chart, err := newChart(a, class.Class, last)
 		if err != nil {
 			return nil, err
 		}
@@ -88,35 +89,36 @@
 	return list, nil
 }
 
-// chartOf draws one class from the first span to the last.
-func chartOf(a *oplog.Account, class string, last time.Time) (*plot.Plot, error) {
+// newChart draws one class from the first span to the last.
+func newChart(a *oplog.Account, class string, last time.Time) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = class
 	p.X.Label.Text = "seconds"
 	p.Y.Label.Text = "requests a second"
 	p.Legend.Top = true
-	p.X.Min, p.X.Max = 0, (last.Sub(a.From)+a.Span).Seconds()/(1-legendShare)
-	sums := make([]float64, int(last.Sub(a.From)/a.Span)+1)
+	p.X.Min, p.X.Max = 0, (last.Sub(a.Start)+a.Span).Seconds()/(1-legendFraction)
+	sums := make([]float64, int(last.Sub(a.Start)/a.Span)+1)
 	var layers []*plotter.Polygon
-	for fate, name := range oplog.FateNames {
-		layer, err := layerOf(a, class, oplog.Fate(fate), sums)
+	for outcome, name := range oplog.OutcomeNames {
+		layer, err := newLayer(a, class, oplog.Outcome(outcome), sums)
 		if err != nil {
 			return nil, err
 		}
 		layers = append(layers, layer)
 		p.Legend.Add(name, layer)
 	}
-	for _, layer := range slices.Backward(layers) { // the lower ones cover the higher
+	for _, layer := range slices.Backward(layers) { // each layer reaches down to 0, so lower ones are drawn last
 		p.Add(layer)
 	}
 	return p, nil
 }
 
-// layerOf is the area below a fate and those before it; sums holds the heights so far.
-func layerOf(a *oplog.Account, class string, fate oplog.Fate, sums []float64) (*plotter.Polygon, error) {
+// newLayer returns the area from 0 up to the stacked height of outcome. sums holds the height of
+// the outcomes below, in requests per second for each span; newLayer adds this outcome to it.
+func newLayer(a *oplog.Account, class string, outcome oplog.Outcome, sums []float64) (*plotter.Polygon, error) {
 	for _, g := range a.Spans {
 		if g.Class == class {
-			sums[int(g.From.Sub(a.From)/a.Span)] += float64(g.Fates[fate]) / a.Span.Seconds()
+			sums[int(g.Start.Sub(a.Start)/a.Span)] += float64(g.Outcomes[outcome]) / a.Span.Seconds()
 		}
 	}
 	points := plotter.XYs{{X: 0, Y: 0}}
@@ -129,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	layer.Color = colors[fate]
+	layer.Color = colors[outcome]
 	layer.Width = 0
 	return layer, nil
 }
