--- a/cell/finish.go
+++ b/cell/finish.go
@@ -20,7 +20,7 @@
 		return
 	}
 	l.callerLeft = true
-	n.record(l.event(timeline.Left))
+	n.record(l.event(timeline.Disconnected))
 	switch l.state {
 	case stateLeased, stateSending, stateRunning:
 		l.cancelling = true
--- a/stats.go
+++ b/stats.go
@@ -89,7 +89,7 @@
 		c.enter(e.Request, timeline.Waiting)
 	case timeline.Leased, timeline.Fallback, timeline.Sending, timeline.Running:
 		c.enter(e.Request, timeline.Running)
-	case timeline.Answered, timeline.Left:
+	case timeline.Answered, timeline.Disconnected:
 		c.leave(e.Request)
 	case timeline.Refused, timeline.Unknown:
 		c.leave(e.Request)
--- a/timeline/format.go
+++ b/timeline/format.go
@@ -98,7 +98,7 @@
 func micros(e Event) float64 { return float64(e.Wall) / 1000 }
 
 func isEnd(k Kind) bool {
-	return k == Answered || k == Refused || k == Unknown || k == Left
+	return k == Answered || k == Refused || k == Unknown || k == Disconnected
 }
 
 // Explain tells in sentences what happened to one request.
@@ -147,7 +147,7 @@
 		return fmt.Sprintf("It was refused and did not run: %s.", words(e.Reason))
 	case Unknown:
 		return fmt.Sprintf("It ended and may have run: %s.", words(e.Reason))
-	case Left:
+	case Disconnected:
 		return "The caller left; the answer was cancelled."
 	case Redirected:
 		return fmt.Sprintf("It bids for a slot in another failure domain, at box %s.", e.Upstream)
--- a/timeline/invariants.go
+++ b/timeline/invariants.go
@@ -74,7 +74,7 @@
 	case Refused:
 		c.refused(e)
 		c.end(e)
-	case Answered, Unknown, Left:
+	case Answered, Unknown, Disconnected:
 		c.end(e)
 	}
 }
@@ -141,7 +141,7 @@
 		case Received:
 			open[e.Request] = true
 			order = append(order, e.Request)
-		case Answered, Refused, Unknown, Left:
+		case Answered, Refused, Unknown, Disconnected:
 			delete(open, e.Request)
 		}
 	}
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -32,7 +32,7 @@
 	Answered     Kind = "answered"      // the whole answer reached the caller
 	Refused      Kind = "refused"       // it was refused and did not run
 	Unknown      Kind = "unknown"       // it ended and may have run
-	Left         Kind = "left"          // its caller went away
+	Disconnected Kind = "left"          // its caller went away
 	Redirected   Kind = "redirected"    // it bids in another failure domain
 	PauseOrdered Kind = "pause_ordered" // an owner asked for a pause
 	Owning       Kind = "owning"        // the box became owner of a set
