--- a/core.go
+++ b/core.go
@@ -120,7 +120,7 @@
 	now := b.clock.Boot()
 	switch n.kind {
 	case noticeReceived:
-		b.stamps.See(b.clock.Wall(), n.received.Stamp)
+		b.stamps.Observe(b.clock.Wall(), n.received.Stamp)
 		for _, m := range n.received.Messages {
 			b.node.Receive(now, n.received.Sender, n.received.Boot, m)
 		}
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -97,9 +97,9 @@
 	return c.last
 }
 
-// See takes in a stamp that came with a message, so that what follows is later.
+// Observe takes in a stamp that came with a message, so that what follows is later.
 // A stamp too far ahead of the own clock is not believed.
-func (c *Clock) See(wall time.Time, s Stamp) {
+func (c *Clock) Observe(wall time.Time, s Stamp) {
 	if s.Wall-wall.UnixNano() > int64(time.Minute) {
 		return
 	}
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -60,9 +60,9 @@
 	var a, b Clock
 	now := time.Unix(1000, 0)
 	sent := a.Now(now.Add(time.Second))
-	b.See(now, sent)
+	b.Observe(now, sent)
 	is.True(b.Now(now).Compare(sent) > 0)
-	b.See(now, Stamp{Wall: now.Add(time.Hour).UnixNano()})
+	b.Observe(now, Stamp{Wall: now.Add(time.Hour).UnixNano()})
 	is.True(b.Now(now.Add(2*time.Second)).Wall < now.Add(time.Minute).UnixNano())
 }
 
