--- a/cell/node.go
+++ b/cell/node.go
@@ -242,7 +242,7 @@
 // unused leases, and which boxes are alive. It runs before any message that
 // arrived during the pause is handled.
 func (n *Node) resetAfterPause(gap time.Duration) {
-	n.record(timeline.Event{Kind: timeline.Woke, Value: int64(gap / time.Microsecond)})
+	n.record(timeline.Event{Kind: timeline.ClockGap, Value: int64(gap / time.Microsecond)})
 	n.members.forgetStates(n.now)
 	n.claims.Forget()
 	n.joined = false
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -44,7 +44,7 @@
 	BoxDead      Kind = "box_dead"
 	Draining     Kind = "draining"
 	Stopped      Kind = "stopped"
-	Woke         Kind = "woke"     // a gap in the box's own time was noticed
+	ClockGap     Kind = "woke"     // a gap in the box's own time was noticed
 	Fallback     Kind = "fallback" // a slot was taken from the box's own share
 	Ordered      Kind = "ordered"  // an order went to an engine
 )
