--- a/cell/simulation_test.go
+++ b/cell/simulation_test.go
@@ -517,7 +517,7 @@
 	}
 	for key, n := range s.executed {
 		if n > 1 {
-			out = append(out, fmt.Sprintf("%s: key %s ran %d times", timeline.PromiseOnce, key, n))
+			out = append(out, fmt.Sprintf("%s: key %s ran %d times", timeline.InvariantAtMostOnce, key, n))
 		}
 	}
 	for id, n := range s.finalCounts {
--- a/timeline/invariants.go
+++ b/timeline/invariants.go
@@ -19,11 +19,11 @@
 
 // Names of the promises checked here.
 const (
-	PromiseTiers    = "no higher tier gives way to a lower one"
-	PromiseOneEnd   = "each request ends exactly once"
-	PromiseTruth    = "what was refused did not run"
-	PromiseOnce     = "not repeatable runs at most once"
-	PromiseRevision = "a table never reverts"
+	PromiseTiers        = "no higher tier gives way to a lower one"
+	PromiseOneEnd       = "each request ends exactly once"
+	PromiseTruth        = "what was refused did not run"
+	InvariantAtMostOnce = "not repeatable runs at most once"
+	PromiseRevision     = "a table never reverts"
 )
 
 // Check returns every violation found in events, which must be in one order.
@@ -95,7 +95,7 @@
 	h.sent++
 	// A resumed answer goes on with the same run; Value counts what it had.
 	if h.sent > 1 && e.Value == 0 && !c.repeatable(e.Class) {
-		c.fail(PromiseOnce, e, "sent %d times", h.sent)
+		c.fail(InvariantAtMostOnce, e, "sent %d times", h.sent)
 	}
 	if h.ended != "" {
 		c.fail(PromiseOneEnd, e, "sent after it was %s", h.ended)
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -31,7 +31,7 @@
 	}{
 		{"good", line(received, sending, Event{Kind: Answered, Request: 1}), ""},
 		{"disclaimed and sent again", line(received, sending, Event{Kind: Disclaimed, Request: 1}, sending, Event{Kind: Answered, Request: 1}), ""},
-		{"sent twice", line(received, sending, sending), PromiseOnce},
+		{"sent twice", line(received, sending, sending), InvariantAtMostOnce},
 		{"refused after sending", line(received, sending, Event{Kind: Refused, Request: 1}), PromiseTruth},
 		{"ended twice", line(received, Event{Kind: Refused, Request: 1}, Event{Kind: Answered, Request: 1}), PromiseOneEnd},
 		{"sent after its end", line(received, Event{Kind: Refused, Request: 1}, sending), PromiseOneEnd},
