--- a/cell/simulation_test.go
+++ b/cell/simulation_test.go
@@ -522,7 +522,7 @@
 	}
 	for id, n := range s.finalCounts {
 		if n > 1 {
-			out = append(out, fmt.Sprintf("%s: request %x got %d final answers", timeline.PromiseOneEnd, id, n))
+			out = append(out, fmt.Sprintf("%s: request %x got %d final answers", timeline.InvariantSingleEnd, id, n))
 		}
 	}
 	slices.Sort(out)
--- a/timeline/invariants.go
+++ b/timeline/invariants.go
@@ -20,7 +20,7 @@
 // Names of the promises checked here.
 const (
 	PromiseTiers        = "no higher tier gives way to a lower one"
-	PromiseOneEnd       = "each request ends exactly once"
+	InvariantSingleEnd  = "each request ends exactly once"
 	PromiseTruth        = "what was refused did not run"
 	InvariantAtMostOnce = "not repeatable runs at most once"
 	PromiseRevision     = "a table never reverts"
@@ -98,7 +98,7 @@
 		c.fail(InvariantAtMostOnce, e, "sent %d times", h.sent)
 	}
 	if h.ended != "" {
-		c.fail(PromiseOneEnd, e, "sent after it was %s", h.ended)
+		c.fail(InvariantSingleEnd, e, "sent after it was %s", h.ended)
 	}
 }
 
@@ -127,7 +127,7 @@
 		return
 	}
 	if h.ended != "" {
-		c.fail(PromiseOneEnd, e, "%s after it was %s", e.Kind, h.ended)
+		c.fail(InvariantSingleEnd, e, "%s after it was %s", e.Kind, h.ended)
 	}
 	h.ended = e.Kind
 }
