--- a/cell/owner.go
+++ b/cell/owner.go
@@ -97,7 +97,7 @@
 	delete(n.pools, set)
 	delete(n.orders, set)
 	delete(n.dirty, set)
-	n.record(timeline.Event{Kind: timeline.Disowning, Set: set})
+	n.record(timeline.Event{Kind: timeline.OwnershipLost, Set: set})
 }
 
 // configurePool applies the rules and upstreams of the table to a pool.
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -20,33 +20,33 @@
 
 // Kinds of event.
 const (
-	Received     Kind = "received"      // a request came from a caller
-	Waiting      Kind = "waiting"       // it was bid for
-	Granted      Kind = "granted"       // an owner granted it a slot
-	Leased       Kind = "leased"        // the holder has the slot
-	Sending      Kind = "sending"       // a byte may leave for the upstream
-	Running      Kind = "running"       // the first token came
-	Paused       Kind = "paused"        // it was stopped for a higher tier
-	Disclaimed   Kind = "disclaimed"    // the upstream said that it did not run it
-	Retried      Kind = "retried"       // it is tried again after a failure
-	Answered     Kind = "answered"      // the whole answer reached the caller
-	Refused      Kind = "refused"       // it was refused and did not run
-	Unknown      Kind = "unknown"       // it ended and may have run
-	Disconnected Kind = "left"          // its caller went away
-	Redirected   Kind = "redirected"    // it bids in another failure domain
-	PauseOrdered Kind = "pause_ordered" // an owner asked for a pause
-	Owning       Kind = "owning"        // the box became owner of a set
-	Disowning    Kind = "disowning"     // it is no longer
-	TableAdopted Kind = "table_adopted"
-	TableBad     Kind = "table_bad"
-	ListAdopted  Kind = "list_adopted"
-	BoxAlive     Kind = "box_alive"
-	BoxDead      Kind = "box_dead"
-	Draining     Kind = "draining"
-	Stopped      Kind = "stopped"
-	ClockGap     Kind = "woke"     // a gap in the box's own time was noticed
-	Fallback     Kind = "fallback" // a slot was taken from the box's own share
-	Ordered      Kind = "ordered"  // an order went to an engine
+	Received      Kind = "received"      // a request came from a caller
+	Waiting       Kind = "waiting"       // it was bid for
+	Granted       Kind = "granted"       // an owner granted it a slot
+	Leased        Kind = "leased"        // the holder has the slot
+	Sending       Kind = "sending"       // a byte may leave for the upstream
+	Running       Kind = "running"       // the first token came
+	Paused        Kind = "paused"        // it was stopped for a higher tier
+	Disclaimed    Kind = "disclaimed"    // the upstream said that it did not run it
+	Retried       Kind = "retried"       // it is tried again after a failure
+	Answered      Kind = "answered"      // the whole answer reached the caller
+	Refused       Kind = "refused"       // it was refused and did not run
+	Unknown       Kind = "unknown"       // it ended and may have run
+	Disconnected  Kind = "left"          // its caller went away
+	Redirected    Kind = "redirected"    // it bids in another failure domain
+	PauseOrdered  Kind = "pause_ordered" // an owner asked for a pause
+	Owning        Kind = "owning"        // the box became owner of a set
+	OwnershipLost Kind = "disowning"     // it is no longer
+	TableAdopted  Kind = "table_adopted"
+	TableBad      Kind = "table_bad"
+	ListAdopted   Kind = "list_adopted"
+	BoxAlive      Kind = "box_alive"
+	BoxDead       Kind = "box_dead"
+	Draining      Kind = "draining"
+	Stopped       Kind = "stopped"
+	ClockGap      Kind = "woke"     // a gap in the box's own time was noticed
+	Fallback      Kind = "fallback" // a slot was taken from the box's own share
+	Ordered       Kind = "ordered"  // an order went to an engine
 )
 
 // Stamp is a moment of the hybrid logical clock.
