--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,4 +1,4 @@
-// Package e2e holds the tests that run the system as separate processes: the
-// daemons, and the stand-ins for the platform, engines and plain services. They
-// wait on events, never on the time.
+// Package e2e contains end-to-end tests that run the daemons as separate processes
+// against stand-ins for the platform, engines and plain services. The tests wait for
+// conditions and assert no durations.
 package e2e
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -16,17 +16,18 @@
 	"github.com/doormast/doormast/standin"
 )
 
-// askMany sends n requests to boxes in turn and gives back the answers.
-func askMany(ctx context.Context, boxes []*box, n int, make func(i int) call) (answers []answer, calls []call) {
+// sendAll sends n requests concurrently, spread evenly over boxes, and returns the answers and
+// the calls in the same order.
+func sendAll(ctx context.Context, boxes []*box, n int, newCall func(i int) call) (answers []answer, calls []call) {
 	answers, calls = append(answers, makeAnswers(n)...), nil
 	var wg sync.WaitGroup
 	for i := range n {
-		c := make(i)
+		c := newCall(i)
 		calls = append(calls, c)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			answers[i] = ask(ctx, boxes[i%len(boxes)], c)
+			answers[i] = send(ctx, boxes[i%len(boxes)], c)
 		}()
 	}
 	wg.Wait()
@@ -35,16 +36,17 @@
 
 func makeAnswers(n int) []answer { return make([]answer, n) }
 
-func question(i int) call {
+// reviewCall returns the i-th call of a load of class review.
+func reviewCall(i int) call {
 	return call{prompt: fmt.Sprintf("question %d len=%d", i, 10+i%40), class: "review", stream: true}
 }
 
-// TestPlannedStop stops the owner of the sets while answers stream: all of them
-// come whole, and the daemon ends by itself.
+// TestPlannedStop sends SIGTERM to the owner of a set while it streams answers: all answers
+// complete, its health check fails, and the daemon exits without an error.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, config{domains: 1, boxes: 3, engines: 1, slots: 4, pace: 5 * time.Millisecond})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	victim := s.ownerOf("chat", "d0")
 	done := make(chan struct{})
@@ -52,14 +54,14 @@
 	var calls []call
 	go func() {
 		defer close(done)
-		answers, calls = askMany(ctx, s.boxes, 30, question)
+		answers, calls = sendAll(ctx, s.boxes, 30, reviewCall)
 	}()
-	await(t, "a stream on the box to stop", func() bool {
+	waitFor(t, "a stream on the box that will stop", func() bool {
 		st, err := s.status(victim)
 		return err == nil && len(st.Classes) > 0 && st.Classes[0].Running > 0
 	})
 	victim.proc.signal(syscall.SIGTERM)
-	await(t, "the balancer to see it leave", func() bool {
+	waitFor(t, "the health check to fail", func() bool {
 		resp, err := http.Get("http://" + victim.callers + "/healthz")
 		if err != nil {
 			return true
@@ -69,23 +71,23 @@
 	})
 	<-done
 	for i, a := range answers {
-		expectWhole(t, calls[i].prompt, a)
+		expectComplete(t, calls[i].prompt, a)
 	}
 	select {
 	case err := <-victim.proc.done:
 		victim.proc.done <- err
-		is.NoErr(err) // it ended by itself, with nothing cut off
-	case <-time.After(patience):
-		t.Fatal("the daemon did not end")
+		is.NoErr(err) // a clean exit: no request was cut off
+	case <-time.After(eventTimeout):
+		t.Fatal("the daemon did not exit")
 	}
-	s.checkPromises()
+	s.checkInvariants()
 }
 
-// ownerOf finds the box that owns a set in a domain.
+// ownerOf waits until exactly one box of a domain owns a set, and returns it.
 func (s *system) ownerOf(set, domain string) *box {
 	s.t.Helper()
 	var owner *box
-	await(s.t, "an owner of "+set, func() bool {
+	waitFor(s.t, "an owner of "+set, func() bool {
 		owners := 0
 		for _, b := range s.boxes {
 			if st, err := s.status(b); b.domain == domain && err == nil && slices.Contains(st.OwnedSets, set) {
@@ -98,10 +100,10 @@
 	return owner
 }
 
-// TestKilledOwner kills the owner: what the others carry is answered.
-func TestKilledOwner(t *testing.T) {
+// TestOwnerKilled kills the owner of a set while other boxes stream: their requests complete.
+func TestOwnerKilled(t *testing.T) {
 	s := newSystem(t, config{domains: 1, boxes: 3, engines: 1, slots: 2, pace: 5 * time.Millisecond})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	victim := s.ownerOf("chat", "d0")
 	var others []*box
@@ -115,23 +117,23 @@
 	var calls []call
 	go func() {
 		defer close(done)
-		answers, calls = askMany(ctx, others, 20, question)
+		answers, calls = sendAll(ctx, others, 20, reviewCall)
 	}()
-	await(t, "a stream", func() bool { return s.engines[0].Counts().Running > 0 })
+	waitFor(t, "a running stream", func() bool { return s.engines[0].Counts().Running > 0 })
 	victim.proc.kill()
 	<-done
 	for i, a := range answers {
-		expectWhole(t, calls[i].prompt, a)
+		expectComplete(t, calls[i].prompt, a)
 	}
-	s.checkPromises()
+	s.checkInvariants()
 }
 
-// TestFrozenBox stops a box and lets it go on: it notices, and all that it
-// carried is answered.
-func TestFrozenBox(t *testing.T) {
+// TestSuspendedBox suspends the owner until another box takes over, then resumes it: it records
+// that it was suspended, and all its requests complete.
+func TestSuspendedBox(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, config{domains: 1, boxes: 2, engines: 1, slots: 2, pace: 5 * time.Millisecond})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	victim := s.ownerOf("chat", "d0")
 	other := s.boxes[0]
@@ -143,71 +145,70 @@
 	var calls []call
 	go func() {
 		defer close(done)
-		answers, calls = askMany(ctx, s.boxes, 16, question)
+		answers, calls = sendAll(ctx, s.boxes, 16, reviewCall)
 	}()
-	await(t, "a stream", func() bool { return s.engines[0].Counts().Running > 0 })
+	waitFor(t, "a running stream", func() bool { return s.engines[0].Counts().Running > 0 })
 	victim.proc.signal(syscall.SIGSTOP)
-	await(t, "the other to take over", func() bool {
+	waitFor(t, "the other box to take over", func() bool {
 		st, err := s.status(other)
 		return err == nil && len(st.OwnedSets) == 2
 	})
 	victim.proc.signal(syscall.SIGCONT)
 	<-done
 	for i, a := range answers {
-		expectWhole(t, calls[i].prompt, a)
+		expectComplete(t, calls[i].prompt, a)
 	}
-	woke := 0
+	wakeups := 0
 	for _, e := range s.events() {
 		if e.Kind == "woke" {
-			woke++
+			wakeups++
 		}
 	}
-	is.True(woke > 0)
-	s.checkPromises()
+	is.True(wakeups > 0)
+	s.checkInvariants()
 }
 
-// TestPlatformDown takes the platform away: the system goes on, an edit comes
-// into force once it is back, and a box that was replaced meanwhile gets the
-// table from its peers.
+// TestPlatformDown makes the platform unavailable: requests are still served, and a box that
+// restarts meanwhile gets the table from its peers. Once the platform is back, an edit takes
+// effect, and an older table served after it does not.
 func TestPlatformDown(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, config{domains: 1, boxes: 3, engines: 1, slots: 4, pace: time.Millisecond})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	s.platform.SetDown(true)
-	expectWhole(t, "while down", ask(ctx, s.boxes[0], call{prompt: "while down", stream: true}))
+	expectComplete(t, "while down", send(ctx, s.boxes[0], call{prompt: "while down", stream: true}))
 	s.boxes[2].proc.kill()
-	// The new box knows its peers from its settings alone.
+	// The restarted box learns its peers from its settings only.
 	s.restartWithPeers(s.boxes[2])
 	s.awaitReady(s.boxes[2])
-	expectWhole(t, "replaced", ask(ctx, s.boxes[2], call{prompt: "replaced", stream: true}))
+	expectComplete(t, "replaced", send(ctx, s.boxes[2], call{prompt: "replaced", stream: true}))
 	s.platform.SetDown(false)
 	revision := s.platform.SetTable(s.table)
 	for _, b := range s.boxes {
-		await(t, "the change on "+b.name, func() bool {
+		waitFor(t, "the change on "+b.name, func() bool {
 			st, err := s.status(b)
 			return err == nil && st.TableRevision == revision
 		})
 	}
-	// A stale platform does not turn it back.
+	// A stale platform must not roll the table back.
 	s.platform.ServeOld(s.table.WithRevision(1).Document())
 	calls := s.platform.Calls().Calls
-	await(t, "some reads of the old table", func() bool { return s.platform.Calls().Calls > calls+4 })
+	waitFor(t, "some reads of the old table", func() bool { return s.platform.Calls().Calls > calls+4 })
 	for _, b := range s.boxes {
 		st, err := s.status(b)
 		is.NoErr(err)
 		is.Equal(st.TableRevision, revision)
 	}
-	s.checkPromises()
+	s.checkInvariants()
 }
 
-// TestBadTable publishes a table that cannot be accepted: the last good one
-// stays in force.
-func TestBadTable(t *testing.T) {
+// TestInvalidTable publishes an invalid table: the last valid one stays active.
+func TestInvalidTable(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, config{domains: 1, boxes: 2, engines: 1, slots: 4, pace: time.Millisecond})
 	s.platform.SetRaw([]byte(`{"revision": 2, "classes": []}`))
-	await(t, "the bad table to be noticed", func() bool {
+	waitFor(t, "an event for the invalid table", func() bool {
 		for _, e := range s.events() {
 			if e.Kind == "table_bad" {
 				return true
@@ -215,59 +216,60 @@
 		}
 		return false
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
-	expectWhole(t, "still", ask(ctx, s.boxes[0], call{prompt: "still", stream: true}))
+	expectComplete(t, "still", send(ctx, s.boxes[0], call{prompt: "still", stream: true}))
 	st, err := s.status(s.boxes[0])
 	is.NoErr(err)
 	is.Equal(st.TableRevision, uint64(1))
 }
 
-// TestCallerLeaves closes a caller's connection while its stream is idle: the
-// engine is told to stop.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerDisconnects closes a caller's connection while its stream is idle: the run on
+// the engine is cancelled.
+func TestCallerDisconnects(t *testing.T) {
 	s := newSystem(t, config{domains: 1, boxes: 1, engines: 1, slots: 1, pace: time.Hour})
-	ctx, leave := context.WithCancel(context.Background())
-	go ask(ctx, s.boxes[0], call{prompt: "never mind", stream: true})
-	await(t, "the run", func() bool { return s.engines[0].Counts().Running == 1 })
-	leave()
-	await(t, "the run to stop", func() bool { return s.engines[0].Counts().Running == 0 })
-	s.checkPromises()
+	ctx, disconnect := context.WithCancel(context.Background())
+	go send(ctx, s.boxes[0], call{prompt: "never mind", stream: true})
+	waitFor(t, "the run", func() bool { return s.engines[0].Counts().Running == 1 })
+	disconnect()
+	waitFor(t, "the run to stop", func() bool { return s.engines[0].Counts().Running == 0 })
+	s.checkInvariants()
 }
 
-// TestCutStream breaks streams in the middle: they go on from what was
-// delivered, and each caller gets its whole answer, none of it twice.
-func TestCutStream(t *testing.T) {
+// TestStreamInterrupted makes an engine break its streams in the middle. Streams resume from
+// the tokens already delivered: at least one completes, with no token lost or repeated, and an interrupted answer is no longer than the
+// full one and has no end marker.
+func TestStreamInterrupted(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, config{domains: 1, boxes: 2, engines: 2, slots: 4, pace: time.Millisecond})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	s.engines[0].SetFaults(standin.Faults{CutAfter: 7})
-	answers, calls := askMany(ctx, s.boxes, 10, question)
+	answers, calls := sendAll(ctx, s.boxes, 10, reviewCall)
 	whole := 0
 	for i, a := range answers {
 		is.NoErr(a.err)
 		if a.done {
-			expectWhole(t, calls[i].prompt, a)
+			expectComplete(t, calls[i].prompt, a)
 			whole++
 		} else if a.status == http.StatusOK {
-			is.True(len(a.text) <= len(wanted(calls[i].prompt))) // cut, and said so
+			is.True(len(a.text) <= len(expectedAnswer(calls[i].prompt))) // interrupted, without the end marker
 		}
 	}
 	is.True(whole > 0)
-	s.checkPromises()
+	s.checkInvariants()
 }
 
-// TestOnce sends each payment through both boxes at once and again after a box
-// was replaced. The plain service counts what it executed.
+// TestOnce sends each payment through both boxes concurrently, and again after one box
+// restarts, under one idempotency key. The plain service must execute each at most once.
 func TestOnce(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, config{domains: 1, boxes: 2, engines: 1, slots: 4, pace: time.Millisecond})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
-	s.plain.SetFaults(standin.PlainFaults{DropAfter: true}) // the worst: executed, and nobody hears of it
+	s.plain.SetFaults(standin.PlainFaults{DropAfter: true}) // worst case: executed, but the response is lost
 	pay := func(i int) call {
-		// Ten payments, each sent several times through both boxes.
+		// Forty calls make ten payments, each sent through both boxes.
 		key := fmt.Sprintf("dmd1:d0:%d:pay%d", time.Now().UnixMilli(), i/4)
 		return call{prompt: fmt.Sprintf("payment %d", i/4), path: "/services/pay/do", headers: map[string]string{"Idempotency-Key": key}}
 	}
@@ -276,59 +278,60 @@
 		calls[i] = pay(i)
 		calls[i].headers["Idempotency-Key"] = calls[i-i%4].headers["Idempotency-Key"]
 	}
-	// Keys can be vouched for once both boxes have agreed on the list for a while.
+	// Boxes accept idempotency keys only after both have agreed on the list of boxes for a while.
 	first := call{prompt: "first", path: "/services/pay/do", headers: map[string]string{}}
-	await(t, "keys to be vouched for", func() bool {
+	waitFor(t, "idempotency keys to be accepted", func() bool {
 		first.headers["Idempotency-Key"] = fmt.Sprintf("dmd1:d0:%d:first", time.Now().UnixMilli())
-		return ask(ctx, s.boxes[0], first).header.Get("X-Doormast-Reason") != "key_not_vouched"
+		return send(ctx, s.boxes[0], first).header.Get("X-Doormast-Reason") != "key_not_vouched"
 	})
 	now := time.Now().UnixMilli()
 	for i := range calls {
 		calls[i].headers["Idempotency-Key"] = fmt.Sprintf("dmd1:d0:%d:pay%d", now, i/4)
 	}
-	askMany(ctx, s.boxes, 20, func(i int) call { return calls[i] })
+	sendAll(ctx, s.boxes, 20, func(i int) call { return calls[i] })
 	s.boxes[1].proc.kill()
 	s.startBox(s.boxes[1])
 	s.awaitReady(s.boxes[1])
-	askMany(ctx, s.boxes, 40, func(i int) call { return calls[i] })
+	sendAll(ctx, s.boxes, 40, func(i int) call { return calls[i] })
 	executed := 0
 	for body, n := range s.plain.Executions() {
 		if body != "first" {
-			is.True(n <= 1) // never twice
+			is.True(n <= 1) // at most once
 			executed += n
 		}
 	}
 	is.True(executed > 0)
-	s.checkPromises()
+	s.checkInvariants()
 }
 
-// TestRefusalDidNotRun has a service that refuses: callers are told that their
-// request did not run, and the service agrees.
-func TestRefusalDidNotRun(t *testing.T) {
+// TestRejectedRequestDidNotRun checks the reported execution state of failed requests: "no" for a
+// request that the service rejected, and "unknown" for one whose response was lost.
+func TestRejectedRequestDidNotRun(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, config{domains: 1, boxes: 1, engines: 1, slots: 4, pace: time.Millisecond})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	s.plain.SetFaults(standin.PlainFaults{Refuse: true})
-	a := ask(ctx, s.boxes[0], call{prompt: "x", path: "/services/pay/do"})
+	a := send(ctx, s.boxes[0], call{prompt: "x", path: "/services/pay/do"})
 	is.Equal(a.header.Get("X-Doormast-Ran"), "no")
 	s.plain.SetFaults(standin.PlainFaults{DropAfter: true})
-	b := ask(ctx, s.boxes[0], call{prompt: "y", path: "/services/pay/do"})
+	b := send(ctx, s.boxes[0], call{prompt: "y", path: "/services/pay/do"})
 	is.Equal(b.header.Get("X-Doormast-Ran"), "unknown")
 	executed := s.plain.Executions()
 	is.Equal(executed["x"], 0)
-	is.Equal(executed["y"], 1) // once, and not tried again
+	is.Equal(executed["y"], 1) // once, without a retry
 }
 
-// TestSecurity turns away callers and operators without the right key.
-func TestSecurity(t *testing.T) {
+// TestInvalidKeysRejected checks that callers and operators with an invalid key are rejected, and so is
+// a request for an unknown class.
+func TestInvalidKeysRejected(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, config{domains: 1, boxes: 1, engines: 1, slots: 4, pace: time.Millisecond})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
-	a := ask(ctx, s.boxes[0], call{prompt: "x", headers: map[string]string{"Authorization": "Bearer wrong"}})
+	a := send(ctx, s.boxes[0], call{prompt: "x", headers: map[string]string{"Authorization": "Bearer wrong"}})
 	is.Equal(a.status, http.StatusUnauthorized)
-	b := ask(ctx, s.boxes[0], call{prompt: "x", class: "none"})
+	b := send(ctx, s.boxes[0], call{prompt: "x", class: "none"})
 	is.Equal(b.status, http.StatusBadRequest)
 	for _, key := range []string{"", "wrong", peerKey} {
 		c := ops.Dial(s.boxes[0].ops, key)
@@ -340,12 +343,13 @@
 	}
 }
 
-// TestEngineOrders edits the model of the engines' rows: they are ordered to load
-// it, with fences, two at a time, and serve on.
-func TestEngineOrders(t *testing.T) {
+// TestEngineLoadOrders changes the model of the engines in the table: each engine loads it
+// exactly once, by fenced orders that go to two engines at a time, and requests are served
+// afterwards.
+func TestEngineLoadOrders(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, config{domains: 1, boxes: 2, engines: 3, slots: 2, pace: time.Millisecond})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	for i := range s.table.Upstreams {
 		if s.table.Upstreams[i].Set == "chat" {
@@ -353,7 +357,7 @@
 		}
 	}
 	s.platform.SetTable(s.table)
-	await(t, "all engines to load it", func() bool {
+	waitFor(t, "all engines to load the model", func() bool {
 		for _, e := range s.engines {
 			if len(e.Loaded()) == 0 {
 				return false
@@ -361,8 +365,8 @@
 		}
 		return true
 	})
-	expectWhole(t, "after", ask(ctx, s.boxes[0], call{prompt: "after", stream: true}))
+	expectComplete(t, "after", send(ctx, s.boxes[0], call{prompt: "after", stream: true}))
 	for _, e := range s.engines {
-		is.Equal(e.Loaded(), []string{"next"}) // once
+		is.Equal(e.Loaded(), []string{"next"}) // exactly once
 	}
 }
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -34,18 +34,18 @@
 const (
 	peerKey = "peer-key-for-the-tests"
 	opsKey  = "ops-key-for-the-tests"
-	// patience bounds each wait for an event; it is never a measure.
-	patience = 60 * time.Second
+	// patience limits each wait for an event; no test asserts a duration with it.
+	eventTimeout = 60 * time.Second
 )
 
-var daemon, standinBin string
+var daemonBin, standinBin string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "doormast-e2e")
 	if err != nil {
 		panic(err)
 	}
-	daemon, standinBin = filepath.Join(dir, "doormastd"), filepath.Join(dir, "standin")
+	daemonBin, standinBin = filepath.Join(dir, "doormastd"), filepath.Join(dir, "standin")
 	build := exec.Command("go", "build", "-o", dir, "./cmd/doormastd", "./cmd/standin")
 	build.Dir = ".."
 	if out, err := build.CombinedOutput(); err != nil {
@@ -56,15 +56,15 @@
 	os.Exit(code)
 }
 
-// process is a process that a test has started.
+// process is a child process of a test; done receives its exit error.
 type process struct {
 	cmd    *exec.Cmd
-	first  string // its first line
+	first  string // first line of its standard output, for stand-ins
 	output *output
 	done   chan error
 }
 
-// output keeps what a process prints.
+// output collects the standard error of a process.
 type output struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -82,6 +82,7 @@
 	return o.b.String()
 }
 
+// start runs a program and kills it when the test ends.
 func start(t *testing.T, bin string, args ...string) *process {
 	t.Helper()
 	p := &process{cmd: exec.Command(bin, args...), output: new(output), done: make(chan error, 1)}
@@ -111,27 +112,27 @@
 	select {
 	case err := <-p.done:
 		p.done <- err
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 	}
 }
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// nextPort is the port that is looked at next. It lies below those that the kernel hands out,
-// so that no connection of another test takes it before the daemon listens there: a daemon
-// that found its port taken ended, and its test waited for it in vain.
+// nextPort counts the ports probed. Ports are chosen below the kernel's ephemeral range, so that
+// no outgoing connection of another test takes one before the daemon listens on it: a daemon
+// whose port is taken exits, and its test would wait for it until the timeout.
 var nextPort atomic.Uint32
 
-const firstPort, ports = 20000, 10000
+const minPort, portCount = 20000, 10000
 
 func init() { nextPort.Store(uint32(os.Getpid()) * 64) }
 
-// freePort finds a port that nobody listens on, for UDP and TCP.
+// freePort returns a local address whose port is free for both UDP and TCP.
 func freePort(t *testing.T) string {
 	t.Helper()
-	for range ports {
-		address := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%ports)
-		if isFree(address) {
+	for range portCount {
+		address := fmt.Sprintf("127.0.0.1:%d", minPort+nextPort.Add(1)%portCount)
+		if isFreeAddress(address) {
 			return address
 		}
 	}
@@ -139,8 +140,8 @@
 	return ""
 }
 
-// isFree reports whether nobody listens at an address, for UDP and TCP.
-func isFree(address string) bool {
+// isFreeAddress reports whether an address is free for both UDP and TCP.
+func isFreeAddress(address string) bool {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
@@ -154,25 +155,25 @@
 	return true
 }
 
-// expectRunning fails the test at once, with what the process printed, where it has ended.
+// expectRunning fails the test with the process's output if the process has exited.
 func (p *process) expectRunning(t *testing.T) {
 	t.Helper()
 	select {
 	case err := <-p.done:
 		p.done <- err
-		t.Fatalf("a process has ended: %v\n%s", err, p.output)
+		t.Fatalf("process exited unexpectedly: %v\n%s", err, p.output)
 	default:
 	}
 }
 
-// box is a daemon of a test.
+// box is a daemon process with its addresses and settings file.
 type box struct {
 	name, domain, callers, control, ops string
 	proc                                *process
 	file                                string
 }
 
-// system is a whole system of processes.
+// system is a deployment under test.
 type system struct {
 	t        *testing.T
 	platform *standin.Platform
@@ -183,17 +184,18 @@
 	dir      string
 }
 
+// config is the size of a system and of its engines.
 type config struct {
 	domains int
 	boxes   int // in each domain
 	engines int // in each domain
 	slots   int
-	pace    time.Duration
-	edit    func(*table.Table)
+	pace    time.Duration      // per token
+	edit    func(*table.Table) // if set, changes the table before it is published
 }
 
-// newSystem starts boxes as processes. The stand-ins run within the test, but
-// for the ones that it starts itself, so that it can look into them.
+// newSystem starts the boxes as processes and waits until they are ready. The stand-ins run
+// in the test process, so that tests can inspect them and inject faults.
 func newSystem(t *testing.T, cfg config) *system {
 	t.Helper()
 	s := &system{t: t, dir: t.TempDir()}
@@ -264,7 +266,7 @@
 	if err := os.WriteFile(b.file, append([]byte("// made by a test\n"), text...), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	b.proc = start(s.t, daemon, "--settings", b.file)
+	b.proc = start(s.t, daemonBin, "--settings", b.file)
 }
 
 func (s *system) status(b *box) (*wire.StatusResponse, error) {
@@ -275,18 +277,19 @@
 	return c.Status(ctx)
 }
 
-// awaitReady waits until a box has a table, sees the others of its domain, and
-// an owner for the sets is known to be there.
+// awaitReady waits until a box has a table and a list of boxes, and considers all other started
+// boxes of its domain live.
 func (s *system) awaitReady(b *box) {
 	s.t.Helper()
-	await(s.t, b.name+" to be ready", func() bool {
+	waitFor(s.t, b.name+" to be ready", func() bool {
 		b.proc.expectRunning(s.t)
 		st, err := s.status(b)
-		return err == nil && st.TableRevision > 0 && st.RosterRevision > 0 && len(st.Live) == s.inDomain(b.domain)-1
+		return err == nil && st.TableRevision > 0 && st.RosterRevision > 0 && len(st.Live) == s.startedIn(b.domain)-1
 	})
 }
 
-func (s *system) inDomain(domain string) int {
+// startedIn returns the number of started boxes in a domain.
+func (s *system) startedIn(domain string) int {
 	n := 0
 	for _, b := range s.boxes {
 		if b.domain == domain && b.proc != nil {
@@ -296,19 +299,19 @@
 	return n
 }
 
-// await waits for a condition to come true.
-func await(t *testing.T, what string, ok func() bool) {
+// waitFor polls a condition until it is true; what names it in the failure message.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(eventTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// events gathers the time line of all boxes that answer.
+// events returns the merged timeline of all boxes that respond.
 func (s *system) events() []timeline.Event {
 	var lists [][]timeline.Event
 	for _, b := range s.boxes {
@@ -327,8 +330,9 @@
 	return timeline.Merge(lists...)
 }
 
-// checkPromises fails the test if the time line shows a broken promise.
-func (s *system) checkPromises() {
+// checkInvariants fails the test for each invariant violation on the timeline. Only requests of
+// class pay are not repeatable.
+func (s *system) checkInvariants() {
 	s.t.Helper()
 	for _, v := range timeline.Check(s.events(), func(class string) bool { return class != "pay" }) {
 		s.t.Error(v)
@@ -349,27 +353,27 @@
 	}
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	text   string // the content of a stream, put together
-	done   bool   // the stream's end mark came
+	text   string // the content of a stream, concatenated
+	done   bool   // the stream's end marker was received
 	err    error
 }
 
-// call is a request of a test.
+// call describes a request of a test.
 type call struct {
 	prompt  string
 	class   string
 	stream  bool
-	path    string // of a plain service
+	path    string // of a plain service; empty for a chat completion
 	headers map[string]string
 }
 
-// ask makes a request of a box and reads the whole answer.
-func ask(ctx context.Context, b *box, c call) answer {
+// send sends a request to a box and reads the complete answer.
+func send(ctx context.Context, b *box, c call) answer {
 	body, path := c.prompt, c.path
 	if path == "" {
 		path = "/v1/chat/completions"
@@ -396,12 +400,13 @@
 	raw, err := io.ReadAll(resp.Body)
 	a := answer{status: resp.StatusCode, header: resp.Header, body: string(raw), err: err}
 	if c.stream {
-		a.text, a.done = contentOf(a.body)
+		a.text, a.done = streamContent(a.body)
 	}
 	return a
 }
 
-func contentOf(stream string) (text string, done bool) {
+// streamContent concatenates the content of an event stream, and reports whether it has an end marker.
+func streamContent(stream string) (text string, done bool) {
 	for _, line := range strings.Split(stream, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
@@ -422,8 +427,8 @@
 	return text, false
 }
 
-// wanted is the whole answer that belongs to a prompt.
-func wanted(prompt string) string {
+// expectedAnswer returns the complete answer that the stand-in engine generates for a prompt.
+func expectedAnswer(prompt string) string {
 	raw, _ := json.Marshal(map[string]string{"role": "user", "content": prompt})
 	var b strings.Builder
 	for i := range standin.AnswerLength(string(raw), 0) {
@@ -432,22 +437,21 @@
 	return b.String()
 }
 
-// expectWhole checks that a caller got its own answer, whole.
-func expectWhole(t *testing.T, prompt string, a answer) {
+// expectComplete checks that an answer is the complete stream for its prompt.
+func expectComplete(t *testing.T, prompt string, a answer) {
 	t.Helper()
 	is := is.New(t)
 	is.NoErr(a.err)
 	is.Equal(a.status, http.StatusOK)
-	is.True(a.done)                  // the stream came to its end mark
-	is.Equal(a.text, wanted(prompt)) // the answer is whole and its own
+	is.True(a.done)                          // the stream has its end marker
+	is.Equal(a.text, expectedAnswer(prompt)) // the answer is complete and matches its prompt
 }
 
-func upstreamRow(name, address, kind, set string) table.Upstream {
+func newUpstream(name, address, kind, set string) table.Upstream {
 	return table.Upstream{Name: name, Domain: "d0", Address: address, Kind: table.Kind(kind), Set: set, Model: "m", Slots: 8}
 }
 
-// restartWithPeers starts a new incarnation that knows its peers from its
-// settings.
+// restartWithPeers starts a box again with its peers listed in its settings.
 func (s *system) restartWithPeers(b *box) {
 	s.t.Helper()
 	var peers []map[string]string
@@ -473,5 +477,5 @@
 	if err := os.WriteFile(b.file, text, 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	b.proc = start(s.t, daemon, "--settings", b.file)
+	b.proc = start(s.t, daemonBin, "--settings", b.file)
 }
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -14,14 +14,14 @@
 	"github.com/doormast/doormast/internal/platform"
 )
 
-// TestWholePath runs the smallest whole system with every part a process of its
-// own: a platform, an engine, a plain service and two daemons.
-func TestWholePath(t *testing.T) {
+// TestAllPartsAsProcesses runs a minimal system with each part in a separate process: a platform,
+// an engine, a plain service and two daemons.
+func TestAllPartsAsProcesses(t *testing.T) {
 	is := is.New(t)
 	engine := start(t, standinBin, "engine", "--pace", "1ms", "--prefill", "1ms")
 	plain := start(t, standinBin, "plain")
 	s := &system{t: t, dir: t.TempDir(), table: baseTable()}
-	s.table.Upstreams = append(s.table.Upstreams, upstreamRow("e0", engine.first, "engine", "chat"), upstreamRow("p0", plain.first, "plain", "pay"))
+	s.table.Upstreams = append(s.table.Upstreams, newUpstream("e0", engine.first, "engine", "chat"), newUpstream("p0", plain.first, "plain", "pay"))
 	var list platform.List
 	list.Revision = 1
 	for i := range 2 {
@@ -43,25 +43,25 @@
 			"listen": {"callers": %q, "control": %q, "ops": %q},
 		}`, b.name, platformProcess.first, peerKey, opsKey, b.callers, b.control, b.ops)
 		is.NoErr(os.WriteFile(b.file, []byte(settings), 0o600))
-		b.proc = start(t, daemon, "--settings", b.file)
+		b.proc = start(t, daemonBin, "--settings", b.file)
 	}
 	for _, b := range s.boxes {
 		s.awaitReady(b)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	for i, b := range s.boxes {
 		prompt := fmt.Sprintf("question %d", i)
-		expectWhole(t, prompt, ask(ctx, b, call{prompt: prompt, stream: true}))
-		whole := ask(ctx, b, call{prompt: prompt, class: "review"})
+		expectComplete(t, prompt, send(ctx, b, call{prompt: prompt, stream: true}))
+		whole := send(ctx, b, call{prompt: prompt, class: "review"})
 		is.NoErr(whole.err)
 		var answer struct {
 			Choices []struct{ Message struct{ Content string } }
 		}
 		is.NoErr(json.Unmarshal([]byte(whole.body), &answer))
-		is.Equal(answer.Choices[0].Message.Content, wanted(prompt))
-		paid := ask(ctx, b, call{prompt: "pay " + prompt, path: "/services/pay/do"})
+		is.Equal(answer.Choices[0].Message.Content, expectedAnswer(prompt))
+		paid := send(ctx, b, call{prompt: "pay " + prompt, path: "/services/pay/do"})
 		is.Equal(paid.status, http.StatusOK)
 	}
-	s.checkPromises()
+	s.checkInvariants()
 }
--- a/e2e/said_test.go
+++ b/e2e/unavailable_test.go
@@ -10,13 +10,14 @@
 	"github.com/doormast/doormast/standin"
 )
 
-// TestEnginesThatSaySo: an engine says in its answers alone that it is leaving, or asks for a pause; the box that has read that sends it
-// nothing more, and all callers are served elsewhere.
-func TestEnginesThatSaySo(t *testing.T) {
+// TestEngineReportsUnavailable checks that a box stops sending to an engine whose responses announce a
+// shutdown or ask for a pause, even without a report that says so, and that another engine
+// serves all requests.
+func TestEngineReportsUnavailable(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults standin.Faults
-		got    func(standin.EngineCounts) int // requests that have come to it
+		got    func(standin.EngineCounts) int // requests that reached the engine
 	}{
 		{"leaving", standin.Faults{Announce: true}, func(n standin.EngineCounts) int { return len(n.Starts) }},
 		{"pause", standin.Faults{Pause: 60}, func(n standin.EngineCounts) int { return n.Refused }},
@@ -24,26 +25,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSystem(t, config{domains: 1, boxes: 1, engines: 2, slots: 4, pace: time.Millisecond})
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 			defer cancel()
 			s.engines[0].SetFaults(c.faults)
 			expectAll := func(count int) {
-				answers, calls := askMany(ctx, s.boxes, count, question)
+				answers, calls := sendAll(ctx, s.boxes, count, reviewCall)
 				for i, a := range answers {
 					is.NoErr(a.err)
-					expectWhole(t, calls[i].prompt, a)
+					expectComplete(t, calls[i].prompt, a)
 				}
 			}
 			for c.got(s.engines[0].Counts()) == 0 && ctx.Err() == nil {
 				expectAll(2)
 			}
 			before := c.got(s.engines[0].Counts())
-			for range 8 { // for longer than an engine is left alone after a few failures
+			for range 8 { // longer than the back-off after a few failures
 				expectAll(16)
 				time.Sleep(500 * time.Millisecond)
 			}
 			is.Equal(c.got(s.engines[0].Counts()), before)
-			s.checkPromises()
+			s.checkInvariants()
 		})
 	}
 }
