--- a/soak/box.go
+++ b/soak/box.go
@@ -1,6 +1,8 @@
 package soak
 
-// This file defines a box as a process.
+// This file defines a box, which runs as a daemon process and can be killed and restarted.
+//
+// Invariant: the process ends only after the run has asked it to; any other exit is a violation.
 
 import (
 	"fmt"
@@ -14,19 +16,19 @@
 	"time"
 )
 
-// box is a process of the daemon, over its lives.
+// box is a box with its current daemon process, if any.
 type box struct {
 	name, ip, domain string
-	world            *world
+	harness          *harness
 	settings         string
 	callers          string // IP:port
 	cmd              *exec.Cmd
 	ended            chan struct{}
-	asked            *atomic.Bool // the process was asked to end
+	stopRequested    *atomic.Bool // whether the run has asked the process to end
 	starts           atomic.Int64
 }
 
-// Ports of a box; each box has an address of its own.
+// Ports of a box. Each box has its own IP address.
 const (
 	portCallers = 18080
 	portReady   = 18081
@@ -35,53 +37,53 @@
 	portPeers   = 18084
 )
 
-func (b *box) at(port int) string { return net.JoinHostPort(b.ip, fmt.Sprint(port)) }
+func (b *box) address(port int) string { return net.JoinHostPort(b.ip, fmt.Sprint(port)) }
 
-// prepare writes the settings.
-func (b *box) prepare(first bool) error {
+// writeSettings writes the settings file; first is the setting first_start.
+func (b *box) writeSettings(first bool) error {
 	seeds := ""
-	for i := range min(b.world.cfg.Boxes, 3) {
+	for i := range min(b.harness.cfg.Boxes, 3) {
 		if i > 0 {
 			seeds += ", "
 		}
-		seeds += fmt.Sprintf("%q", fmt.Sprintf("127.0.%d.%d:%d", b.world.cfg.Net, 10+i, portControl))
+		seeds += fmt.Sprintf("%q", fmt.Sprintf("127.0.%d.%d:%d", b.harness.cfg.Net, 10+i, portControl))
 	}
 	text := fmt.Sprintf(`{"box": %q, "domain": %q, "first_start": %v,
   "listen": {"callers": %q, "ready": %q, "control": %q, "metrics": %q, "ip": %q},
   "platform": %q, "seeds": [%s], "peer_ports": [%d], "memory_mb": 256, "cpu_share": 0.5, "link_mbps": 100,
   "bounds": {"grace_s": 8, "retry_ratio": %v, "retry_slack": %d, "retry_window_s": 10, "document_ms": 2000,
     "cold_overshoot": %v, "cold_slack": %d, "limit_span_s": %v, "limit_overshoot": %v, "limit_slack": %d}}`,
-		b.name, b.domain, first, b.at(portCallers), b.at(portReady), b.at(portControl), b.at(portMetrics), b.ip,
-		b.world.storeGate[b.name].address(), seeds, portPeers, ratioTop, slackTop, coldOvershoot, coldSlack,
+		b.name, b.domain, first, b.address(portCallers), b.address(portReady), b.address(portControl), b.address(portMetrics), b.ip,
+		b.harness.storeProxies[b.name].address(), seeds, portPeers, maxRetryRatio, maxRetrySlack, coldOvershoot, coldSlack,
 		limitSpan.Seconds(), limitOvershoot, limitSlack)
-	b.settings = filepath.Join(b.world.cfg.Dir, b.name+".json")
+	b.settings = filepath.Join(b.harness.cfg.Dir, b.name+".json")
 	return os.WriteFile(b.settings, []byte(text), 0o644)
 }
 
 func (b *box) start() error {
-	log, err := logFile(b.world.cfg.Dir, b.name)
+	log, err := logFile(b.harness.cfg.Dir, b.name)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Close() }()
-	b.cmd = exec.Command(b.world.cfg.Daemon, "relay", "--settings", b.settings)
+	b.cmd = exec.Command(b.harness.cfg.Daemon, "relay", "--settings", b.settings)
 	b.cmd.Stdout, b.cmd.Stderr = log, log
-	// A soak that is killed leaves no process behind.
+	// The kernel kills the box if the soak process dies.
 	b.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	b.starts.Add(1) // before anything may come from the process
+	b.starts.Add(1) // before the process can send anything
 	if err := b.cmd.Start(); err != nil {
 		return err
 	}
-	b.ended, b.asked = make(chan struct{}), new(atomic.Bool)
-	go b.wait(b.cmd, b.ended, b.asked)
+	b.ended, b.stopRequested = make(chan struct{}), new(atomic.Bool)
+	go b.wait(b.cmd, b.ended, b.stopRequested)
 	return nil
 }
 
-// wait waits for the end of a process, which must have been asked for.
-func (b *box) wait(cmd *exec.Cmd, ended chan<- struct{}, asked *atomic.Bool) {
+// wait waits for a process to exit, and reports a violation if no stop was requested.
+func (b *box) wait(cmd *exec.Cmd, ended chan<- struct{}, stopRequested *atomic.Bool) {
 	err := cmd.Wait()
-	if !asked.Load() {
-		b.world.ledger.violate("%s ended by itself: %v; see its log", b.name, err)
+	if !stopRequested.Load() {
+		b.harness.checker.reportViolation("%s exited unexpectedly: %v; see its log", b.name, err)
 	}
 	close(ended)
 }
@@ -92,20 +94,20 @@
 	}
 }
 
-// kill ends the process at once and waits for it.
+// kill kills the process and waits for its exit.
 func (b *box) kill() {
 	if b.cmd == nil {
 		return
 	}
-	b.asked.Store(true)
+	b.stopRequested.Store(true)
 	b.signal(syscall.SIGKILL)
 	<-b.ended
 	b.cmd = nil
 }
 
-// restart starts a new life after the process has ended.
+// restart starts a new process after the previous one has exited.
 func (b *box) restart() error {
-	if err := b.prepare(false); err != nil {
+	if err := b.writeSettings(false); err != nil {
 		return err
 	}
 	return b.start()
@@ -113,7 +115,7 @@
 
 func (b *box) ready() bool {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + b.at(portReady) + "/readyz")
+	resp, err := client.Get("http://" + b.address(portReady) + "/readyz")
 	if err != nil {
 		return false
 	}
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -1,7 +1,7 @@
 package soak
 
-// This file defines the callers: each keeps its connection as long as it can, to one
-// box after another, and checks every byte that it gets.
+// This file defines the simulated callers: each sends requests to one box after another over
+// keep-alive connections, and checks every byte of the responses.
 
 import (
 	"context"
@@ -19,10 +19,10 @@
 	callerWait  = 2500 * time.Millisecond
 )
 
-var paths = []string{"/once/", "/safe/", "/flow/", "/fixed/", soundPath, soundPath}
+var paths = []string{"/once/", "/safe/", "/flow/", "/fixed/", healthyPath, healthyPath}
 
-// call sends requests until ctx ends.
-func (w *world) call(ctx context.Context, n int) {
+// call runs caller n, which sends requests until ctx is done.
+func (w *harness) call(ctx context.Context, n int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	defer client.CloseIdleConnections()
@@ -33,63 +33,63 @@
 	}
 }
 
-func (w *world) request(client *http.Client, b *box, id, path string) {
+func (w *harness) request(client *http.Client, b *box, id, path string) {
 	ctx, cancel := context.WithTimeout(context.Background(), callerWait)
 	defer cancel()
-	if rand.IntN(25) == 0 { // it leaves early
+	if rand.IntN(25) == 0 { // the caller disconnects early
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(rand.IntN(40))*time.Millisecond)
 		defer cancel()
 	}
 	w.sendWithin(ctx, client, b, id, path+id, strings.Repeat("body of "+id+" ", 1+rand.IntN(500)))
 }
 
-// send sends a request and checks its answer.
-func (w *world) send(client *http.Client, b *box, id, path, body string) {
+// send sends a request and checks its response.
+func (w *harness) send(client *http.Client, b *box, id, path, body string) {
 	ctx, cancel := context.WithTimeout(context.Background(), callerWait)
 	defer cancel()
 	w.sendWithin(ctx, client, b, id, path, body)
 }
 
-func (w *world) sendWithin(ctx context.Context, client *http.Client, b *box, id, path, body string) {
+func (w *harness) sendWithin(ctx context.Context, client *http.Client, b *box, id, path, body string) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.callers+path, strings.NewReader(body))
 	if err != nil {
-		w.ledger.violate("%s: %v", id, err)
+		w.checker.reportViolation("%s: create request: %v", id, err)
 		return
 	}
-	r.GetBody = nil // the transport must not send it a second time by itself
+	r.GetBody = nil // prevents the transport from resending the request
 	r.Host = host
-	r.Header.Set(words.RequestID, id)
-	r.Header.Set(words.Key, goodKey)
-	r.Header.Set(words.TimeLeft, fmt.Sprint(callerWait.Milliseconds()))
-	w.ledger.asked(id, path, body, b)
+	r.Header.Set(protocol.RequestID, id)
+	r.Header.Set(protocol.Key, goodKey)
+	r.Header.Set(protocol.TimeLeft, fmt.Sprint(callerWait.Milliseconds()))
+	w.checker.requestSent(id, path, body, b)
 	resp, err := client.Do(r)
 	if err != nil {
-		return // no answer promises nothing
+		return // a missing response guarantees nothing
 	}
 	defer func() { _ = resp.Body.Close() }()
-	w.noteTold(b, resp.Header)
-	w.notePassedOn(id, resp.Header)
+	w.recordLimitSeen(b, resp.Header)
+	w.recordNotices(id, resp.Header)
 	got, err := io.ReadAll(resp.Body)
 	w.check(id, path, resp, string(got), err == nil)
-	w.ledger.told(id, resp.StatusCode, err == nil)
+	w.checker.responseReceived(id, resp.StatusCode, err == nil)
 }
 
-// check checks an answer that a caller got.
-func (w *world) check(id, path string, resp *http.Response, got string, whole bool) {
+// check compares a response with the expected signature and body; a partial body must be a prefix of it.
+func (w *harness) check(id, path string, resp *http.Response, got string, whole bool) {
 	if resp.StatusCode != http.StatusOK {
 		return
 	}
-	if sign := resp.Header.Get(words.Signature); !strings.HasSuffix(sign, " "+id) {
-		w.ledger.violate("%s: it got the answer signed %q", id, sign)
+	if signature := resp.Header.Get(protocol.Signature); !strings.HasSuffix(signature, " "+id) {
+		w.checker.reportViolation("%s: caller received a response with signature %q", id, signature)
 	}
-	want := bodyOf(id)
+	want := responseBody(id)
 	if isStream(path) {
 		want = ""
-		for n := 1; n <= eventsOfStream; n++ {
-			want += eventOf(id, n)
+		for n := 1; n <= eventsPerStream; n++ {
+			want += streamEvent(id, n)
 		}
 	}
 	if whole && got != want || !whole && !strings.HasPrefix(want, got) {
-		w.ledger.violate("%s: whole %v, %d bytes of %d, not its own answer: %.200q", id, whole, len(got), len(want), got)
+		w.checker.reportViolation("%s: response body differs from the expected one (complete: %v, %d bytes of %d): %.200q", id, whole, len(got), len(want), got)
 	}
 }
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -1,9 +1,10 @@
 package soak
 
-// This file defines the request that ends each upstream which begins to run it, and comes again and again
-// at one box after another, under a new id each time. The promise that is checked: later than
-// contact after it has ended the third, boxes that no fault has hit for as long send it to upstreams
-// moreAtMost times at the most, all of them together.
+// This file defines the fatal request, which crashes each upstream that starts to run it and is sent
+// repeatedly, to the boxes in turn, with a new id each time.
+//
+// Invariant: later than propagationTime after the third crash, the boxes that have had no fault for
+// propagationTime together forward the request at most maxLateSends times.
 
 import (
 	"context"
@@ -17,110 +18,111 @@
 )
 
 const (
-	fatalPath  = "/safe/fatal"
-	fatalBody  = "what ends an upstream"
-	fatalPause = 150 * time.Millisecond
-	fatalBack  = time.Second // after which another upstream is there
-	fatalFrom  = 3           // upstreams that may end before the promise holds
-	moreAtMost = 3
-	contact    = 3 * time.Second
+	fatalPath        = "/safe/fatal"
+	fatalBody        = "what ends an upstream"
+	fatalInterval    = 150 * time.Millisecond
+	replacementDelay = time.Second // from a crash to the start of a replacement
+	allowedCrashes   = 3           // crashes before the invariant applies
+	maxLateSends     = 3
+	propagationTime  = 3 * time.Second
 )
 
-// fatal is what is known of the request.
+// fatal tracks the fatal request and which boxes faults affect.
 type fatal struct {
-	mu       sync.Mutex
-	ended    int
-	third    time.Time    // when the third upstream ended
-	late     int          // times it was sent after that by boxes in touch
-	disturbs map[*box]int // faults under way
-	calmFrom map[*box]time.Time
+	mu           sync.Mutex
+	crashes      int
+	thirdCrash   time.Time    // when the third upstream crashed
+	lateSends    int          // times that undisturbed boxes forwarded the request after that
+	activeFaults map[*box]int // number of current faults
+	quietSince   map[*box]time.Time
 }
 
 func newFatal() *fatal {
-	return &fatal{disturbs: make(map[*box]int), calmFrom: make(map[*box]time.Time)}
+	return &fatal{activeFaults: make(map[*box]int), quietSince: make(map[*box]time.Time)}
 }
 
-// hit notes that a fault begins to disturb a box; what it returns ends that.
-func (f *fatal) hit(b *box) func() {
+// beginDisruption records that a fault starts to affect a box; the returned function records its end.
+func (f *fatal) beginDisruption(b *box) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.disturbs[b]++
+	f.activeFaults[b]++
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.disturbs[b]--
-		f.calmFrom[b] = time.Now()
+		f.activeFaults[b]--
+		f.quietSince[b] = time.Now()
 	}
 }
 
-// inTouch reports whether no fault has hit a box lately. The caller holds mu.
-func (f *fatal) inTouch(b *box) bool {
-	return f.disturbs[b] == 0 && time.Since(f.calmFrom[b]) >= contact
+// undisturbed reports whether a box has had no fault for propagationTime. The caller holds mu.
+func (f *fatal) undisturbed(b *box) bool {
+	return f.activeFaults[b] == 0 && time.Since(f.quietSince[b]) >= propagationTime
 }
 
-// isHit reports whether a fault hits a box, or did lately.
-func (f *fatal) isHit(b *box) bool {
+// disturbed reports whether a fault affects a box now or did within propagationTime.
+func (f *fatal) disturbed(b *box) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.inTouch(b)
+	return !f.undisturbed(b)
 }
 
-// callFatal sends the request until ctx ends.
-func (w *world) callFatal(ctx context.Context) {
+// sendFatal sends the fatal request repeatedly until ctx is done.
+func (w *harness) sendFatal(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	for i := 0; ctx.Err() == nil; i++ {
 		b := w.boxes[i%len(w.boxes)]
 		id := fmt.Sprint("fatal", i)
 		w.send(client, b, id, fatalPath, fatalBody)
-		time.Sleep(fatalPause)
+		time.Sleep(fatalInterval)
 	}
 }
 
-// sentTo notes that the request reached an upstream, and checks the promise.
-func (f *fatal) sentTo(l *ledger, id string) {
+// requestArrived records that the fatal request reached an upstream, and checks the invariant.
+func (f *fatal) requestArrived(l *checker, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ended++
+	f.crashes++
 	now := time.Now()
-	if f.ended == fatalFrom {
-		f.third = now
+	if f.crashes == allowedCrashes {
+		f.thirdCrash = now
 	}
 	b := l.boxOf(id)
-	if f.ended <= fatalFrom || now.Sub(f.third) < contact || !f.inTouch(b) {
+	if f.crashes <= allowedCrashes || now.Sub(f.thirdCrash) < propagationTime || !f.undisturbed(b) {
 		return
 	}
-	if f.late++; f.late > moreAtMost {
-		l.violate("%s: upstreams end under it, and box %s has sent it on, %d times in all", id, b.name, f.late)
+	if f.lateSends++; f.lateSends > maxLateSends {
+		l.reportViolation("%s: request crashes upstreams, but box %s still forwarded it; late forwards by all boxes: %d", id, b.name, f.lateSends)
 	}
 }
 
-// endUnder ends an upstream under the request, and starts another one in its place after a while.
-func (w *world) endUnder(u *upstream) {
+// crashOnFatal stops an upstream that received the fatal request and schedules its replacement.
+func (w *harness) crashOnFatal(u *upstream) {
 	u.close()
-	time.AfterFunc(fatalBack, func() { w.returning <- u })
+	time.AfterFunc(replacementDelay, func() { w.replacements <- u })
 }
 
-// takeReturning starts upstreams in the place of those that have ended.
-func (w *world) takeReturning() {
+// startReplacements replaces the crashed upstreams whose replacement is due.
+func (w *harness) startReplacements() {
 	for {
 		select {
-		case u := <-w.returning:
-			w.replaceEnded(u)
+		case u := <-w.replacements:
+			w.replaceUpstream(u)
 		default:
 			return
 		}
 	}
 }
 
-// replaceEnded starts an upstream in the place of one that has ended, unless another fault has replaced it.
-func (w *world) replaceEnded(u *upstream) {
+// replaceUpstream deletes an upstream from the store and starts a new one in its place, unless another fault has
+// already replaced it.
+func (w *harness) replaceUpstream(u *upstream) {
 	for i, other := range w.upstreams {
 		if other != u {
 			continue
 		}
 		w.store.Put(platform.DeletedItem(u.id))
 		if err := w.startUpstream(i, 0); err != nil {
-			w.ledger.violate("start an upstream: %v", err)
+			w.checker.reportViolation("start replacement upstream: %v", err)
 			return
 		}
 		w.upstreams[i] = w.upstreams[len(w.upstreams)-1]
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file defines the faults, drawn from the seed: they come in series and overlap.
+// This file defines the faults and their schedule, which the seed determines. Faults start one after another and may overlap.
 
 import (
 	"context"
@@ -10,128 +10,128 @@
 	"github.com/doormast/doormast/platform"
 )
 
-// fault does something to the world and returns how to undo it, or nil.
+// fault is a named fault; inject applies it and returns the function that undoes it, or nil.
 type fault struct {
-	name string
-	do   func(w *world) func()
+	name   string
+	inject func(w *harness) func()
 }
 
 const (
-	faultGap  = 250 // ms, the mean between two faults
-	faultLong = 900 // ms, the mean that one lasts
+	meanFaultGapMs = 250 // mean time between the starts of two faults
+	meanFaultMs    = 900 // mean duration of a fault
 )
 
 var faults = []fault{
-	{"freeze a box", func(w *world) func() {
+	{"freeze a box", func(w *harness) func() {
 		b := pick(w, w.boxes)
-		calm := w.fatal.hit(b)
+		endDisruption := w.fatal.beginDisruption(b)
 		b.signal(syscall.SIGSTOP)
 		return func() {
 			b.signal(syscall.SIGCONT)
-			calm()
+			endDisruption()
 		}
 	}},
-	{"kill a box", func(w *world) func() {
+	{"kill a box", func(w *harness) func() {
 		b := pick(w, w.boxes)
-		calm := w.fatal.hit(b)
+		endDisruption := w.fatal.beginDisruption(b)
 		b.kill()
 		return func() {
-			w.restart(b)
-			calm()
+			w.restartBox(b)
+			endDisruption()
 		}
 	}},
-	{"stop a box as planned", func(w *world) func() {
+	{"shut a box down gracefully", func(w *harness) func() {
 		b := pick(w, w.boxes)
 		if b.cmd == nil {
 			return nil
 		}
-		stopped, ended, calm := b.cmd, b.ended, w.fatal.hit(b)
-		b.asked.Store(true)
+		stopped, ended, endDisruption := b.cmd, b.ended, w.fatal.beginDisruption(b)
+		b.stopRequested.Store(true)
 		b.signal(syscall.SIGTERM)
 		return func() {
 			b.signal(syscall.SIGCONT)
 			<-ended
-			if b.cmd == stopped { // no other fault has started it again
+			if b.cmd == stopped { // no other fault has restarted the box
 				b.cmd = nil
-				w.restart(b)
+				w.restartBox(b)
 			}
-			calm()
+			endDisruption()
 		}
 	}},
-	{"tell a box that its settings changed", func(w *world) func() {
+	{"reload a box's settings", func(w *harness) func() {
 		pick(w, w.boxes).signal(syscall.SIGHUP)
 		return nil
 	}},
-	{"disturb an upstream's connections", func(w *world) func() { return w.disturb(pick(w, w.upstreams).gate) }},
-	{"reset an upstream's connections", func(w *world) func() {
-		pick(w, w.upstreams).gate.resetAll()
+	{"disrupt an upstream's connections", func(w *harness) func() { return w.setRandomMode(pick(w, w.upstreams).proxy) }},
+	{"reset an upstream's connections", func(w *harness) func() {
+		pick(w, w.upstreams).proxy.resetAll()
 		return nil
 	}},
-	{"mute an upstream's connections for good", func(w *world) func() {
-		pick(w, w.upstreams).gate.mute()
+	{"permanently mute an upstream's connections", func(w *harness) func() {
+		pick(w, w.upstreams).proxy.mute()
 		return nil
 	}},
-	{"mute a box's connections to the store for good", func(w *world) func() {
+	{"permanently mute a box's connections to the store", func(w *harness) func() {
 		b := pick(w, w.boxes)
-		calm := w.fatal.hit(b)
-		w.storeGate[b.name].mute()
-		calm()
+		endDisruption := w.fatal.beginDisruption(b)
+		w.storeProxies[b.name].mute()
+		endDisruption()
 		return nil
 	}},
-	{"disturb a box's way to the store", func(w *world) func() {
+	{"disrupt a box's connections to the store", func(w *harness) func() {
 		b := pick(w, w.boxes)
-		calm, open := w.fatal.hit(b), w.disturb(w.storeGate[b.name])
+		endDisruption, reopen := w.fatal.beginDisruption(b), w.setRandomMode(w.storeProxies[b.name])
 		return func() {
-			open()
-			calm()
+			reopen()
+			endDisruption()
 		}
 	}},
-	{"silence the store for all", func(w *world) func() {
-		for _, g := range w.storeGate {
-			g.set(silent)
+	{"block all connections to the store", func(w *harness) func() {
+		for _, p := range w.storeProxies {
+			p.set(modeSilent)
 		}
 		return func() {
-			for _, g := range w.storeGate {
-				g.set(open)
+			for _, p := range w.storeProxies {
+				p.set(modeOpen)
 			}
 		}
 	}},
-	{"let an upstream name a limit", nameLimit},
-	{"let upstreams fail most requests", failUpstreams},
-	{"let an upstream leave without the store", letLeave},
-	{"let an upstream ask for pauses", letPause},
-	{"forget the store's history", func(w *world) func() { w.store.DiscardHistory(); return nil }},
-	{"change the document", func(w *world) func() {
+	{"advertise a limit from an upstream", announceLimit},
+	{"refuse most requests at all upstreams", failUpstreams},
+	{"announce in responses only that an upstream is leaving", announceLeaving},
+	{"request pauses from an upstream", requestPauses},
+	{"discard the store's history", func(w *harness) func() { w.store.DiscardHistory(); return nil }},
+	{"publish a new document version", func(w *harness) func() {
 		w.document.Version += 1 + uint64(w.random.IntN(3))
 		if err := w.publish(); err != nil {
-			w.ledger.violate("publish: %v", err)
+			w.checker.reportViolation("publish document: %v", err)
 		}
 		return nil
 	}},
-	{"evacuate a domain", func(w *world) func() {
+	{"evacuate a domain", func(w *harness) func() {
 		d := domain(w.random.IntN(2))
 		w.store.Put(platform.EvacuationItem(d, false))
 		return func() { w.store.Put(platform.EvacuationItem(d, true)) }
 	}},
-	{"start an upstream again under its id", func(w *world) func() {
+	{"crash an upstream and restart it under its id", func(w *harness) func() {
 		u := pick(w, w.upstreams)
 		u.crash()
 		return func() {
-			if err := w.startAgain(u); err != nil {
-				w.ledger.violate("start an upstream again: %v", err)
+			if err := w.restartUpstream(u); err != nil {
+				w.checker.reportViolation("restart upstream: %v", err)
 			}
 		}
 	}},
-	{"replace an upstream", func(w *world) func() {
+	{"replace an upstream", func(w *harness) func() {
 		i := w.random.IntN(len(w.upstreams))
 		old := w.upstreams[i]
 		if err := w.startUpstream(i, coldFor); err != nil {
-			w.ledger.violate("start an upstream: %v", err)
+			w.checker.reportViolation("start replacement upstream: %v", err)
 			return nil
 		}
 		w.upstreams[i] = w.upstreams[len(w.upstreams)-1]
 		w.upstreams = w.upstreams[:len(w.upstreams)-1]
-		w.list(old, true)
+		w.publishUpstream(old, true)
 		return func() {
 			w.store.Put(platform.DeletedItem(old.id))
 			old.close()
@@ -139,51 +139,52 @@
 	}},
 }
 
-func pick[T any](w *world, list []T) T { return list[w.random.IntN(len(list))] }
+func pick[T any](w *harness, list []T) T { return list[w.random.IntN(len(list))] }
 
-func (w *world) disturb(g *gate) func() {
-	m := mood(1 + w.random.IntN(len(moodNames)-1))
-	w.note("  %s: %s", g.target, moodNames[m])
-	g.set(m)
-	return func() { g.set(open) }
+// setRandomMode puts a proxy into a random mode other than modeOpen; the returned function reopens it.
+func (w *harness) setRandomMode(p *proxy) func() {
+	m := proxyMode(1 + w.random.IntN(len(modeNames)-1))
+	w.logFault("  %s: %s", p.target, modeNames[m])
+	p.set(m)
+	return func() { p.set(modeOpen) }
 }
 
-func (w *world) restart(b *box) {
+func (w *harness) restartBox(b *box) {
 	if b.cmd != nil {
-		return // another fault has started it again
+		return // another fault has already restarted the box
 	}
 	if err := b.restart(); err != nil {
-		w.ledger.violate("box %s does not start: %v", b.name, err)
+		w.checker.reportViolation("restart box %s: %v", b.name, err)
 	}
 }
 
-// undo is a fault's end that is due.
-type undo struct {
+// pendingUndo is an action that is due at a time, usually the undoing of a fault.
+type pendingUndo struct {
 	at time.Time
 	do func()
 }
 
-// injectFaults injects faults for the run's time, and undoes them all.
-func (w *world) injectFaults(ctx context.Context) {
+// injectFaults injects faults for the duration of the run, then undoes those that remain.
+func (w *harness) injectFaults(ctx context.Context) {
 	end := time.Now().Add(w.cfg.For)
-	w.failMidway()
-	pending := w.sayMidway()
+	w.scheduleFailures()
+	pending := w.scheduleNotices()
 	for time.Now().Before(end) && ctx.Err() == nil {
-		time.Sleep(time.Duration(w.random.IntN(2*faultGap)) * time.Millisecond)
+		time.Sleep(time.Duration(w.random.IntN(2*meanFaultGapMs)) * time.Millisecond)
 		f := pick(w, faults)
-		w.note("%s", f.name)
-		if do := f.do(w); do != nil {
-			pending = append(pending, undo{time.Now().Add(time.Duration(w.random.IntN(2*faultLong)) * time.Millisecond), do})
+		w.logFault("%s", f.name)
+		if do := f.inject(w); do != nil {
+			pending = append(pending, pendingUndo{time.Now().Add(time.Duration(w.random.IntN(2*meanFaultMs)) * time.Millisecond), do})
 		}
-		pending = finish(pending, time.Now())
-		w.takeReturning()
+		pending = runDue(pending, time.Now())
+		w.startReplacements()
 	}
-	finish(pending, end.Add(time.Hour))
+	runDue(pending, end.Add(time.Hour))
 }
 
-// finish undoes what is due by now and returns the rest.
-func finish(pending []undo, now time.Time) []undo {
-	var rest []undo
+// runDue runs the actions that are due by now and returns the rest.
+func runDue(pending []pendingUndo, now time.Time) []pendingUndo {
+	var rest []pendingUndo
 	for _, u := range pending {
 		if u.at.After(now) {
 			rest = append(rest, u)
--- /dev/null
+++ b/soak/proxy.go
@@ -0,0 +1,163 @@
+package soak
+
+// This file defines a TCP proxy on a loopback address that injects network faults: it delays or resets connections,
+// blocks one or both directions, refuses new connections, or permanently mutes existing connections while new ones work.
+//
+// Invariant: bytes are forwarded in order or not at all.
+
+import (
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// proxyMode is the fault that a proxy applies to its connections.
+type proxyMode int32
+
+const (
+	modeOpen     proxyMode = iota
+	modeDelayed            // each read is forwarded after proxyDelay
+	modeSilent             // both directions are blocked
+	modeOneWay             // responses are blocked
+	modeRefusing           // new connections are closed immediately
+)
+
+var modeNames = [...]string{"open", "delayed", "silent", "one way", "refusing"}
+
+// proxy forwards connections to one target address.
+type proxy struct {
+	listener    net.Listener
+	target      string
+	mode        atomic.Int32
+	accepted    atomic.Int64 // connections so far; they are numbered from 1
+	muted       atomic.Int64 // connections up to this number forward nothing, not even their close
+	disruptions atomic.Int64 // number of mode changes, mutes and resets
+
+	mu    sync.Mutex
+	conns map[net.Conn]bool
+}
+
+// proxyDelay is the delay of each read in modeDelayed.
+const proxyDelay = 30 * time.Millisecond
+
+// proxyPollInterval is how often a blocked direction checks whether it may forward again.
+const proxyPollInterval = 10 * time.Millisecond
+
+func (w *harness) newProxy(last int, target string) (*proxy, error) {
+	l, err := w.listen(last)
+	if err != nil {
+		return nil, err
+	}
+	p := &proxy{listener: l, target: target, conns: make(map[net.Conn]bool)}
+	go p.accept()
+	return p, nil
+}
+
+func (p *proxy) address() string { return p.listener.Addr().String() }
+
+func (p *proxy) accept() {
+	for {
+		c, err := p.listener.Accept()
+		if err != nil {
+			return
+		}
+		if proxyMode(p.mode.Load()) == modeRefusing {
+			_ = c.Close()
+			continue
+		}
+		go p.forward(c)
+	}
+}
+
+// forward copies bytes in both directions until one side closes; a muted connection waits for both sides.
+func (p *proxy) forward(a net.Conn) {
+	b, err := net.Dial("tcp", p.target)
+	if err != nil {
+		reset(a)
+		return
+	}
+	p.mu.Lock()
+	p.conns[a], p.conns[b] = true, true
+	p.mu.Unlock()
+	done := make(chan struct{}, 2)
+	connNumber := p.accepted.Add(1)
+	go p.copyBytes(a, b, connNumber, false, done)
+	go p.copyBytes(b, a, connNumber, true, done)
+	<-done
+	if p.isMuted(connNumber) {
+		<-done
+		done <- struct{}{}
+	}
+	_, _ = a.Close(), b.Close()
+	<-done
+	p.mu.Lock()
+	delete(p.conns, a)
+	delete(p.conns, b)
+	p.mu.Unlock()
+}
+
+func (p *proxy) isMuted(connNumber int64) bool { return connNumber <= p.muted.Load() }
+
+// mute permanently stops forwarding on the connections that exist now.
+func (p *proxy) mute() {
+	p.disruptions.Add(1)
+	p.muted.Store(p.accepted.Load())
+}
+
+// set changes the mode of the proxy.
+func (p *proxy) set(m proxyMode) {
+	p.disruptions.Add(1)
+	p.mode.Store(int32(m))
+}
+
+// state returns the number of disruptions so far, and whether the proxy is in modeOpen.
+func (p *proxy) state() (disruptions int64, ok bool) {
+	return p.disruptions.Load(), proxyMode(p.mode.Load()) == modeOpen
+}
+
+func (p *proxy) copyBytes(from, to net.Conn, connNumber int64, responses bool, done chan<- struct{}) {
+	defer func() { done <- struct{}{} }()
+	buf := make([]byte, 4<<10)
+	for {
+		n, err := from.Read(buf)
+		for mode := proxyMode(p.mode.Load()); mode == modeSilent || mode == modeOneWay && responses; mode = proxyMode(p.mode.Load()) {
+			time.Sleep(proxyPollInterval)
+		}
+		if proxyMode(p.mode.Load()) == modeDelayed {
+			time.Sleep(proxyDelay)
+		}
+		if n > 0 && !p.isMuted(connNumber) {
+			if _, werr := to.Write(buf[:n]); werr != nil {
+				return
+			}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// reset closes a connection with a TCP reset.
+func reset(c net.Conn) {
+	if t, ok := c.(*net.TCPConn); ok {
+		_ = t.SetLinger(0)
+	}
+	_ = c.Close()
+}
+
+// resetAll resets all open connections.
+func (p *proxy) resetAll() {
+	p.disruptions.Add(1)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
+		reset(c)
+	}
+}
+
+func (p *proxy) close() {
+	p.set(modeOpen)
+	_ = p.listener.Close()
+	p.resetAll()
+}
--- a/soak/retries.go
+++ b/soak/retries.go
@@ -1,8 +1,10 @@
 package soak
 
-// This file defines the times in which upstreams refuse most of what they are sent, so that retry budgets are used up, beside a
-// service whose upstreams are sound. The promise that is checked: in any window, over all boxes, the requests of a service that
-// reach it again are no more than the budget allows for that service's requests.
+// This file defines the periods in which upstreams refuse most requests, so that retry budgets are exhausted, next
+// to a service whose upstreams stay healthy.
+//
+// Invariant: in any window, the retries of all boxes that reach a service stay within the retry budget for that
+// service's requests.
 
 import (
 	"math/rand/v2"
@@ -11,100 +13,100 @@
 )
 
 const (
-	soundService = "sound"
-	soundPath    = "/sound/"
-	soundCount   = 2 // one in each domain
-	// failedShare of 100 requests are refused while upstreams fail.
+	healthyService = "sound"
+	healthyPath    = "/sound/"
+	healthyCount   = 2 // one in each domain
+	// failedShare is the percentage of requests that upstreams refuse in failing periods.
 	failedShare = 70
 	retryWindow = 10 * time.Second
-	// retryOnWay is the longest that a request takes from its caller to a box, and a retry from a box to its upstream.
-	retryOnWay = time.Second
+	// maxTransit bounds the time that a request takes from its caller to a box, and a retry from a box to an upstream.
+	maxTransit = time.Second
 )
 
-// startSound starts the upstreams that nothing happens to but what they say.
-func (w *world) startSound() error {
-	for i := range soundCount {
-		u, err := w.newUpstream(soundService, i, 0)
+// startHealthy starts the upstreams that no fault affects, except that they may announce leaving or pauses.
+func (w *harness) startHealthy() error {
+	for i := range healthyCount {
+		u, err := w.newUpstream(healthyService, i, 0)
 		if err != nil {
 			return err
 		}
-		u.need.name(-1)
-		w.sound = append(w.sound, u)
-		w.list(u, false)
+		u.advertisedLimit.set(-1)
+		w.healthy = append(w.healthy, u)
+		w.publishUpstream(u, false)
 	}
 	return nil
 }
 
-// failUpstreams has all upstreams but the sound ones fail for a while.
-func failUpstreams(w *world) func() {
+// failUpstreams makes all upstreams except the healthy ones refuse most requests until the fault is undone.
+func failUpstreams(w *harness) func() {
 	w.failing.Add(1)
 	return func() { w.failing.Add(-1) }
 }
 
-// failMidway has upstreams fail in the middle third of a run, long enough to use retry budgets up.
-func (w *world) failMidway() {
+// scheduleFailures makes upstreams fail in the middle third of a run, which is long enough to exhaust retry budgets.
+func (w *harness) scheduleFailures() {
 	third := w.cfg.For / 3
 	time.AfterFunc(third, func() { w.failing.Add(1) })
 	time.AfterFunc(2*third, func() { w.failing.Add(-1) })
 }
 
-// fails reports whether an upstream refuses a request because upstreams fail.
-func (u *upstream) fails() bool { return u.world.failing.Load() > 0 && rand.IntN(100) < failedShare }
+// fails reports whether the upstream refuses the current request because of a failing period.
+func (u *upstream) fails() bool { return u.harness.failing.Load() > 0 && rand.IntN(100) < failedShare }
 
-// retries is what reached services, each time and again; times are kept in their order.
+// retries records, per service, when callers sent requests and when retries reached upstreams, in time order.
 type retries struct {
-	asked map[string][]time.Time // by service
-	again map[string][]time.Time
+	requests map[string][]time.Time // by service
+	retries  map[string][]time.Time
 }
 
 func newRetries() retries {
-	return retries{asked: make(map[string][]time.Time), again: make(map[string][]time.Time)}
+	return retries{requests: make(map[string][]time.Time), retries: make(map[string][]time.Time)}
 }
 
-// serviceOf is the service that requests of a path go to.
+// serviceOf returns the service that serves a path.
 func serviceOf(path string) string {
-	if strings.HasPrefix(path, soundPath) {
-		return soundService
+	if strings.HasPrefix(path, healthyPath) {
+		return healthyService
 	}
 	return service
 }
 
-func (r *retries) ask(path string)    { r.note(r.asked, path) }
-func (r *retries) repeat(path string) { r.note(r.again, path) }
+func (r *retries) addRequest(path string) { r.add(r.requests, path) }
+func (r *retries) addRetry(path string)   { r.add(r.retries, path) }
 
-func (r *retries) note(times map[string][]time.Time, path string) {
+func (r *retries) add(times map[string][]time.Time, path string) {
 	s := serviceOf(path)
 	times[s] = append(times[s], time.Now())
 }
 
-// count is how many retries reached all services.
+// count returns the number of retries of all services.
 func (r *retries) count() int {
 	n := 0
-	for _, again := range r.again {
-		n += len(again)
+	for _, times := range r.retries {
+		n += len(times)
 	}
 	return n
 }
 
-// check reports each service's first window with more retries than its requests allow.
-func (r *retries) check(breach func(format string, args ...any)) {
-	for s, again := range r.again {
-		for _, begin := range again {
-			n := between(again, begin, begin.Add(retryWindow-retryOnWay))
-			requests := 0
+// check reports, for each service, the first window with more retries than the budget allows.
+func (r *retries) check(addViolation func(format string, args ...any)) {
+	for s, times := range r.retries {
+		for _, begin := range times {
+			n := between(times, begin, begin.Add(retryWindow-maxTransit))
+			requestCount := 0
 			for _, earlier := range []time.Duration{0, retryWindow / 2, retryWindow} {
 				from := begin.Add(-earlier)
-				requests = max(requests, between(r.asked[s], from.Add(-retryOnWay), from.Add(retryWindow)))
+				requestCount = max(requestCount, between(r.requests[s], from.Add(-maxTransit), from.Add(retryWindow)))
 			}
-			if allowed := slackTop + ratioTop*float64(requests); float64(n) > allowed {
-				breach("service %s: %d requests reached it again within %v, for %d requests; %.0f are allowed", s, n, retryWindow, requests, allowed)
+			if allowed := maxRetrySlack + maxRetryRatio*float64(requestCount); float64(n) > allowed {
+				addViolation("service %s: %d retries within %v for %d requests; %.0f are allowed", s, n, retryWindow, requestCount, allowed)
 				break
 			}
 		}
 	}
 }
 
-// between counts the times from one moment on and before another.
+// between counts the times in [from, to).
 func between(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, at := range times {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,13 +1,14 @@
-// Package soak runs real relaying boxes as processes on one machine, before stand-ins
-// for callers, upstreams and the store, injects faults from outside them, and checks
-// the promises from what callers and upstreams see.
+// Package soak runs relaying boxes as real processes on one machine, with simulated
+// callers, upstreams and store. It injects faults from outside the processes and checks
+// the router's guarantees from what callers and upstreams observe.
 //
-// A seed gives the schedule of the faults; the interleaving is the machine's. What is
-// checked holds under any interleaving, so a run fails only for a real fault.
+// The seed determines the schedule of the faults; the interleaving depends on the
+// machine. Every check holds under any interleaving, so a run fails only on a real bug.
 package soak
 
-// This file defines a run: what it starts, and what it ends. The invariant: it ends
-// only processes that it started, by their ids.
+// This file defines a run: its configuration and report, and the parts it starts and stops.
+//
+// Invariant: a run ends only processes that it started, by their ids.
 
 import (
 	"context"
@@ -30,96 +31,96 @@
 
 // Config configures a run.
 type Config struct {
-	Daemon    string // the program of a box
-	Dir       string // for settings and logs
+	Daemon    string // path of the doormastd program
+	Dir       string // directory for settings and logs
 	Seed      uint64
 	For       time.Duration
 	Boxes     int
 	Upstreams int
 	Callers   int
-	// Net is the third number of the loopback addresses, so that runs beside each
-	// other do not meet.
+	// Net is the third octet of the loopback addresses; concurrent runs need different values.
 	Net int
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Requests, Answered, Refused, Runs int
-	Again                             int      // arrivals beyond the first of a request
-	Faults                            []string // with their times
+	Retries                           int      // arrivals at upstreams beyond the first of each request
+	Faults                            []string // descriptions, each with its time since the start of the run
 	Violations                        []string
 }
 
 func (r *Report) String() string {
 	text := fmt.Sprintf("%d requests: %d answered, %d refused; %d runs, %d retries, %d faults, %d violations", r.Requests, r.Answered, r.Refused,
-		r.Runs, r.Again, len(r.Faults), len(r.Violations))
+		r.Runs, r.Retries, len(r.Faults), len(r.Violations))
 	if len(r.Violations) == 0 {
 		return text
 	}
 	return text + "\n" + strings.Join(r.Violations, "\n") + "\nfaults:\n" + strings.Join(r.Faults, "\n")
 }
 
-// world is what a run is made of.
-type world struct {
-	cfg       Config
-	random    *rand.Rand
-	began     time.Time
-	ledger    *ledger
-	store     *standin.Store
-	storeGate map[string]*gate // between a box and the store
-	upstreams []*upstream
-	started   int // upstreams so far, not counting those that start again under their ids
-	boxes     []*box
-	document  route.Document
-	faults    []string
-	fatal     *fatal
-	mu        sync.Mutex           // guards lives
-	lives     map[string]*upstream // by id, the last one
-	sound     []*upstream          // of a service that nothing happens to but what they say
-	failing   atomic.Int32         // above 0: upstreams fail most requests
-	returning chan *upstream       // that ended under the fatal request, and are to be followed by others
+// harness is the state of a run.
+type harness struct {
+	cfg           Config
+	random        *rand.Rand
+	startedAt     time.Time
+	checker       *checker
+	store         *standin.Store
+	storeProxies  map[string]*proxy // by box name, the proxy between the box and the store
+	upstreams     []*upstream
+	upstreamCount int // upstreams created so far; a restart under the same id is not counted
+	boxes         []*box
+	document      route.Document
+	faults        []string
+	fatal         *fatal
+	mu            sync.Mutex           // guards upstreamsByID
+	upstreamsByID map[string]*upstream // the latest incarnation of each
+	healthy       []*upstream          // upstreams of healthyService; they only announce leaving and pauses
+	failing       atomic.Int32         // if positive, upstreams other than the healthy ones refuse most requests
+	replacements  chan *upstream       // upstreams that the fatal request crashed and whose replacement is due
 }
 
 const (
-	service  = "service"
-	host     = "soak.example"
-	settle   = 700 * time.Millisecond // after the faults, before the callers stop
-	startup  = 10 * time.Second       // within which all boxes must be ready
-	retryMs  = 5                      // looking for something that is bound to come
-	goodKey  = "the-key-that-stays"
-	ratioTop = 0.2
-	slackTop = 40
-	// What an upstream bears while it is cold.
+	service        = "service"
+	host           = "soak.example"
+	settleTime     = 700 * time.Millisecond // from the end of the faults until the callers stop
+	startupTimeout = 10 * time.Second       // limit for all boxes to become ready
+	pollMs         = 5                      // interval between readiness checks
+	goodKey        = "the-key-that-stays"
+	maxRetryRatio  = 0.2
+	maxRetrySlack  = 40
+	// Duration of the cold phase of an upstream, and the bound on its requests per second meanwhile.
 	coldFor       = time.Second
 	coldPerSecond = 5
 	coldOvershoot = 1.5
 	coldSlack     = 5
-	// returningMost is more than the upstreams that end in a run.
-	returningMost = 1 << 12
-	// guardPort is held for as long as a run lasts, so that another one on the same
-	// addresses is refused instead of meeting this one's boxes.
-	guardPort = 17117 // below the ports that the kernel hands out
+	// maxReplacements exceeds the number of upstreams that crash in a run.
+	maxReplacements = 1 << 12
+	// guardPort stays bound for the duration of a run, so that a second run on the same
+	// addresses is refused and cannot connect to the boxes of the first.
+	guardPort = 17117 // below the ephemeral port range
 )
 
-// holdAddresses makes sure that no other run uses the addresses; closing what it returns
-// lets them go.
-func holdAddresses(cfg Config) (net.Listener, error) {
+// reserveAddresses reserves the run's loopback addresses, and fails if another run uses them.
+// Closing the returned listener releases them.
+func reserveAddresses(cfg Config) (net.Listener, error) {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.1:%d", cfg.Net, guardPort))
 	if err != nil {
-		return nil, fmt.Errorf("another soak runs on 127.0.%d.x, choose another net: %w", cfg.Net, err)
+		return nil, fmt.Errorf("another soak run uses 127.0.%d.x, choose another net: %w", cfg.Net, err)
 	}
 	return l, nil
 }
 
-// Run runs once. Two runs at the same time need addresses of their own.
+// Run executes one run and returns its report. It returns an error if the addresses are in use, a part cannot be
+// started, or a box does not become ready; violations appear in the report only. Concurrent runs need different cfg.Net.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
-	guard, err := holdAddresses(cfg)
+	guard, err := reserveAddresses(cfg)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = guard.Close() }()
-	w := &world{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 0)), began: time.Now(), ledger: newLedger(), storeGate: make(map[string]*gate),
-		fatal: newFatal(), lives: make(map[string]*upstream), returning: make(chan *upstream, returningMost)}
+	w := &harness{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 0)), startedAt: time.Now(), checker: newChecker(), storeProxies: make(map[string]*proxy),
+		fatal: newFatal(), upstreamsByID: make(map[string]*upstream), replacements: make(chan *upstream, maxReplacements)}
 	defer w.close()
 	if err := w.start(); err != nil {
 		return nil, err
@@ -136,11 +137,11 @@
 		}()
 	}
 	go func() {
-		w.callFatal(callers)
+		w.sendFatal(callers)
 		done <- struct{}{}
 	}()
 	w.injectFaults(ctx)
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	stop()
 	for range cfg.Callers + 1 {
 		<-done
@@ -148,18 +149,18 @@
 	return w.report(), nil
 }
 
-func (w *world) report() *Report {
-	r := w.ledger.report()
+func (w *harness) report() *Report {
+	r := w.checker.report()
 	r.Faults = w.faults
 	return r
 }
 
-func (w *world) listen(last int) (net.Listener, error) {
+func (w *harness) listen(last int) (net.Listener, error) {
 	return net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", w.cfg.Net, last))
 }
 
 // start starts the store, the upstreams and the boxes.
-func (w *world) start() error {
+func (w *harness) start() error {
 	l, err := w.listen(1)
 	if err != nil {
 		return err
@@ -174,19 +175,19 @@
 			return err
 		}
 	}
-	if err := w.startSound(); err != nil {
+	if err := w.startHealthy(); err != nil {
 		return err
 	}
 	for i := range w.cfg.Boxes {
-		g, err := w.newGate(1, l.Addr().String())
+		g, err := w.newProxy(1, l.Addr().String())
 		if err != nil {
 			return err
 		}
-		b := &box{name: fmt.Sprintf("box%d", i), world: w, ip: fmt.Sprintf("127.0.%d.%d", w.cfg.Net, 10+i), domain: domain(i)}
-		b.callers = b.at(portCallers)
-		w.storeGate[b.name] = g
+		b := &box{name: fmt.Sprintf("box%d", i), harness: w, ip: fmt.Sprintf("127.0.%d.%d", w.cfg.Net, 10+i), domain: domain(i)}
+		b.callers = b.address(portCallers)
+		w.storeProxies[b.name] = g
 		w.boxes = append(w.boxes, b)
-		if err := b.prepare(true); err != nil {
+		if err := b.writeSettings(true); err != nil {
 			return err
 		}
 		if err := b.start(); err != nil {
@@ -205,18 +206,18 @@
 			{Name: "once", Host: host, Prefix: "/once/", MaxAttempts: 3, Timeout: 3 * time.Second, Targets: to},
 			{Name: "safe", Host: host, Prefix: "/safe/", Repeat: route.Repeatable, MaxAttempts: 3, Timeout: 3 * time.Second, Targets: to},
 			{Name: "flow", Host: host, Prefix: "/flow/", Repeat: route.Stream, Resumable: true, MaxAttempts: 3, Timeout: 3 * time.Second, Targets: to},
-			{Name: "sound", Host: host, Prefix: soundPath, Repeat: route.Repeatable, MaxAttempts: 3, Timeout: 3 * time.Second, Targets: []route.Target{{Service: soundService, Weight: 1}}},
+			{Name: "sound", Host: host, Prefix: healthyPath, Repeat: route.Repeatable, MaxAttempts: 3, Timeout: 3 * time.Second, Targets: []route.Target{{Service: healthyService, Weight: 1}}},
 			{Name: "fixed", Host: host, Prefix: "/fixed/", Repeat: route.Stream, MaxAttempts: 3, Timeout: 3 * time.Second, Targets: to},
 		},
 		Services: []route.Service{{Name: service, MaxConnections: 400, ColdFor: coldFor, ColdPerSecond: coldPerSecond},
-			{Name: soundService, MaxConnections: 400}},
+			{Name: healthyService, MaxConnections: 400}},
 		Customers: []route.Customer{{Name: "customer", Keys: []string{goodKey}}},
 		Limits:    route.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderWait: 3 * time.Second, IdleWait: 15 * time.Second},
 	}
 }
 
-// publish publishes the document.
-func (w *world) publish() error {
+// publish writes the current document to the store.
+func (w *harness) publish() error {
 	it, err := platform.DocumentItem(w.document)
 	if err == nil {
 		w.store.Put(it)
@@ -224,40 +225,40 @@
 	return err
 }
 
-// list publishes an upstream's entry.
-func (w *world) list(u *upstream, leaving bool) {
-	it, err := platform.UpstreamItem(balance.Upstream{ID: u.id, StartedAt: u.born, Service: u.service, Address: u.gate.address(), Domain: u.domain, Slots: 32, Leaving: leaving,
-		ColdFor: max(0, time.Until(u.coldTill))})
+// publishUpstream writes an upstream's entry to the store.
+func (w *harness) publishUpstream(u *upstream, leaving bool) {
+	it, err := platform.UpstreamItem(balance.Upstream{ID: u.id, StartedAt: u.startedAt, Service: u.service, Address: u.proxy.address(), Domain: u.domain, Slots: 32, Leaving: leaving,
+		ColdFor: max(0, time.Until(u.coldUntil))})
 	if err != nil {
-		w.ledger.violate("an entry cannot be written: %v", err)
+		w.checker.reportViolation("encode upstream entry: %v", err)
 		return
 	}
 	w.store.Put(it)
 }
 
-func (w *world) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startup)
+func (w *harness) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, startupTimeout)
 	defer cancel()
 	for _, b := range w.boxes {
 		for !b.ready() {
 			if ctx.Err() != nil {
-				return errors.New("soak: a box does not become ready; see " + filepath.Join(w.cfg.Dir, b.name+".log"))
+				return errors.New("soak: box did not become ready; see " + filepath.Join(w.cfg.Dir, b.name+".log"))
 			}
-			time.Sleep(retryMs * time.Millisecond)
+			time.Sleep(pollMs * time.Millisecond)
 		}
 	}
 	return nil
 }
 
-// close ends everything that was started.
-func (w *world) close() {
+// close stops all boxes, upstreams, proxies and the store.
+func (w *harness) close() {
 	for _, b := range w.boxes {
 		b.kill()
 	}
-	for _, u := range append(w.upstreams, w.sound...) {
+	for _, u := range append(w.upstreams, w.healthy...) {
 		u.close()
 	}
-	for _, g := range w.storeGate {
+	for _, g := range w.storeProxies {
 		g.close()
 	}
 	if w.store != nil {
@@ -265,8 +266,9 @@
 	}
 }
 
-func (w *world) note(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%6.2f s ", time.Since(w.began).Seconds())+fmt.Sprintf(format, args...))
+// logFault adds a line with the time since the start of the run to the list of faults.
+func (w *harness) logFault(format string, args ...any) {
+	w.faults = append(w.faults, fmt.Sprintf("%6.2f s ", time.Since(w.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func logFile(dir, name string) (*os.File, error) {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -11,15 +11,15 @@
 	"github.com/matryer/is"
 )
 
-// seeds that failed once stay here, each with a line on its cause.
+// seeds has the initial seed and every seed that has failed before, with the cause of the failure.
 var seeds = []struct {
 	seed  uint64
 	cause string
 }{
-	{1, "none: the first seed"},
+	{1, "initial seed, no known failure"},
 }
 
-// TestSoak is the short run of CI. What it checks holds under any interleaving.
+// TestSoak is the short run of CI. Its checks hold under any interleaving.
 func TestSoak(t *testing.T) {
 	is := is.New(t)
 	daemon := filepath.Join(t.TempDir(), "doormastd")
@@ -28,8 +28,8 @@
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	for i, s := range seeds {
-		report, err := Run(context.Background(), Config{Daemon: daemon, Dir: t.TempDir(), Seed: s.seed, For: 8 * time.Second, // upstreams that name limits are looked at from the third second on
-
+		report, err := Run(context.Background(), Config{Daemon: daemon, Dir: t.TempDir(), Seed: s.seed,
+			For:   8 * time.Second, // advertised limits are checked only after the first 3 s
 			Boxes: 3, Upstreams: 4, Callers: 8, Net: 60 + i})
 		is.NoErr(err)
 		t.Logf("seed %d: %v", s.seed, report)
@@ -38,17 +38,17 @@
 	}
 }
 
-// Two runs on the same addresses would take each other's boxes for their own.
-func TestARunOnAddressesInUseIsRefused(t *testing.T) {
+// Two runs on the same addresses would connect to each other's boxes.
+func TestRunRefusesAddressesInUse(t *testing.T) {
 	is := is.New(t)
 	cfg := Config{Net: 90, Dir: t.TempDir()}
-	guard, err := holdAddresses(cfg)
+	guard, err := reserveAddresses(cfg)
 	is.NoErr(err)
 	_, err = Run(context.Background(), cfg)
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "choose another net"))
 	is.NoErr(guard.Close())
-	again, err := holdAddresses(cfg)
+	again, err := reserveAddresses(cfg)
 	is.NoErr(err)
 	is.NoErr(again.Close())
 }
--- a/soak/upstream.go
+++ b/soak/upstream.go
@@ -1,7 +1,7 @@
 package soak
 
-// This file defines the upstreams: they run requests, sometimes badly, and write down
-// which.
+// This file defines the simulated upstreams: they run requests, sometimes refuse them or break the response, and
+// report to the checker which requests arrived and ran.
 
 import (
 	"fmt"
@@ -19,67 +19,67 @@
 	"github.com/doormast/doormast/platform"
 )
 
-// upstream is one life of an upstream.
+// upstream is one incarnation of a simulated upstream.
 type upstream struct {
-	id, domain string
-	service    string
-	born       int64 // Unix ms
-	world      *world
-	gate       *gate
-	server     *http.Server
-	coldTill   time.Time
-	need       *need
-	leaving    atomic.Bool // it says so in its answers
-	pausing    atomic.Bool // it turns requests away, and asks for a pause
+	id, domain      string
+	service         string
+	startedAt       int64 // Unix time in milliseconds
+	harness         *harness
+	proxy           *proxy
+	server          *http.Server
+	coldUntil       time.Time
+	advertisedLimit *advertisedLimit
+	leaving         atomic.Bool // announce leaving in responses
+	pausing         atomic.Bool // refuse requests and request a pause
 
 	mu   sync.Mutex
-	runs map[string]int // events made, by request
+	runs map[string]int // by id of a running request, the number of events sent
 }
 
-// words are the deployment's, the same as the boxes use.
-var words = platform.Protocol()
+// protocol has the header names of the deployment, which the boxes use too.
+var protocol = platform.Protocol()
 
-// startUpstream starts an upstream that is cold for a while.
-func (w *world) startUpstream(i int, cold time.Duration) error {
+// startUpstream starts an upstream that is cold for the given duration, and publishes it.
+func (w *harness) startUpstream(i int, cold time.Duration) error {
 	u, err := w.newUpstream(service, i, cold)
 	if err != nil {
 		return err
 	}
-	w.noteUpstream(u)
+	w.registerUpstream(u)
 	w.upstreams = append(w.upstreams, u)
-	w.list(u, false)
+	w.publishUpstream(u, false)
 	return nil
 }
 
-// newUpstream starts an upstream that nobody knows of yet.
-func (w *world) newUpstream(service string, i int, cold time.Duration) (*upstream, error) {
+// newUpstream starts an upstream that is not published yet.
+func (w *harness) newUpstream(service string, i int, cold time.Duration) (*upstream, error) {
 	l, err := w.listen(100)
 	if err != nil {
 		return nil, err
 	}
-	w.started++
-	g, err := w.newGate(100, l.Addr().String())
+	w.upstreamCount++
+	g, err := w.newProxy(100, l.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	u := &upstream{id: fmt.Sprintf("u%d-%d", i, w.started), service: service, domain: domain(i), born: time.Now().UnixMilli(), world: w, gate: g,
-		coldTill: time.Now().Add(cold), need: w.newNeed(), runs: make(map[string]int)}
+	u := &upstream{id: fmt.Sprintf("u%d-%d", i, w.upstreamCount), service: service, domain: domain(i), startedAt: time.Now().UnixMilli(), harness: w, proxy: g,
+		coldUntil: time.Now().Add(cold), advertisedLimit: w.newAdvertisedLimit(), runs: make(map[string]int)}
 	u.serve(l)
 	return u, nil
 }
 
-// noteUpstream notes the present life of an upstream.
-func (w *world) noteUpstream(u *upstream) {
+// registerUpstream records u as the current incarnation of its id.
+func (w *harness) registerUpstream(u *upstream) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lives[u.id] = u
+	w.upstreamsByID[u.id] = u
 }
 
-// upstreamOf is the last life of an upstream; nil where there was none.
-func (w *world) upstreamOf(id string) *upstream {
+// upstreamByID returns the latest incarnation of an upstream, or nil if there is none.
+func (w *harness) upstreamByID(id string) *upstream {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lives[id]
+	return w.upstreamsByID[id]
 }
 
 func (u *upstream) serve(l net.Listener) {
@@ -88,128 +88,129 @@
 }
 
 func (u *upstream) close() {
-	u.gate.close()
+	u.proxy.close()
 	u.crash()
 }
 
-// crash ends an upstream and all its connections at once; it says nothing of that.
+// crash closes the server and all its connections immediately, without notice to the store or the boxes.
 func (u *upstream) crash() { _ = u.server.Close() }
 
-// startAgain begins another life of an upstream that has crashed, under its id and address. It
-// does nothing where the upstream was replaced meanwhile, or has started again.
-func (w *world) startAgain(before *upstream) error {
-	i := slices.Index(w.upstreams, before)
+// restartUpstream starts a new incarnation of a crashed upstream under the same id and address. It
+// does nothing if the upstream has been replaced or restarted meanwhile.
+func (w *harness) restartUpstream(previous *upstream) error {
+	i := slices.Index(w.upstreams, previous)
 	if i < 0 {
 		return nil
 	}
-	l, err := net.Listen("tcp", before.gate.target)
+	l, err := net.Listen("tcp", previous.proxy.target)
 	if err != nil {
 		return err
 	}
-	u := &upstream{id: before.id, service: before.service, domain: before.domain, born: max(time.Now().UnixMilli(), before.born+1), world: w, gate: before.gate,
-		need: w.newNeed(), runs: make(map[string]int)}
+	u := &upstream{id: previous.id, service: previous.service, domain: previous.domain, startedAt: max(time.Now().UnixMilli(), previous.startedAt+1), harness: w, proxy: previous.proxy,
+		advertisedLimit: w.newAdvertisedLimit(), runs: make(map[string]int)}
 	u.serve(l)
-	w.noteUpstream(u)
+	w.registerUpstream(u)
 	w.upstreams[i] = u
-	w.list(u, false)
+	w.publishUpstream(u, false)
 	return nil
 }
 
 const (
-	eventsOfStream = 6
-	eventPause     = 15 * time.Millisecond
-	workLongest    = 30 // ms
+	eventsPerStream = 6
+	eventPause      = 15 * time.Millisecond
+	maxWorkMs       = 30 // ms
 )
 
-// bodyOf is the answer to a request, which only that request can have.
-func bodyOf(id string) string { return "answer to " + id + strings.Repeat(".", len(id)*8) }
+// responseBody returns the body of the plain response to a request, which is unique to the request id.
+func responseBody(id string) string { return "answer to " + id + strings.Repeat(".", len(id)*8) }
 
-func eventOf(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
+// streamEvent returns the nth server-sent event of the response to a request, counted from 1.
+func streamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
 
-// ServeHTTP runs a request as its id says: some are refused, cut or lost.
+// ServeHTTP runs a request; at random it refuses some, truncates some responses and drops others.
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if u.leaving.Load() {
-		w.Header().Set(words.Leaving, "1")
+		w.Header().Set(protocol.Leaving, "1")
 	}
-	if call := words.ReportCall(); r.Method == call.Method && r.URL.Path == call.Path {
-		u.report(w)
+	if call := protocol.ReportCall(); r.Method == call.Method && r.URL.Path == call.Path {
+		u.writeReport(w)
 		return
 	}
-	id := r.Header.Get(words.RequestID)
-	w.Header().Set(words.RequestID, id)
+	id := r.Header.Get(protocol.RequestID)
+	w.Header().Set(protocol.RequestID, id)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // it broke off before it was whole
+		return // the request body is incomplete
 	}
-	u.world.ledger.arrived(u, id, string(body), r.Header.Get(words.Customer), r.Header.Get(words.Instance))
-	if r.Header.Get(words.Instance) != u.id {
-		w.Header().Set(words.NotExecuted, "1")
+	u.harness.checker.requestArrived(u, id, string(body), r.Header.Get(protocol.Customer), r.Header.Get(protocol.Instance))
+	if r.Header.Get(protocol.Instance) != u.id {
+		w.Header().Set(protocol.NotExecuted, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	u.need.reached(u, u.world.ledger.boxOf(id))
-	u.need.put(w.Header())
-	if u.asksForPause(w, id) {
+	u.advertisedLimit.requestArrived(u, u.harness.checker.boxOf(id))
+	u.advertisedLimit.setHeader(w.Header())
+	if u.refuseWithPause(w, id) {
 		return
 	}
-	switch luck := rand.IntN(100); {
+	switch outcome := rand.IntN(100); {
 	case string(body) == fatalBody:
-		u.world.fatal.sentTo(u.world.ledger, id)
-		u.world.endUnder(u)
+		u.harness.fatal.requestArrived(u.harness.checker, id)
+		u.harness.crashOnFatal(u)
 		return
-	case u.service == soundService:
-	case luck < 4, u.fails():
-		u.world.ledger.sentTo(u)
-		w.Header().Set(words.NotExecuted, "1")
+	case u.service == healthyService:
+	case outcome < 4, u.fails():
+		u.harness.checker.checkColdRate(u)
+		w.Header().Set(protocol.NotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case luck < 7:
-		u.world.ledger.sentTo(u)
-		u.world.ledger.ran(id)
-		hangUp(w) // its answer is lost
+	case outcome < 7:
+		u.harness.checker.checkColdRate(u)
+		u.harness.checker.executed(id)
+		resetConnection(w) // the response is lost
 		return
 	}
-	u.world.ledger.sentTo(u)
-	u.world.ledger.ran(id)
-	u.note(id, 0)
-	defer u.ended(id)
-	w.Header().Set(words.Signature, u.id+" "+id)
+	u.harness.checker.checkColdRate(u)
+	u.harness.checker.executed(id)
+	u.setProgress(id, 0)
+	defer u.clearProgress(id)
+	w.Header().Set(protocol.Signature, u.id+" "+id)
 	if isStream(r.URL.Path) {
 		u.stream(w, r, id)
 		return
 	}
-	time.Sleep(time.Duration(rand.IntN(workLongest)) * time.Millisecond)
-	switch rand.IntN(spoiltShare) {
+	time.Sleep(time.Duration(rand.IntN(maxWorkMs)) * time.Millisecond)
+	switch rand.IntN(faultyShare) {
 	case 0:
-		cutAnswer(w, id)
+		truncateResponse(w, id)
 	case 1:
-		answerTwice(w, u.id, id)
+		sendStaleResponse(w, u.id, id)
 	default:
-		_, _ = io.WriteString(w, bodyOf(id))
+		_, _ = io.WriteString(w, responseBody(id))
 	}
 }
 
-// spoiltShare is one in how many plain answers is spoilt in each way.
-const spoiltShare = 20
+// One in faultyShare plain responses is truncated, and as many follow a stale response.
+const faultyShare = 20
 
-// cutAnswer breaks off within an answer.
-func cutAnswer(w http.ResponseWriter, id string) {
-	body := bodyOf(id)
+// truncateResponse sends half of a response body and resets the connection.
+func truncateResponse(w http.ResponseWriter, id string) {
+	body := responseBody(id)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = io.WriteString(w, body[:len(body)/2])
 	_ = http.NewResponseController(w).Flush()
-	hangUp(w)
+	resetConnection(w)
 }
 
-// answerTwice answers an earlier request late, and then this one.
-func answerTwice(w http.ResponseWriter, upstream, id string) {
+// sendStaleResponse sends a late response to an earlier request, followed by the response to this one.
+func sendStaleResponse(w http.ResponseWriter, upstream, id string) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	for _, of := range []string{"before-" + id, id} {
+	for _, requestID := range []string{"before-" + id, id} {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s %s\r\nContent-Length: %d\r\n\r\n%s",
-			words.RequestID, of, words.Signature, upstream, of, len(bodyOf(of)), bodyOf(of))
+			protocol.RequestID, requestID, protocol.Signature, upstream, requestID, len(responseBody(requestID)), responseBody(requestID))
 	}
 	_ = c.Close()
 }
@@ -218,19 +219,19 @@
 	return strings.HasPrefix(path, "/flow/") || strings.HasPrefix(path, "/fixed/")
 }
 
-// stream sends events; one in ten streams is cut within an event.
+// stream sends the events after the request's last event id; one in ten streams is truncated within an event.
 func (u *upstream) stream(w http.ResponseWriter, r *http.Request, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	from, err := strconv.Atoi(r.Header.Get(words.LastEvent))
+	from, err := strconv.Atoi(r.Header.Get(protocol.LastEvent))
 	if err != nil {
 		from = 0
 	}
-	cut := eventsOfStream + 1
+	cut := eventsPerStream + 1
 	if rand.IntN(10) == 0 {
-		cut = 1 + rand.IntN(eventsOfStream)
+		cut = 1 + rand.IntN(eventsPerStream)
 	}
-	for n := from + 1; n <= eventsOfStream; n++ {
-		event := eventOf(id, n)
+	for n := from + 1; n <= eventsPerStream; n++ {
+		event := streamEvent(id, n)
 		if n == cut {
 			event = event[:len(event)/2]
 		}
@@ -238,30 +239,30 @@
 			return
 		}
 		_ = http.NewResponseController(w).Flush()
-		u.note(id, n)
+		u.setProgress(id, n)
 		if n == cut {
-			hangUp(w)
+			resetConnection(w)
 			return
 		}
 		time.Sleep(eventPause)
 	}
 }
 
-// note notes how many events of a request were made.
-func (u *upstream) note(id string, events int) {
+// setProgress records how many events of a running request have been sent.
+func (u *upstream) setProgress(id string, events int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.runs[id] = events
 }
 
-func (u *upstream) ended(id string) {
+func (u *upstream) clearProgress(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.runs, id)
 }
 
-// report tells what runs.
-func (u *upstream) report(w http.ResponseWriter) {
+// writeReport responds with the running requests and their progress.
+func (u *upstream) writeReport(w http.ResponseWriter) {
 	u.mu.Lock()
 	body, err := platform.EncodeReport(u.runs)
 	u.mu.Unlock()
@@ -272,8 +273,8 @@
 	_, _ = w.Write(body)
 }
 
-// hangUp closes the connection under an answer.
-func hangUp(w http.ResponseWriter) {
+// resetConnection resets the connection of a response.
+func resetConnection(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		reset(c)
