--- a/cell/simulation_test.go
+++ b/cell/simulation_test.go
@@ -517,12 +517,12 @@
 	}
 	for key, n := range s.executed {
 		if n > 1 {
-			out = append(out, fmt.Sprintf("%s: key %s ran %d times", timeline.PromiseOnce, key, n))
+			out = append(out, fmt.Sprintf("%s: key %s ran %d times", timeline.InvariantAtMostOnce, key, n))
 		}
 	}
 	for id, n := range s.finalCounts {
 		if n > 1 {
-			out = append(out, fmt.Sprintf("%s: request %x got %d final answers", timeline.PromiseOneEnd, id, n))
+			out = append(out, fmt.Sprintf("%s: request %x got %d final answers", timeline.InvariantSingleEnd, id, n))
 		}
 	}
 	slices.Sort(out)
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -31,10 +31,10 @@
 	}{
 		{"good", line(received, sending, Event{Kind: Answered, Request: 1}), ""},
 		{"disclaimed and sent again", line(received, sending, Event{Kind: Disclaimed, Request: 1}, sending, Event{Kind: Answered, Request: 1}), ""},
-		{"sent twice", line(received, sending, sending), PromiseOnce},
+		{"sent twice", line(received, sending, sending), InvariantAtMostOnce},
 		{"refused after sending", line(received, sending, Event{Kind: Refused, Request: 1}), PromiseTruth},
-		{"ended twice", line(received, Event{Kind: Refused, Request: 1}, Event{Kind: Answered, Request: 1}), PromiseOneEnd},
-		{"sent after its end", line(received, Event{Kind: Refused, Request: 1}, sending), PromiseOneEnd},
+		{"ended twice", line(received, Event{Kind: Refused, Request: 1}, Event{Kind: Answered, Request: 1}), InvariantSingleEnd},
+		{"sent after its end", line(received, Event{Kind: Refused, Request: 1}, sending), InvariantSingleEnd},
 		{"table reverts", line(Event{Kind: TableAdopted, Revision: 2}, Event{Kind: TableAdopted, Revision: 1}), PromiseRevision},
 		{"table on another box", line(Event{Kind: TableAdopted, Revision: 2}, Event{Kind: TableAdopted, Revision: 1, Box: "c"}), ""},
 		{"evicted before a lower tier", line(received, Event{Kind: Refused, Request: 1, Reason: "evicted", LowerWaiting: 1}), PromiseTiers},
@@ -60,9 +60,9 @@
 	var a, b Clock
 	now := time.Unix(1000, 0)
 	sent := a.Now(now.Add(time.Second))
-	b.See(now, sent)
+	b.Observe(now, sent)
 	is.True(b.Now(now).Compare(sent) > 0)
-	b.See(now, Stamp{Wall: now.Add(time.Hour).UnixNano()})
+	b.Observe(now, Stamp{Wall: now.Add(time.Hour).UnixNano()})
 	is.True(b.Now(now.Add(2*time.Second)).Wall < now.Add(time.Minute).UnixNano())
 }
 
