--- a/cmd/doormast/soak.go
+++ b/cmd/doormast/soak.go
@@ -41,7 +41,7 @@
 	cmd.Flags().StringVar(&cfg.Daemon, "daemon", "", "the program doormastd")
 	cmd.Flags().Uint64Var(&cfg.Seed, "seed", 1, "the first seed")
 	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, one after the other")
-	cmd.Flags().DurationVar(&cfg.For, "for", 20*time.Second, "how long each")
+	cmd.Flags().DurationVar(&cfg.Duration, "for", 20*time.Second, "how long each")
 	cmd.Flags().IntVar(&cfg.Boxes, "boxes", 4, "boxes")
 	cmd.Flags().IntVar(&cfg.Upstreams, "upstreams", 5, "upstreams")
 	cmd.Flags().IntVar(&cfg.Callers, "callers", 16, "callers")
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -166,7 +166,7 @@
 
 // injectFaults injects faults for the duration of the run, then undoes those that remain.
 func (w *harness) injectFaults(ctx context.Context) {
-	end := time.Now().Add(w.cfg.For)
+	end := time.Now().Add(w.cfg.Duration)
 	w.scheduleFailures()
 	pending := w.scheduleNotices()
 	for time.Now().Before(end) && ctx.Err() == nil {
--- a/soak/notices.go
+++ b/soak/notices.go
@@ -184,7 +184,7 @@
 // during schedules a fault between two points of the run, given as fractions of its duration.
 func (w *harness) during(do func(*harness) func(), from, to float64) []pendingUndo {
 	var end func()
-	at := func(part float64) time.Time { return time.Now().Add(time.Duration(part * float64(w.cfg.For))) }
+	at := func(part float64) time.Time { return time.Now().Add(time.Duration(part * float64(w.cfg.Duration))) }
 	return []pendingUndo{
 		{at(from), func() { end = do(w) }},
 		{at(to), func() { end() }},
--- a/soak/retries.go
+++ b/soak/retries.go
@@ -45,7 +45,7 @@
 
 // scheduleFailures makes upstreams fail in the middle third of a run, which is long enough to exhaust retry budgets.
 func (w *harness) scheduleFailures() {
-	third := w.cfg.For / 3
+	third := w.cfg.Duration / 3
 	time.AfterFunc(third, func() { w.failing.Add(1) })
 	time.AfterFunc(2*third, func() { w.failing.Add(-1) })
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -34,7 +34,7 @@
 	Daemon    string // path of the doormastd program
 	Dir       string // directory for settings and logs
 	Seed      uint64
-	For       time.Duration
+	Duration  time.Duration
 	Boxes     int
 	Upstreams int
 	Callers   int
