--- a/timeline/format.go
+++ b/timeline/format.go
@@ -1,7 +1,7 @@
 package timeline
 
-// This file defines how a time line is written: as text, as JSON lines, as a
-// Chrome trace, and as sentences about one request.
+// This file defines the output formats of a time line: text, JSON lines, a Chrome trace, and an
+// explanation of one request in sentences.
 
 import (
 	"bufio"
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// WriteText writes one line for each event.
+// WriteText writes one line of text per event, with those fields that are not zero.
 func WriteText(w io.Writer, events []Event) error {
 	b := bufio.NewWriter(w)
 	for _, e := range events {
 		fmt.Fprintf(b, "%s %-10s %-14s", time.Unix(0, e.Wall).UTC().Format("15:04:05.000000"), e.Box, e.Kind)
-		for _, f := range fields(e) {
+		for _, f := range nonZeroFields(e) {
 			fmt.Fprintf(b, " %s", f)
 		}
 		b.WriteByte('\n')
@@ -25,7 +25,7 @@
 	return b.Flush()
 }
 
-func fields(e Event) []string {
+func nonZeroFields(e Event) []string {
 	var out []string
 	add := func(name string, value any, ok bool) {
 		if ok {
@@ -44,10 +44,10 @@
 	return out
 }
 
-// RequestText is how a request id is written.
+// RequestText formats a request id as 16 hexadecimal digits.
 func RequestText(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// WriteJSON writes one JSON object on a line for each event.
+// WriteJSON writes one JSON object per event, each on its own line.
 func WriteJSON(w io.Writer, events []Event) error {
 	b := bufio.NewWriter(w)
 	e := json.NewEncoder(b)
@@ -59,7 +59,7 @@
 	return b.Flush()
 }
 
-// traceEvent is an event of the Chrome trace format; times are in microseconds.
+// traceEvent is an event of the Chrome trace format. Times are in microseconds.
 type traceEvent struct {
 	Name     string            `json:"name"`
 	Phase    string            `json:"ph"`
@@ -71,41 +71,41 @@
 	Args     map[string]string `json:"args,omitempty"`
 }
 
-// WriteTrace writes the Chrome trace format: a span for each state of each
-// request, on a track for each class of each box.
+// WriteTrace writes the events in the Chrome trace format: a span for each state of each request,
+// on one track per class and box, and an instant event for each event without a request.
 func WriteTrace(w io.Writer, events []Event) error {
 	out := make([]traceEvent, 0, len(events))
 	open := make(map[requestKey]Event)
 	for _, e := range events {
 		if e.Request == 0 {
-			out = append(out, traceEvent{Name: string(e.Kind), Phase: "i", Time: micros(e), Process: e.Box, Thread: "box", Scope: "p"})
+			out = append(out, traceEvent{Name: string(e.Kind), Phase: "i", Time: microseconds(e), Process: e.Box, Thread: "box", Scope: "p"})
 			continue
 		}
 		key := requestKey{e.Box, e.Request}
-		if before, ok := open[key]; ok {
-			out = append(out, traceEvent{Name: string(before.Kind), Phase: "X", Time: micros(before),
-				Duration: max(micros(e)-micros(before), 0.001), Process: e.Box, Thread: before.Class,
-				Args: map[string]string{"request": RequestText(e.Request), "upstream": before.Upstream}})
+		if previous, ok := open[key]; ok {
+			out = append(out, traceEvent{Name: string(previous.Kind), Phase: "X", Time: microseconds(previous),
+				Duration: max(microseconds(e)-microseconds(previous), 0.001), Process: e.Box, Thread: previous.Class,
+				Args: map[string]string{"request": RequestText(e.Request), "upstream": previous.Upstream}})
 		}
 		open[key] = e
-		if isEnd(e.Kind) {
+		if isFinal(e.Kind) {
 			delete(open, key)
 		}
 	}
 	return json.NewEncoder(w).Encode(map[string]any{"traceEvents": out})
 }
 
-func micros(e Event) float64 { return float64(e.Wall) / 1000 }
+func microseconds(e Event) float64 { return float64(e.Wall) / 1000 }
 
-func isEnd(k Kind) bool {
+func isFinal(k Kind) bool {
 	return k == Answered || k == Refused || k == Unknown || k == Disconnected
 }
 
-// Explain tells in sentences what happened to one request.
+// Explain writes one sentence per event of the request, with the time since its first event.
 func Explain(w io.Writer, events []Event, request uint64) error {
 	events = Filter(events, request, "", "")
 	if len(events) == 0 {
-		_, err := fmt.Fprintf(w, "Nothing is known of request %s; the rings may have moved on.\n", RequestText(request))
+		_, err := fmt.Fprintf(w, "No events of request %s are stored; newer events may have replaced them.\n", RequestText(request))
 		return err
 	}
 	start := events[0].Wall
@@ -118,43 +118,43 @@
 	return nil
 }
 
-// sentence says what an event means.
+// sentence describes an event in words.
 func sentence(e Event) string {
 	switch e.Kind {
 	case Received:
 		return fmt.Sprintf("Box %s received it from customer %s as class %s, tier %d.", e.Box, e.Customer, e.Class, e.Tier)
 	case Waiting:
-		return fmt.Sprintf("It waits for a slot of set %s at owner %s, with %d tokens expected.", e.Set, e.Upstream, e.Value)
+		return fmt.Sprintf("It waits for a slot of set %s from owner %s, with %d tokens expected.", e.Set, e.Upstream, e.Value)
 	case Granted:
 		return fmt.Sprintf("Owner %s granted it a slot of %s.", e.Box, e.Upstream)
 	case Leased:
 		return fmt.Sprintf("Box %s holds a slot of %s.", e.Box, e.Upstream)
 	case Fallback:
-		return fmt.Sprintf("The owner was not heard of; box %s took a slot of %s from its own share.", e.Box, e.Upstream)
+		return fmt.Sprintf("Nothing was heard from the owner; box %s took a slot of %s from its own share.", e.Box, e.Upstream)
 	case Sending:
 		return fmt.Sprintf("It was sent to %s.", e.Upstream)
 	case Running:
-		return fmt.Sprintf("The first token came from %s.", e.Upstream)
+		return fmt.Sprintf("The first token arrived from %s.", e.Upstream)
 	case Paused:
-		return fmt.Sprintf("It was paused on %s after %d tokens, for a higher tier.", e.Upstream, e.Value)
+		return fmt.Sprintf("It was paused on %s after %d tokens in favour of a higher tier.", e.Upstream, e.Value)
 	case Disclaimed:
-		return fmt.Sprintf("Upstream %s said that it did not run it.", e.Upstream)
+		return fmt.Sprintf("Upstream %s reported that it did not run the request.", e.Upstream)
 	case Retried:
-		return fmt.Sprintf("It is tried again: %s.", words(e.Reason))
+		return fmt.Sprintf("It is retried: %s.", withSpaces(e.Reason))
 	case Answered:
-		return fmt.Sprintf("The whole answer of %d tokens reached the caller.", e.Value)
+		return fmt.Sprintf("The complete answer of %d tokens reached the caller.", e.Value)
 	case Refused:
-		return fmt.Sprintf("It was refused and did not run: %s.", words(e.Reason))
+		return fmt.Sprintf("It was refused and did not run: %s.", withSpaces(e.Reason))
 	case Unknown:
-		return fmt.Sprintf("It ended and may have run: %s.", words(e.Reason))
+		return fmt.Sprintf("It ended and may have run: %s.", withSpaces(e.Reason))
 	case Disconnected:
-		return "The caller left; the answer was cancelled."
+		return "The caller disconnected; the answer was cancelled."
 	case Redirected:
-		return fmt.Sprintf("It bids for a slot in another failure domain, at box %s.", e.Upstream)
+		return fmt.Sprintf("It asks for a slot in another failure domain, at box %s.", e.Upstream)
 	case PauseOrdered:
-		return fmt.Sprintf("Owner %s asked for a pause, for a higher tier.", e.Box)
+		return fmt.Sprintf("Owner %s asked for a pause in favour of a higher tier.", e.Box)
 	}
 	return fmt.Sprintf("Event %s on box %s.", e.Kind, e.Box)
 }
 
-func words(reason string) string { return strings.ReplaceAll(reason, "_", " ") }
+func withSpaces(reason string) string { return strings.ReplaceAll(reason, "_", " ") }
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -1,11 +1,10 @@
-// Package timeline records what happened on each box and puts the records of
-// many boxes into one order.
+// Package timeline records the events of each box and merges the events of many boxes into one
+// ordered sequence, the time line.
 //
-// Each process keeps a bounded ring of events, stamped by a hybrid logical
-// clock, so that what one box did because of another's message comes after it
-// even when their wall clocks differ. The time line is the operators' view and
-// the oracle of the tests: invariants.go holds the brief's promises as functions
-// over it.
+// Each process keeps a bounded ring buffer of events, stamped by a hybrid logical clock, so that
+// an event caused by a message from another box is ordered after the sending of the message even
+// if their wall clocks differ. Operators read the time line, and tests check it against the
+// invariants of invariants.go.
 package timeline
 
 import (
@@ -15,28 +14,28 @@
 	"time"
 )
 
-// Kind tells what an event is.
+// Kind is the type of an event.
 type Kind string
 
 // Kinds of event.
 const (
 	Received      Kind = "received"      // a request came from a caller
-	Waiting       Kind = "waiting"       // it was bid for
+	Waiting       Kind = "waiting"       // its box asked an owner for a slot
 	Granted       Kind = "granted"       // an owner granted it a slot
-	Leased        Kind = "leased"        // the holder has the slot
-	Sending       Kind = "sending"       // a byte may leave for the upstream
-	Running       Kind = "running"       // the first token came
-	Paused        Kind = "paused"        // it was stopped for a higher tier
-	Disclaimed    Kind = "disclaimed"    // the upstream said that it did not run it
-	Retried       Kind = "retried"       // it is tried again after a failure
+	Leased        Kind = "leased"        // its box holds the slot
+	Sending       Kind = "sending"       // from here on bytes may be sent to the upstream
+	Running       Kind = "running"       // the first token arrived from the upstream
+	Paused        Kind = "paused"        // its run was stopped in favour of a higher tier
+	Disclaimed    Kind = "disclaimed"    // the upstream reported that it did not run the request
+	Retried       Kind = "retried"       // the request is retried after a failure
 	Answered      Kind = "answered"      // the whole answer reached the caller
-	Refused       Kind = "refused"       // it was refused and did not run
-	Unknown       Kind = "unknown"       // it ended and may have run
-	Disconnected  Kind = "left"          // its caller went away
-	Redirected    Kind = "redirected"    // it bids in another failure domain
-	PauseOrdered  Kind = "pause_ordered" // an owner asked for a pause
+	Refused       Kind = "refused"       // the request was refused and did not run
+	Unknown       Kind = "unknown"       // the request ended and may have run
+	Disconnected  Kind = "left"          // the caller disconnected
+	Redirected    Kind = "redirected"    // its box asks for a slot in another failure domain
+	PauseOrdered  Kind = "pause_ordered" // an owner asked for the run to be paused
 	Owning        Kind = "owning"        // the box became owner of a set
-	OwnershipLost Kind = "disowning"     // it is no longer
+	OwnershipLost Kind = "disowning"     // the box is no longer owner of a set
 	TableAdopted  Kind = "table_adopted"
 	TableBad      Kind = "table_bad"
 	ListAdopted   Kind = "list_adopted"
@@ -44,23 +43,23 @@
 	BoxDead       Kind = "box_dead"
 	Draining      Kind = "draining"
 	Stopped       Kind = "stopped"
-	ClockGap      Kind = "woke"     // a gap in the box's own time was noticed
-	Fallback      Kind = "fallback" // a slot was taken from the box's own share
-	Ordered       Kind = "ordered"  // an order went to an engine
+	ClockGap      Kind = "woke"     // the box noticed a gap in its own time of Value microseconds
+	Fallback      Kind = "fallback" // the box took a slot from its own share, without the owner
+	Ordered       Kind = "ordered"  // the owner ordered an engine to load the model in Reason
 )
 
-// Stamp is a moment of the hybrid logical clock.
+// Stamp is a timestamp of the hybrid logical clock.
 type Stamp struct {
 	Wall    int64 `json:"wall"`    // nanoseconds since 1970
-	Logical int   `json:"logical"` // orders what has the same Wall
+	Logical int   `json:"logical"` // orders stamps with the same Wall
 }
 
-// Compare orders stamps.
+// Compare returns -1, 0 or +1 as s is before, equal to or after t.
 func (s Stamp) Compare(t Stamp) int {
 	return cmp.Or(cmp.Compare(s.Wall, t.Wall), cmp.Compare(s.Logical, t.Logical))
 }
 
-// Event is one thing that happened. Fields that do not apply are zero.
+// Event is an entry of the time line. Fields that do not apply to its kind are zero.
 type Event struct {
 	Stamp
 	Box          string `json:"box"`
@@ -74,18 +73,19 @@
 	Set          string `json:"set,omitempty"`
 	Reason       string `json:"reason,omitempty"`
 	Revision     uint64 `json:"revision,omitempty"`
-	Value        int64  `json:"value,omitempty"` // tokens, microseconds or a count, by kind
+	Value        int64  `json:"value,omitempty"` // tokens, microseconds or a count, depending on Kind
 	LowerWaiting int    `json:"lower_waiting,omitempty"`
 	LowerRunning int    `json:"lower_running,omitempty"`
 }
 
-// Clock is a hybrid logical clock. It is safe for several goroutines.
+// Clock is a hybrid logical clock. It is safe for concurrent use.
 type Clock struct {
 	mu   sync.Mutex
 	last Stamp
 }
 
-// Now returns a stamp after all that the clock has given or seen.
+// Now returns a stamp after all stamps that the clock has returned or observed. wall is the current
+// time.
 func (c *Clock) Now(wall time.Time) Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,8 +97,8 @@
 	return c.last
 }
 
-// Observe takes in a stamp that came with a message, so that what follows is later.
-// A stamp too far ahead of the own clock is not believed.
+// Observe advances the clock to a stamp received with a message, so that later stamps of Now are
+// after it. A stamp more than one minute ahead of wall, the current time, is ignored.
 func (c *Clock) Observe(wall time.Time, s Stamp) {
 	if s.Wall-wall.UnixNano() > int64(time.Minute) {
 		return
@@ -110,7 +110,7 @@
 	}
 }
 
-// Ring keeps the newest events. It is safe for several goroutines.
+// Ring is a ring buffer of the newest events. It is safe for concurrent use.
 type Ring struct {
 	mu     sync.Mutex
 	events []Event
@@ -118,12 +118,12 @@
 	total  uint64
 }
 
-// NewRing returns a ring of the given size.
+// NewRing returns a ring that holds up to size events, at least one.
 func NewRing(size int) *Ring {
 	return &Ring{events: make([]Event, 0, max(size, 1))}
 }
 
-// Add enters an event, over the oldest if the ring is full.
+// Add adds an event; if the ring is full it replaces the oldest one.
 func (r *Ring) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,7 +136,7 @@
 	r.next = (r.next + 1) % len(r.events)
 }
 
-// Events returns the events, the oldest first.
+// Events returns the stored events, oldest first.
 func (r *Ring) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,14 +145,14 @@
 	return append(out, r.events[:r.next]...)
 }
 
-// Total is how many events were ever added.
+// Total returns the number of events added so far, including replaced ones.
 func (r *Ring) Total() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.total
 }
 
-// Merge puts the events of several boxes into one order.
+// Merge returns the events of several boxes sorted by stamp, then by box.
 func Merge(lists ...[]Event) []Event {
 	var all []Event
 	for _, l := range lists {
@@ -164,8 +164,7 @@
 	return all
 }
 
-// Filter returns the events that concern a request, class or box; zero values
-// match all.
+// Filter returns the events that match the request, class and box; a zero value matches all.
 func Filter(events []Event, request uint64, class, box string) []Event {
 	var out []Event
 	for _, e := range events {
