--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -34,7 +34,7 @@
 const (
 	peerKey = "peer-key-for-the-tests"
 	opsKey  = "ops-key-for-the-tests"
-	// patience limits each wait for an event; no test asserts a duration with it.
+	// eventTimeout limits each wait for an event; no test asserts a duration with it.
 	eventTimeout = 60 * time.Second
 )
 
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -27,7 +27,7 @@
 	Pace        time.Duration // time per token
 	Prefill     time.Duration // time before the first token; a tenth of it with a cached prefix
 	CacheSize   int           // prefixes in the cache; 0 means 64
-	ReportLag   time.Duration // minimum age of the load figures in reports, once samples are that old
+	ReportLag   time.Duration // reports use the newest load sample of at least this age, if any
 	ChecksFence bool          // reject orders whose fence is not newer than the last
 	LoadTime    time.Duration // time to load a model
 }
