--- a/experiment/cell.go
+++ b/experiment/cell.go
@@ -1,7 +1,8 @@
 package experiment
 
-// This file defines measurements of one failure domain at a given size: what the
-// control between its boxes costs, and how fast a change of the table spreads.
+// This file defines measurements of one failure domain of a given size: the cost of
+// the control traffic between its boxes, and the time until a table change is in
+// force on all of them.
 
 import (
 	"fmt"
@@ -13,36 +14,38 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// CellConfig is the size of a failure domain.
+// CellConfig is the size and the load of a failure domain.
 type CellConfig struct {
 	Boxes     int
 	Upstreams int
 	Sets      int
-	Slots     int     // of each upstream
+	Slots     int     // requests that each upstream runs at once
 	Rate      float64 // requests a second for each box
-	Seconds   float64 // measured, after the same time to fill up
+	Seconds   float64 // of the measurement, after a warm-up of the same length
 }
 
-// CellResult is what control cost there. All but the sizes are for a box.
+// CellResult is the cost of control in a failure domain, for one box where the field
+// does not say otherwise.
 type CellResult struct {
 	Boxes     int     `json:"boxes"`
 	Upstreams int     `json:"upstreams"`
 	Sets      int     `json:"sets"`
 	Rate      float64 `json:"rate"`
-	Waiting   int     `json:"waiting"` // requests in the domain, at the end
-	Running   int     `json:"running"` // requests in the domain, at the end
-	Bytes     float64 `json:"bytes"`   // sent a second, the mean
-	MostBytes float64 `json:"most_bytes"`
-	Datagrams float64 `json:"datagrams"` // sent a second
-	Messages  float64 `json:"messages"`  // sent a second
-	Core      float64 `json:"core"`      // share of a core, the mean
-	MostCore  float64 `json:"most_core"`
+	Waiting   int     `json:"waiting"`    // requests in the domain, at the end
+	Running   int     `json:"running"`    // requests in the domain, at the end
+	Bytes     float64 `json:"bytes"`      // sent a second, mean over the boxes
+	MostBytes float64 `json:"most_bytes"` // sent a second by the busiest box
+	Datagrams float64 `json:"datagrams"`  // sent a second
+	Messages  float64 `json:"messages"`   // sent a second
+	Core      float64 `json:"core"`       // share of a core, mean over the boxes
+	MostCore  float64 `json:"most_core"`  // share of a core on the busiest box
 }
 
-// answerTime is the mean time that a request of a measured domain runs.
+// answerTime is the mean time to generate an answer in a measured domain.
 const answerTime = 10 * time.Second
 
-// MeasureCell runs a domain with real datagrams and accounts for its control.
+// MeasureCell simulates a domain, with datagrams encoded and decoded as in production,
+// and returns the cost of its control.
 func MeasureCell(c CellConfig) CellResult {
 	l := cellLoop(c)
 	half := time.Duration(c.Seconds * float64(time.Second))
@@ -56,11 +59,11 @@
 	n := float64(len(l.boxes)) * half.Seconds()
 	for i, b := range l.boxes {
 		bytes := float64(b.bytes - before[i].bytes)
-		core := (b.spent - before[i].spent).Seconds()
+		core := (b.cpuTime - before[i].cpuTime).Seconds()
 		r.Bytes += bytes / n
 		r.Core += core / n
-		r.Datagrams += float64(b.grams-before[i].grams) / n
-		r.Messages += float64(b.count-before[i].count) / n
+		r.Datagrams += float64(b.datagrams-before[i].datagrams) / n
+		r.Messages += float64(b.messages-before[i].messages) / n
 		r.MostBytes = max(r.MostBytes, bytes/half.Seconds())
 		r.MostCore = max(r.MostCore, core/half.Seconds())
 	}
@@ -74,7 +77,7 @@
 	return r
 }
 
-// cellLoop sets up a run of one domain, with a class for each set.
+// cellLoop prepares a run of one domain, with one class for each set.
 func cellLoop(c CellConfig) *loop {
 	s := &Spec{Name: "cell", Seeds: 1, Duration: jsonc.Duration(2 * time.Duration(c.Seconds*float64(time.Second))), Domains: 1,
 		Boxes: c.Boxes, Engines: c.Upstreams, Sets: c.Sets, Slots: c.Slots, Pace: jsonc.Duration(answerTime / 250),
@@ -100,23 +103,24 @@
 	return l
 }
 
-// SpreadResult is how fast a change of the table came into force in a domain.
+// SpreadResult is the time until a table change was in force in a domain.
 type SpreadResult struct {
 	Boxes   int     `json:"boxes"`
-	Loss    float64 `json:"loss"` // share of datagrams lost
-	Dead    int     `json:"dead"` // readers that died with the change
-	Seconds float64 `json:"seconds"`
+	Loss    float64 `json:"loss"`    // share of datagrams lost
+	Dead    int     `json:"dead"`    // table readers that failed when the change was published
+	Seconds float64 `json:"seconds"` // 30 or more if it was not in force by then
 }
 
-// MeasureSpread publishes a change to the readers of a domain and measures the
-// time until all boxes have it. With dead readers, the next in line read it once
-// they have noticed.
+// MeasureSpread publishes a table change and measures the time until all live boxes
+// of a domain have it. The given number of the boxes that read the table from the
+// platform fail at that moment; other boxes take over once they detect it. The share
+// of datagrams given by loss is dropped.
 func MeasureSpread(boxes, dead int, loss float64) SpreadResult {
 	r := SpreadResult{Boxes: boxes, Loss: loss, Dead: dead}
 	l := cellLoop(CellConfig{Boxes: boxes, Upstreams: boxes, Sets: 4, Slots: 8, Seconds: 30})
 	l.advance(settle + 8*time.Second)
 	l.loss = loss
-	t := l.first.WithRevision(2)
+	t := l.initialTable.WithRevision(2)
 	start := l.now
 	l.platform = t
 	for _, b := range l.boxes {
@@ -132,12 +136,14 @@
 	return r
 }
 
-// advance lets the run go on until the time end, whether or not anything happens.
+// advance runs the simulation until end and sets the clock to it, even if no timer is
+// due then.
 func (l *loop) advance(end time.Duration) {
-	l.loop(end)
+	l.runUntil(end)
 	l.now = max(l.now, end)
 }
 
+// allHave reports whether all boxes that are not frozen have a table revision.
 func (l *loop) allHave(revision uint64) bool {
 	for _, b := range l.boxes {
 		if !b.frozen && b.node.Table().Revision < revision {
--- a/experiment/cell_test.go
+++ b/experiment/cell_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Reports the cost of control in domains of three sizes, idle and under load.
 func BenchmarkCell(b *testing.B) {
 	for _, c := range []CellConfig{
 		{Boxes: 8, Upstreams: 30, Sets: 3, Slots: 165, Seconds: 25},
@@ -28,6 +29,8 @@
 	}
 }
 
+// Reports the time until a table change is in force, with lost datagrams and failed
+// table readers.
 func BenchmarkSpread(b *testing.B) {
 	for _, c := range []struct {
 		boxes, dead int
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -1,50 +1,52 @@
 package experiment
 
-// This file defines the batch model of an engine: slots that generate at a
-// steady pace, a queue in front of them, and a prefix cache.
+// This file defines the model of a batching engine: slots that each generate tokens
+// at a constant rate, a queue for requests without a slot, and a prefix cache.
 
 import (
 	"slices"
 	"time"
 )
 
-// job is a run on an engine.
+// job is one run of a request on an engine.
 type job struct {
-	req     *request
-	tier    int
-	from    int // tokens delivered before
-	total   int
-	prefill time.Duration
-	started time.Duration
-	running bool
-	over    bool
+	req      *request
+	tier     int
+	resumeAt int           // tokens that earlier runs delivered
+	total    int           // tokens of the whole answer
+	prefill  time.Duration // set when the job gets a slot
+	started  time.Duration
+	running  bool
+	ended    bool
 }
 
-// engine is one modelled engine.
+// engine is one simulated engine.
 type engine struct {
-	name     string
-	domain   int
-	slots    int
-	pace     time.Duration
-	base     time.Duration // prefill without a cached prefix
-	cacheMax int
-	broken   bool
-	priority bool // whether its own queue honours tiers
-	running  int
-	queue    []*job
-	cache    []uint64
-	news     []uint64 // cached since the last report
-	busy     time.Duration
-	wasted   time.Duration
-	samples  []sample
+	name         string
+	domain       int
+	slots        int
+	timePerToken time.Duration
+	prefill      time.Duration // without a cached prefix
+	cacheSize    int           // prefixes
+	broken       bool
+	priority     bool // whether its queue is ordered by tier
+	running      int
+	queue        []*job
+	cache        []uint64      // prefixes, least recently used first
+	newPrefixes  []uint64      // cached since the last report
+	busy         time.Duration // slot time of ended jobs
+	wasted       time.Duration // the part of busy that no caller benefited from
+	samples      []sample      // oldest first
 }
 
+// sample is an engine's load at one time.
 type sample struct {
 	at               time.Duration
 	running, waiting int
 }
 
-// accept takes a job and returns it if it starts at once.
+// accept starts a job, or queues it when no slot is free. It reports whether the job
+// has started.
 func (e *engine) accept(now time.Duration, j *job) bool {
 	if e.running < e.slots {
 		e.start(now, j)
@@ -54,16 +56,18 @@
 	return false
 }
 
+// start gives a job a slot. Prefill takes a tenth of the time when the prefix is cached
+// or the job resumes an earlier run.
 func (e *engine) start(now time.Duration, j *job) {
 	e.running++
 	j.running, j.started = true, now
-	j.prefill = e.base
-	if j.from > 0 || e.hit(j.req.arrival.prefix) {
-		j.prefill = e.base / 10
+	j.prefill = e.prefill
+	if j.resumeAt > 0 || e.hit(j.req.arrival.prefix) {
+		j.prefill = e.prefill / 10
 	}
 }
 
-// hit looks a prefix up and caches it.
+// hit reports whether a prefix is cached, and caches it as the most recently used.
 func (e *engine) hit(prefix uint64) bool {
 	if prefix == 0 {
 		return false
@@ -73,19 +77,20 @@
 		return true
 	}
 	e.cache = append(e.cache, prefix)
-	e.news = append(e.news, prefix)
-	if len(e.cache) > e.cacheMax {
+	e.newPrefixes = append(e.newPrefixes, prefix)
+	if len(e.cache) > e.cacheSize {
 		e.cache = e.cache[1:]
 	}
 	return false
 }
 
-// end takes a job off and returns the one that starts in its place, if any.
+// end removes a job and returns the queued job that takes its slot, or nil. With
+// wasted, the job's slot time counts as wasted.
 func (e *engine) end(now time.Duration, j *job, wasted bool) *job {
-	if j.over {
+	if j.ended {
 		return nil
 	}
-	j.over = true
+	j.ended = true
 	if !j.running {
 		if i := slices.Index(e.queue, j); i >= 0 {
 			e.queue = slices.Delete(e.queue, i, i+1)
@@ -97,13 +102,15 @@
 	switch {
 	case wasted:
 		e.wasted += now - j.started
-	case j.from > 0:
-		e.wasted += min(j.prefill, now-j.started) // done again to go on
+	case j.resumeAt > 0:
+		e.wasted += min(j.prefill, now-j.started) // a resumed run repeats the prefill
 	}
-	j.req.busy += now - j.started
+	j.req.slotTime += now - j.started
 	return e.next(now)
 }
 
+// next starts the first queued job, by tier if the queue is ordered by it, and returns
+// it, or nil.
 func (e *engine) next(now time.Duration) *job {
 	if len(e.queue) == 0 || e.broken {
 		return nil
@@ -122,26 +129,27 @@
 	return j
 }
 
-// tokens is how many tokens of a job were generated, earlier runs included.
-func (j *job) tokens(now, pace time.Duration) int {
+// tokens returns how many tokens of the answer exist, including those of earlier runs.
+func (j *job) tokens(now, timePerToken time.Duration) int {
 	if !j.running {
-		return j.from
+		return j.resumeAt
 	}
-	n := int((now - j.started - j.prefill) / pace)
-	return min(j.total, j.from+max(0, n))
+	n := int((now - j.started - j.prefill) / timePerToken)
+	return min(j.total, j.resumeAt+max(0, n))
 }
 
-// lasts is how long a job runs from its start.
-func (j *job) lasts(pace time.Duration) time.Duration {
-	return j.prefill + time.Duration(j.total-j.from)*pace
+// duration returns how long a job runs once it has a slot.
+func (j *job) duration(timePerToken time.Duration) time.Duration {
+	return j.prefill + time.Duration(j.total-j.resumeAt)*timePerToken
 }
 
-// observe notes the load, for reports that tell it later.
+// observe records the load, for later reports.
 func (e *engine) observe(now time.Duration) {
 	e.samples = append(e.samples, sample{now, e.running, len(e.queue)})
 }
 
-// reportAt is the newest note that is at least lag old.
+// reportAt returns the newest sample that is at least lag old, else the oldest one, and
+// drops the samples before it.
 func (e *engine) reportAt(now, lag time.Duration) sample {
 	for len(e.samples) > 1 && e.samples[1].at <= now-lag {
 		e.samples = e.samples[1:]
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// small is an overloaded system that runs in a moment.
+// small returns a spec of a small, overloaded system that runs quickly.
 func small() *Spec {
 	ms := func(n int) jsonc.Duration { return jsonc.Duration(time.Duration(n) * time.Millisecond) }
 	return &Spec{Name: "small", Seeds: 1, Duration: ms(20000), Domains: 2, Boxes: 4, Engines: 4, Slots: 4, Pace: ms(20), Prefill: ms(100),
@@ -25,8 +25,9 @@
 		Policies: AllPolicies, Scenarios: []Scenario{{Name: "plain"}, {Name: "frozen", Freeze: true, From: ms(5000), To: ms(9000)}, {Name: "broken", Down: true, From: ms(5000)}}}
 }
 
-// TestEachRequestEndsOnce runs every policy: what was offered was answered,
-// refused or left, nothing twice, and the shipped policy breaks no promise.
+// TestEachRequestEndsOnce runs every policy in every scenario. Each request must end
+// exactly once: answered, refused, or abandoned by its caller. The coordinated policy's
+// timeline must show no violation.
 func TestEachRequestEndsOnce(t *testing.T) {
 	s := small()
 	for i := range s.Scenarios {
@@ -34,10 +35,10 @@
 			t.Run(s.Scenarios[i].Name+"/"+policy, func(t *testing.T) {
 				is := is.New(t)
 				l := run(s, &s.Scenarios[i], policy, makeTrace(s, &s.Scenarios[i], 1), 1)
-				is.Equal(l.open, 0)
+				is.Equal(l.unfinished, 0)
 				for _, r := range l.all {
 					ends := 0
-					for _, ended := range []bool{r.answered, r.refused, r.left} {
+					for _, ended := range []bool{r.answered, r.refused, r.abandoned} {
 						if ended {
 							ends++
 						}
@@ -55,8 +56,8 @@
 	}
 }
 
-// TestRunsRepeat: the same seed gives the same result, to the last byte.
-func TestRunsRepeat(t *testing.T) {
+// TestRunsAreDeterministic checks that two runs with the same seed give identical JSON.
+func TestRunsAreDeterministic(t *testing.T) {
 	is := is.New(t)
 	s := small()
 	var lines [2]strings.Builder
@@ -67,7 +68,8 @@
 	is.Equal(lines[0].String(), lines[1].String())
 }
 
-// TestExperimentFiles checks the kept experiments, and that a wrong one says why.
+// TestExperimentFiles loads the experiments of the repository, and checks that the error
+// for an invalid file names the file, the line and the field.
 func TestExperimentFiles(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"zlatna", "saltbush"} {
--- a/experiment/messages.go
+++ b/experiment/messages.go
@@ -1,7 +1,8 @@
 package experiment
 
-// This file defines how messages, pulls and reads travel in a run: each takes its
-// time, and datagrams may be lost.
+// This file defines the simulated transport between boxes, and between boxes and the
+// platform: datagrams, table pulls and table reads. Each takes a set time, and datagrams
+// may be lost.
 
 import (
 	"slices"
@@ -11,13 +12,13 @@
 	"github.com/doormast/doormast/internal/control"
 )
 
-// pullTime is what a pull of the table takes beside two messages.
+// pullTime is the time of a table pull in addition to two message delays.
 const pullTime = 10 * time.Millisecond
 
-// pull fetches a newer table from another box.
+// pull passes the table of another box to a box's node; a frozen box provides none.
 func (l *loop) pull(b, from *box) {
 	l.after(2*l.delay+pullTime, func() {
-		l.tell(b, func(n *cell.Node) {
+		l.call(b, func(n *cell.Node) {
 			if !from.frozen {
 				n.SetTable(from.node.Table())
 			}
@@ -26,19 +27,19 @@
 	})
 }
 
-// watchTime is how long a watch of the platform lasts without a change.
+// watchTime is how long the platform holds a table read open while there is no change.
 const watchTime = 5 * time.Second
 
-// read is a watch of the platform.
+// read performs a long-poll read of the table from the platform.
 func (l *loop) read(b *box) {
 	if l.policy == Bound || l.spec.Name != "cell" {
 		return // the table does not change in an experiment
 	}
 	start := l.now
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		if t := l.platform; t != nil && t.Revision > b.node.Table().Revision || l.now-start > watchTime {
-			l.tell(b, func(n *cell.Node) {
+			l.call(b, func(n *cell.Node) {
 				if t != nil && !b.frozen {
 					n.SetTable(t)
 				}
@@ -46,33 +47,32 @@
 			})
 			return
 		}
-		l.after(readLatency, look)
+		l.after(readLatency, poll)
 	}
-	l.after(readLatency, look)
+	l.after(readLatency, poll)
 }
 
-// readLatency is what the platform takes to answer.
+// readLatency is the time that the platform takes to answer.
 const readLatency = 5 * time.Millisecond
 
-// DatagramBytes is what a datagram costs beside its messages: headers of IP and
-// UDP, sender, incarnation, sequence, stamp and MAC.
+// DatagramBytes is the size of a datagram without its messages: IP and UDP headers, sender, incarnation, sequence, stamp and MAC.
 const DatagramBytes = 28 + 40 + 16
 
-// sendAll sends what was gathered, one datagram for each box.
+// sendAll sends the messages in a box's outbox, as one datagram for each receiver.
 func (l *loop) sendAll(b *box) {
-	if len(b.to) == 0 {
+	if len(b.outbox) == 0 {
 		return
 	}
-	names := make([]string, 0, len(b.to))
-	for name := range b.to {
+	names := make([]string, 0, len(b.outbox))
+	for name := range b.outbox {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		messages := b.to[name]
-		delete(b.to, name)
-		b.grams++
-		b.count += len(messages)
+		messages := b.outbox[name]
+		delete(b.outbox, name)
+		b.datagrams++
+		b.messages += len(messages)
 		b.bytes += DatagramBytes
 		for _, m := range messages {
 			b.bytes += control.Size(m)
@@ -85,7 +85,7 @@
 			messages = l.throughCodec(b, dst, messages)
 		}
 		l.after(l.delay, func() {
-			l.tell(dst, func(n *cell.Node) {
+			l.call(dst, func(n *cell.Node) {
 				for _, m := range messages {
 					n.Receive(l.now, b.name, 1, m)
 				}
@@ -94,21 +94,21 @@
 	}
 }
 
-// throughCodec makes real datagrams of the messages and reads them again, so that
-// the cost of that is counted on both sides.
+// throughCodec encodes messages into datagrams and decodes them again, so that the time
+// that this takes counts for the sender and the receiver.
 func (l *loop) throughCodec(b, dst *box, messages []cell.Message) []cell.Message {
 	start := time.Now()
-	grams, err := b.codec.Encode(nil, messages)
-	b.spent += time.Since(start)
+	datagrams, err := b.codec.Encode(nil, messages)
+	b.cpuTime += time.Since(start)
 	if err != nil {
 		return nil
 	}
 	start = time.Now()
 	var out []cell.Message
-	for _, g := range grams {
+	for _, g := range datagrams {
 		r, _ := dst.codec.Decode(g)
 		out = append(out, r.Messages...)
 	}
-	dst.spent += time.Since(start)
+	dst.cpuTime += time.Since(start)
 	return out
 }
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -1,7 +1,6 @@
 package experiment
 
-// This file defines what a run comes to, and how it is printed: a table for
-// people and JSON lines for programs.
+// This file defines the results of a run, and their output as a table or as JSON lines.
 
 import (
 	"encoding/json"
@@ -19,42 +18,43 @@
 	"github.com/doormast/doormast/timeline"
 )
 
-// ClassResult is what became of a class.
+// ClassResult is the outcome of one class's requests.
 type ClassResult struct {
 	Class      string  `json:"class"`
 	Offered    int     `json:"offered"`
 	Answered   int     `json:"answered"`
 	Refused    int     `json:"refused"`
 	Left       int     `json:"left"`
-	Attainment float64 `json:"attainment"` // share of the offered with its first token in time and its whole answer
-	FirstP95   float64 `json:"first_p95"`  // seconds, of those that got a token
+	Attainment float64 `json:"attainment"` // share of the offered requests with the first token in time and a complete answer
+	FirstP95   float64 `json:"first_p95"`  // seconds to the first token, 95th percentile of the requests that got one
 	BelowFloor bool    `json:"below_floor"`
-	workDone   float64
+	workDone   float64 // tokens of the answers that were complete before the last arrival
 	slotTime   time.Duration
-	workWanted float64
+	workWanted float64 // tokens of all offered requests
 }
 
-// Result is what one run came to.
+// Result is the result of one run.
 type Result struct {
 	Experiment string        `json:"experiment"`
 	Scenario   string        `json:"scenario"`
 	Policy     string        `json:"policy"`
 	Seed       uint64        `json:"seed"`
 	Classes    []ClassResult `json:"classes"`
-	Goodput    float64       `json:"goodput"` // tokens a second of the answers that were whole before the last arrival
-	Wasted     float64       `json:"wasted"`  // share of the engines' slot time spent on answers nobody got
-	Illegal    int           `json:"illegal"` // broken promises on the time line
+	Goodput    float64       `json:"goodput"` // tokens a second of the answers that were complete before the last arrival
+	Wasted     float64       `json:"wasted"`  // share of the engines' slot time spent on answers that were not delivered
+	Illegal    int           `json:"illegal"` // violations of invariants on the timeline
 	Violations []string      `json:"violations,omitempty"`
-	Starved    int           `json:"starved"` // classes below their floor
-	Control    float64       `json:"control"` // bytes a second that a box sends, the mean
-	Most       float64       `json:"most"`    // the same, of the box that sends most
-	Elapsed    float64       `json:"elapsed"` // seconds of work for the run
-	Steps      int           `json:"steps"`
-	Attained   float64       `json:"attained"` // over all classes
+	Starved    int           `json:"starved"`  // classes below their floor
+	Control    float64       `json:"control"`  // bytes a second that a box sends for control, mean over the boxes
+	Most       float64       `json:"most"`     // bytes a second that the busiest box sends for control
+	Elapsed    float64       `json:"elapsed"`  // real seconds that the run took
+	Steps      int           `json:"steps"`    // timers run
+	Attained   float64       `json:"attained"` // attainment over all classes
 }
 
-// Run runs all policies, scenarios and seeds, on all processors, and calls done
-// with each result as it comes.
+// Run simulates all combinations of policy, scenario and seed, in parallel on all
+// processors but one, and returns the results in the order of their completion. It calls
+// done with each result, one call at a time.
 func Run(s *Spec, done func(Result)) []Result {
 	type task struct {
 		scenario *Scenario
@@ -93,7 +93,7 @@
 	return all
 }
 
-// result sums a run up.
+// result returns the result of a finished run.
 func (l *loop) result(seed uint64) Result {
 	r := Result{Experiment: l.spec.Name, Scenario: l.scenario.Name, Policy: l.policy, Seed: seed, Steps: l.steps}
 	good, attained := 0.0, 0
@@ -134,10 +134,12 @@
 	return r
 }
 
+// inTime reports whether a request was answered with its first token within the target.
 func (l *loop) inTime(q *request) bool {
-	return q.answered && q.first > 0 && q.first <= l.spec.Classes[q.arrival.class].FirstToken.Std()
+	return q.answered && q.firstToken > 0 && q.firstToken <= l.spec.Classes[q.arrival.class].FirstToken.Std()
 }
 
+// classResult returns the outcome of a class's requests.
 func (l *loop) classResult(class int) ClassResult {
 	spec := &l.spec.Classes[class]
 	c := ClassResult{Class: spec.Name}
@@ -149,20 +151,20 @@
 		}
 		c.Offered++
 		c.workWanted += float64(q.arrival.tokens)
-		c.slotTime += q.busy
+		c.slotTime += q.slotTime
 		switch {
 		case q.answered:
 			c.Answered++
-			if q.ended <= settle+l.spec.Duration.Std() {
+			if q.answeredAt <= settle+l.spec.Duration.Std() {
 				c.workDone += float64(q.arrival.tokens)
 			}
-		case q.left:
+		case q.abandoned:
 			c.Left++
 		case q.refused:
 			c.Refused++
 		}
-		if q.first > 0 {
-			_ = h.RecordValue(max(1, int64(q.first/time.Millisecond)))
+		if q.firstToken > 0 {
+			_ = h.RecordValue(max(1, int64(q.firstToken/time.Millisecond)))
 		}
 		if l.inTime(q) {
 			inTime++
@@ -175,12 +177,13 @@
 	return c
 }
 
-// floorSlack is how far below its floor a class may be measured: the run's ends
-// and the length of single answers blur the count.
+// floorSlack is the share of its floor that a class must have got at least. It is below
+// 1 because the start and end of a run and the length of single answers make the
+// measurement inexact.
 const floorSlack = 0.8
 
-// markFloors finds the classes that got less than their floor although they
-// wanted more.
+// markFloors marks the classes that got less slot time than both their floor and their
+// offered work, with floorSlack.
 func (l *loop) markFloors(r *Result) {
 	capacity := l.spec.Duration.Std().Seconds() * float64(l.spec.Engines*l.spec.Slots)
 	for i := range r.Classes {
@@ -194,11 +197,11 @@
 	}
 }
 
-// WriteJSON writes a result on a line.
+// WriteJSON writes a result as one line of JSON.
 func WriteJSON(w io.Writer, r Result) error { return json.NewEncoder(w).Encode(r) }
 
-// WriteTable prints the mean over the seeds, with the spread from the least to
-// the most, for each scenario and policy.
+// WriteTable writes one row for each scenario and policy, with the mean over the seeds
+// and half the range from the least to the most.
 func WriteTable(w io.Writer, s *Spec, all []Result) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	header := []string{"SCENARIO", "POLICY"}
@@ -223,6 +226,7 @@
 	return tw.Flush()
 }
 
+// row returns the cells of one row of the table.
 func row(s *Spec, scenario, policy string, group []Result) []string {
 	cells := []string{scenario, policy}
 	for i := range s.Classes {
@@ -244,7 +248,7 @@
 		spread(group, 0, func(r Result) float64 { return r.Most }), "")
 }
 
-// spread writes a mean and half the distance from the least to the most.
+// spread formats the mean and half the range of a figure over a group of results.
 func spread(group []Result, digits int, f func(Result) float64) string {
 	sum, least, most := 0.0, math.Inf(1), math.Inf(-1)
 	for _, r := range group {
--- a/experiment/setup.go
+++ b/experiment/setup.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file defines how a run is set up: engines, boxes and table by the policy.
+// This file defines the setup of a run: the engines, boxes and table that a policy needs.
 
 import (
 	"fmt"
@@ -11,6 +11,7 @@
 	"github.com/doormast/doormast/table"
 )
 
+// newLoop returns a run without arrivals.
 func newLoop(s *Spec, sc *Scenario, policy string, seed uint64) *loop {
 	l := &loop{spec: s, scenario: sc, policy: policy, byName: make(map[string]*box), byEngine: make(map[string]*engine),
 		requests: make(map[uint64]*request), lag: s.Lag.Std(), delay: s.Delay.Std()}
@@ -25,6 +26,7 @@
 	return l
 }
 
+// domains returns the number of failure domains; Bound has one.
 func (l *loop) domains() int {
 	if l.policy == Bound {
 		return 1
@@ -32,21 +34,24 @@
 	return l.spec.Domains
 }
 
+// makeEngines creates the engines, distributed over the domains in turn, and schedules
+// their reports.
 func (l *loop) makeEngines() {
 	slow := int(l.scenario.Slow * float64(l.spec.Engines))
 	for i := range l.spec.Engines {
-		e := &engine{name: fmt.Sprintf("e%d", i), domain: i % l.domains(), slots: l.spec.Slots, pace: l.spec.Pace.Std(),
-			base: l.spec.Prefill.Std(), cacheMax: l.spec.Cache, priority: l.policy != FIFO && l.policy != LeastLoad}
+		e := &engine{name: fmt.Sprintf("e%d", i), domain: i % l.domains(), slots: l.spec.Slots, timePerToken: l.spec.Pace.Std(),
+			prefill: l.spec.Prefill.Std(), cacheSize: l.spec.Cache, priority: l.policy != FIFO && l.policy != LeastLoad}
 		if i < slow {
-			e.pace = time.Duration(float64(e.pace) * l.scenario.Slower)
+			e.timePerToken = time.Duration(float64(e.timePerToken) * l.scenario.Slower)
 		}
 		l.engines = append(l.engines, e)
 		l.byEngine[e.name] = e
 	}
-	l.every(reportEvery, l.reports)
+	l.every(reportEvery, l.sendReports)
 }
 
-// nodeConfig is how a policy sets up a node; nil means that it has none.
+// nodeConfig returns a policy's configuration of a box's node, or nil for a policy
+// without nodes.
 func (l *loop) nodeConfig(name string, domain int, seed uint64) *cell.Config {
 	cfg := &cell.Config{Box: name, Domain: fmt.Sprintf("d%d", domain), Boot: 1, Seed: seed, Timing: cell.DefaultTiming()}
 	switch l.policy {
@@ -62,6 +67,7 @@
 	return cfg
 }
 
+// makeBoxes creates the boxes, their roster and the table; Bound has one box.
 func (l *loop) makeBoxes(seed uint64) {
 	n := l.spec.Boxes
 	if l.policy == Bound {
@@ -69,13 +75,13 @@
 	}
 	roster := cell.Roster{Revision: 1}
 	for i := range n {
-		b := &box{name: fmt.Sprintf("b%d", i), domain: i % l.domains(), sent: make(map[string]int), to: make(map[string][]cell.Message)}
+		b := &box{name: fmt.Sprintf("b%d", i), domain: i % l.domains(), sent: make(map[string]int), outbox: make(map[string][]cell.Message)}
 		l.boxes = append(l.boxes, b)
 		l.byName[b.name] = b
 		roster.Boxes = append(roster.Boxes, cell.BoxEntry{Name: b.name, Domain: fmt.Sprintf("d%d", b.domain)})
 	}
 	t := l.table()
-	l.first = t
+	l.initialTable = t
 	for i, b := range l.boxes {
 		cfg := l.nodeConfig(b.name, b.domain, seed+uint64(i))
 		if cfg == nil {
@@ -91,7 +97,7 @@
 	}
 }
 
-// table makes the table that the boxes go by.
+// table returns the boxes' initial table.
 func (l *loop) table() *table.Table {
 	t := new(table.Table)
 	for _, c := range l.spec.Classes {
--- a/experiment/spec.go
+++ b/experiment/spec.go
@@ -1,10 +1,10 @@
-// Package experiment measures the decisions: a loop on a virtual clock drives
-// the shipped nodes of several boxes against a batch model of the engines, with
-// seeded arrivals, and counts attainment, goodput and wasted work.
+// Package experiment compares scheduling policies by discrete-event simulation. On a
+// virtual clock, the production nodes (package cell) of several boxes schedule seeded
+// arrivals onto modelled batching engines; the results are attainment, goodput and
+// wasted work.
 //
-// It models no machine, socket or network: messages between boxes take a set
-// time, reports have a set age, and that is all. Policies that serve as baselines
-// run on the same arrivals in the same run.
+// Machines, sockets and networks are not modelled: messages between boxes take a set
+// time and engine reports have a set age. Baseline policies get the same arrivals.
 package experiment
 
 import (
@@ -14,78 +14,78 @@
 	"github.com/doormast/doormast/internal/jsonc"
 )
 
-// Spec describes an experiment, as written in JSON with comments.
+// Spec describes an experiment; its file is JSON with comments.
 type Spec struct {
 	Name      string         `json:"name"`
 	Seeds     int            `json:"seeds"`
-	Duration  jsonc.Duration `json:"duration"` // of arrivals; runs go on until all have ended
+	Duration  jsonc.Duration `json:"duration"` // of arrivals; a run continues until all requests are done
 	Domains   int            `json:"domains"`
-	Boxes     int            `json:"boxes"`   // in all
-	Engines   int            `json:"engines"` // in all
-	Slots     int            `json:"slots"`   // of each engine
-	Pace      jsonc.Duration `json:"pace"`    // for one token
-	Prefill   jsonc.Duration `json:"prefill"` // without a cached prefix
-	Cache     int            `json:"cache"`   // prefixes that an engine holds
+	Boxes     int            `json:"boxes"`   // over all domains
+	Engines   int            `json:"engines"` // over all domains
+	Slots     int            `json:"slots"`   // requests that each engine runs at once
+	Pace      jsonc.Duration `json:"pace"`    // time for one token
+	Prefill   jsonc.Duration `json:"prefill"` // time of a prefill without a cached prefix
+	Cache     int            `json:"cache"`   // prefixes that an engine caches
 	Delay     jsonc.Duration `json:"delay"`   // of a message between boxes, one way
 	Lag       jsonc.Duration `json:"lag"`     // age of the engines' reports
-	Queue     int            `json:"queue"`   // waiting at once in a domain
-	Load      float64        `json:"load"`    // offered work over capacity
-	Sets      int            `json:"sets"`    // upstream sets, among which the engines are divided; 0 is one
+	Queue     int            `json:"queue"`   // maximum requests waiting in a domain
+	Load      float64        `json:"load"`    // offered work as a multiple of the engines' capacity
+	Sets      int            `json:"sets"`    // upstream sets that the engines are divided into; 0 means one
 	Customers int            `json:"customers"`
 	Classes   []ClassSpec    `json:"classes"`
 	Policies  []string       `json:"policies"`
 	Scenarios []Scenario     `json:"scenarios"`
 }
 
-// ClassSpec is a row of the table and what its callers do.
+// ClassSpec describes a class of the table and the behaviour of its callers.
 type ClassSpec struct {
 	Name       string         `json:"name"`
 	Tier       int            `json:"tier"`
 	FirstToken jsonc.Duration `json:"first_token"`
 	Weight     float64        `json:"weight"`
 	Floor      float64        `json:"floor"`
-	Refuse     bool           `json:"refuse"`   // refused when late, or else waits
-	Share      float64        `json:"share"`    // of the offered work
+	Refuse     bool           `json:"refuse"`   // whether late requests are refused; otherwise they wait
+	Share      float64        `json:"share"`    // share of the offered work
 	Length     float64        `json:"length"`   // mean tokens of an answer
-	Spread     float64        `json:"spread"`   // sigma of the lengths' logarithm
-	Patience   float64        `json:"patience"` // callers leave after this many targets without a token; 0 is never
-	Prefixes   int            `json:"prefixes"` // different prompt prefixes; 0 is none
+	Spread     float64        `json:"spread"`   // standard deviation of the logarithm of the length
+	Patience   float64        `json:"patience"` // a caller disconnects after this many first-token targets without a token; 0 means never
+	Prefixes   int            `json:"prefixes"` // number of distinct prompt prefixes; 0 means none
 	Set        int            `json:"set"`      // number of the upstream set that serves it
 }
 
-// Scenario is what is out of the ordinary in a run.
+// Scenario describes the faults and changes of load in a run. A zero field has no effect.
 type Scenario struct {
 	Name    string         `json:"name"`
-	Load    float64        `json:"load"`   // factor on the offered work
-	Burst   string         `json:"burst"`  // class that bursts alone
-	Factor  float64        `json:"factor"` // of the burst
+	Load    float64        `json:"load"`   // offered work, instead of that of the spec
+	Burst   string         `json:"burst"`  // class whose rate is multiplied by Factor between From and To
+	Factor  float64        `json:"factor"` // on the rate of the class in Burst
 	From    jsonc.Duration `json:"from"`
 	To      jsonc.Duration `json:"to"`
-	Longer  float64        `json:"longer"`  // factor on the lengths of a tenth of the answers
+	Longer  float64        `json:"longer"`  // factor on the length of a tenth of the answers
 	Slow    float64        `json:"slow"`    // share of engines that are slow
-	Slower  float64        `json:"slower"`  // factor on their pace
-	Lag     jsonc.Duration `json:"lag"`     // age of reports, instead of the usual
-	Freeze  bool           `json:"freeze"`  // one box hears nothing between From and To
-	Retries int            `json:"retries"` // times that a refused caller comes back at once
-	Down    bool           `json:"down"`    // a tenth of the engines breaks at From
+	Slower  float64        `json:"slower"`  // factor on the slow engines' time per token
+	Lag     jsonc.Duration `json:"lag"`     // age of engine reports, instead of that of the spec
+	Freeze  bool           `json:"freeze"`  // one box is suspended between From and To
+	Retries int            `json:"retries"` // times that a caller retries right after a refusal
+	Down    bool           `json:"down"`    // a tenth of the engines fails at From
 }
 
 // Names of the policies.
 const (
-	Coordinated = "coordinated"         // what ships
-	NoPause     = "coordinated-nopause" // the same without pausing lower tiers
-	Bound       = "bound"               // one box that sees all, at once
-	FIFO        = "fifo-roundrobin"     // first in, first out over engines in turn
-	LeastLoad   = "least-load"          // to the engine with the least reported load
+	Coordinated = "coordinated"         // the production policy
+	NoPause     = "coordinated-nopause" // the production policy without pausing lower tiers
+	Bound       = "bound"               // upper bound: one box that sees all engines without delay
+	FIFO        = "fifo-roundrobin"     // each box sends to the engines in turn, which queue in arrival order
+	LeastLoad   = "least-load"          // each box sends to the engine with the least reported load
 	Independent = "strict-independent"  // strict tiers, each box on its own
-	Split       = "static-split"        // each box owns its part of each engine
+	Split       = "static-split"        // each box owns a fixed part of each engine's slots
 )
 
 // AllPolicies lists the policies in the order of reports.
 var AllPolicies = []string{Bound, Coordinated, NoPause, Split, Independent, LeastLoad, FIFO}
 
-// Load reads an experiment. The error is of type jsonc.Problems, or says why the
-// file cannot be read.
+// Load reads and checks an experiment file. The error is of type jsonc.Problems if the
+// content is invalid, otherwise it is that of reading the file.
 func Load(file string) (*Spec, error) {
 	s := &Spec{Seeds: 5, Domains: 1, Customers: 10, Queue: 2000, Cache: 32, Policies: AllPolicies, Load: 0.7}
 	if err := jsonc.LoadChecked(file, s, s.check); err != nil {
@@ -94,6 +94,7 @@
 	return s, nil
 }
 
+// check reports invalid fields to c.
 func (s *Spec) check(c *jsonc.Checker) {
 	want := c.Want
 	want(s.Seeds > 0, "seeds", s.Seeds, "want 1 or more")
@@ -120,12 +121,13 @@
 	}
 }
 
-// capacity is how many tokens a second all engines generate.
+// capacity returns the tokens a second that all engines together generate.
 func (s *Spec) capacity() float64 {
 	return float64(s.Engines*s.Slots) / time.Duration(s.Pace).Seconds()
 }
 
-// Only leaves out all scenarios but the one called name.
+// Only removes all scenarios except the one with the given name; an unknown name
+// removes none.
 func (s *Spec) Only(name string) {
 	for _, sc := range s.Scenarios {
 		if sc.Name == name {
--- a/experiment/timers.go
+++ b/experiment/timers.go
@@ -1,19 +1,21 @@
 package experiment
 
-// This file defines the virtual clock's queue: what is due, in the order of time and, at the
-// same time, in the order in which it was filed.
+// This file defines the timer queue of the virtual clock, ordered by due time and, for the same
+// due time, by the order in which the timers were added.
 
 import (
 	"container/heap"
 	"time"
 )
 
+// timer is a function that is due at a virtual time.
 type timer struct {
 	at    time.Duration
 	order int
-	do    func()
+	run   func()
 }
 
+// timers is a heap.Interface with the next due timer first.
 type timers []timer
 
 func (q timers) Len() int { return len(q) }
@@ -37,14 +39,16 @@
 	return t
 }
 
-func (l *loop) after(d time.Duration, do func()) {
+// after schedules run once, d from now.
+func (l *loop) after(d time.Duration, run func()) {
 	l.order++
-	heap.Push(&l.queue, timer{l.now + d, l.order, do})
+	heap.Push(&l.queue, timer{l.now + d, l.order, run})
 }
 
-func (l *loop) every(d time.Duration, do func()) {
+// every schedules run periodically, first d from now.
+func (l *loop) every(d time.Duration, run func()) {
 	l.after(d, func() {
-		do()
-		l.every(d, do)
+		run()
+		l.every(d, run)
 	})
 }
--- a/experiment/trace.go
+++ b/experiment/trace.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file defines the arrivals: drawn once for a scenario and seed, and the
-// same for every policy.
+// This file defines the trace of arrivals. It is generated once for a scenario and a
+// seed, and is the same for every policy.
 
 import (
 	"math"
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// arrival is one caller's request.
+// arrival is one request of the trace.
 type arrival struct {
-	at       time.Duration
+	at       time.Duration // from the first possible arrival
 	class    int
 	customer int
-	box      int // drawn large; taken modulo the number of boxes
-	tokens   int
-	prefix   uint64
+	box      int    // random; its box is this modulo the number of boxes
+	tokens   int    // of the answer
+	prefix   uint64 // 0 if none
 }
 
-// makeTrace draws the arrivals of a scenario.
+// makeTrace generates the arrivals of a scenario, in the order of time.
 func makeTrace(s *Spec, sc *Scenario, seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 11))
 	var out []arrival
@@ -31,6 +31,7 @@
 	return out
 }
 
+// classTrace generates the arrivals of one class as a Poisson process.
 func classTrace(s *Spec, sc *Scenario, class int, random *rand.Rand) []arrival {
 	c := &s.Classes[class]
 	load := s.Load
@@ -40,11 +41,11 @@
 	rate := load * s.capacity() * c.Share / c.Length
 	var out []arrival
 	for at := time.Duration(0); at < s.Duration.Std(); {
-		now := rate
+		current := rate
 		if sc.Burst == c.Name && at >= sc.From.Std() && at < sc.To.Std() {
-			now *= sc.Factor
+			current *= sc.Factor
 		}
-		at += time.Duration(random.ExpFloat64() / now * float64(time.Second))
+		at += time.Duration(random.ExpFloat64() / current * float64(time.Second))
 		a := arrival{at: at, class: class, customer: skewed(random, s.Customers), box: random.IntN(1 << 20), tokens: length(c, sc, random)}
 		if c.Prefixes > 0 {
 			a.prefix = uint64(class+1)<<32 | uint64(1+skewed(random, c.Prefixes))
@@ -54,13 +55,14 @@
 	return out
 }
 
-// skewed draws below n so that a few are drawn often, as few customers are large.
+// skewed draws a number from 0 to n-1, small ones more often, since a few customers send
+// most of the traffic.
 func skewed(random *rand.Rand, n int) int {
 	u := random.Float64()
 	return int(u * u * float64(max(n, 1)))
 }
 
-// length draws an answer's length, lognormal with the class's mean.
+// length draws the tokens of an answer from a lognormal distribution with the class's mean.
 func length(c *ClassSpec, sc *Scenario, random *rand.Rand) int {
 	mu := math.Log(c.Length) - c.Spread*c.Spread/2
 	n := math.Exp(mu + c.Spread*random.NormFloat64())
--- a/experiment/atonce.go
+++ b/experiment/uncoordinated.go
@@ -1,14 +1,16 @@
 package experiment
 
-// This file defines the baselines without coordination: each box sends what arrives at once.
+// This file defines the baselines without coordination: each box sends a request to an engine as
+// soon as it arrives.
 
-// sendAtOnce is the baselines without coordination: a request goes to an engine
-// of its domain as it arrives, and waits there.
+// sendAtOnce sends a request to an engine of its box's domain, where it waits for a
+// slot. FIFO takes the engines in turn, LeastLoad the one with the least reported load
+// plus what the box has sent it since the report.
 func (l *loop) sendAtOnce(r *request) {
 	var best *engine
 	least := 0
 	for i := range l.engines {
-		e := l.engines[(r.box.next+i)%len(l.engines)]
+		e := l.engines[(r.box.nextEngine+i)%len(l.engines)]
 		if e.domain != r.box.domain || e.broken {
 			continue
 		}
@@ -21,11 +23,11 @@
 			best, least = e, load
 		}
 	}
-	r.box.next++
+	r.box.nextEngine++
 	if l.policy == FIFO {
 		for i, e := range l.engines {
 			if e == best {
-				r.box.next = i + 1
+				r.box.nextEngine = i + 1
 			}
 		}
 	}
