--- a/cmd/doormast/account.go
+++ b/cmd/doormast/account.go
@@ -1,6 +1,6 @@
 package main
 
-// This file defines the command that tells from logs how requests ended.
+// This file defines `relay account`, which summarizes request outcomes from the boxes' logs.
 
 import (
 	"fmt"
@@ -13,19 +13,19 @@
 	"github.com/doormast/doormast/oplog/picture"
 )
 
-// accountSpan is the length of a span unless another is given: short enough to tell a
-// burst from what follows.
-const accountSpan = 2 * time.Second
+// defaultAccountSpan is the default length of a time span of the summary. It is short
+// enough to separate a burst from the traffic that follows.
+const defaultAccountSpan = 2 * time.Second
 
 func relayAccountCommand() *cobra.Command {
 	var span time.Duration
 	var plot string
 	cmd := &cobra.Command{
 		Use:   "account [FILE...]",
-		Short: "Tell from the boxes' logs, by class and by span of time, how requests ended and what it had to do with",
+		Short: "Summarize from the boxes' logs how requests ended and why, by class and time span",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if span <= 0 {
-				return fmt.Errorf("--span is %v, want a time above 0", span)
+				return fmt.Errorf("--span is %v, want a positive duration", span)
 			}
 			lines, err := readLogs(cmd, args)
 			if err != nil {
@@ -33,20 +33,20 @@
 			}
 			account := oplog.Summarize(lines, span)
 			if plot != "" {
-				if err := writePicture(plot, account); err != nil {
+				if err := writePlot(plot, account); err != nil {
 					return err
 				}
 			}
 			return account.Write(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().DurationVar(&span, "span", accountSpan, "length of a span of time")
-	cmd.Flags().StringVar(&plot, "plot", "", "also draw it into this file, a PNG")
+	cmd.Flags().DurationVar(&span, "span", defaultAccountSpan, "length of each time span of the summary")
+	cmd.Flags().StringVar(&plot, "plot", "", "also plot the summary into this PNG file")
 	return cmd
 }
 
-// writePicture draws an account into a file.
-func writePicture(file string, a *oplog.Account) error {
+// writePlot plots an account into a PNG file, replacing an existing file.
+func writePlot(file string, a *oplog.Account) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
--- a/cmd/doormast/boxes.go
+++ b/cmd/doormast/boxes.go
@@ -1,5 +1,8 @@
 package main
 
+// This file defines the operator commands that call running boxes (status, timeline,
+// explain, drain) and the command that checks a settings file.
+
 import (
 	"context"
 	"errors"
@@ -21,20 +24,23 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// boxFlags says which boxes to call, and with what key.
+// boxFlags holds the flags that select the boxes to call and the operator key.
 type boxFlags struct {
 	boxes   []string
 	keyFile string
 }
 
+// callTimeout limits each call to one box; the relay commands apply it to all
+// their calls together.
 const callTimeout = 10 * time.Second
 
 func (f *boxFlags) add(cmd *cobra.Command) {
-	cmd.Flags().StringSliceVar(&f.boxes, "box", nil, "IP:port of a box's operators' side; may be given several times")
-	cmd.Flags().StringVar(&f.keyFile, "key-file", "", "file that holds the operators' key; default is the variable DOORMAST_OPS_KEY")
+	cmd.Flags().StringSliceVar(&f.boxes, "box", nil, "IP:port of a box's operator API; may be repeated")
+	cmd.Flags().StringVar(&f.keyFile, "key-file", "", "file that contains the operator key (default: environment variable DOORMAST_OPS_KEY)")
 	_ = cmd.MarkFlagRequired("box")
 }
 
+// key returns the operator key from the key file or, without one, from the environment.
 func (f *boxFlags) key() (string, error) {
 	if f.keyFile == "" {
 		return os.Getenv("DOORMAST_OPS_KEY"), nil
@@ -43,26 +49,27 @@
 	return strings.TrimSpace(string(b)), err
 }
 
-// each calls every box. A box that does not answer is named, and the others are
-// still asked.
-func (f *boxFlags) each(ctx context.Context, errOut io.Writer, do func(context.Context, *ops.Client) error) error {
+// each runs call once per box. It writes the error of a failed call to errOut and
+// continues with the next box. It returns an error only if the key file cannot be read or
+// all calls fail.
+func (f *boxFlags) each(ctx context.Context, errOut io.Writer, call func(context.Context, *ops.Client) error) error {
 	key, err := f.key()
 	if err != nil {
 		return err
 	}
-	var failed []error
+	var errs []error
 	for _, address := range f.boxes {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		c := ops.Dial(address, key)
-		if err := do(ctx, c); err != nil {
+		if err := call(ctx, c); err != nil {
 			fmt.Fprintf(errOut, "box %s: %v\n", address, err)
-			failed = append(failed, err)
+			errs = append(errs, err)
 		}
 		_ = c.Close()
 		cancel()
 	}
-	if len(failed) == len(f.boxes) {
-		return errors.Join(errors.New("no box answered"), failed[0])
+	if len(errs) == len(f.boxes) {
+		return errors.Join(errors.New("no box answered"), errs[0])
 	}
 	return nil
 }
@@ -71,7 +78,7 @@
 	var f boxFlags
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show load, attainment, what waits, runs and was refused, by class",
+		Short: "Show load, target attainment, and waiting, running and refused requests by class",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var all []*wire.StatusResponse
@@ -92,6 +99,8 @@
 	return cmd
 }
 
+// showStatus prints one row per box, then one row per class with the sums over all
+// boxes, ordered by tier.
 func showStatus(w io.Writer, all []*wire.StatusResponse) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tw, "BOX\tDOMAIN\tTABLE\tLIST\tLEAVING\tSEES\tOWNS")
@@ -118,6 +127,7 @@
 	return tw.Flush()
 }
 
+// addStatus adds the counters of c to sum.
 func addStatus(sum, c *wire.ClassStatus) {
 	sum.Offered += c.Offered
 	sum.Waiting += c.Waiting
@@ -130,6 +140,7 @@
 	}
 }
 
+// refusals formats the number of refusals by reason, sorted by reason.
 func refusals(m map[string]uint64) string {
 	var parts []string
 	for reason, n := range m {
@@ -139,7 +150,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// gather fetches the events that match from all boxes, in one order.
+// gather fetches the events that match req from all boxes and merges them into one order.
 func (f *boxFlags) gather(cmd *cobra.Command, req *wire.TimelineRequest) ([]timeline.Event, error) {
 	var lists [][]timeline.Event
 	err := f.each(cmd.Context(), cmd.ErrOrStderr(), func(ctx context.Context, c *ops.Client) error {
@@ -162,7 +173,7 @@
 	var format, request, class, name string
 	cmd := &cobra.Command{
 		Use:   "timeline",
-		Short: "Show what happened on all boxes, in one order",
+		Short: "Show the events of all boxes, merged into one order",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			events, err := f.gather(cmd, &wire.TimelineRequest{Request: request, Class: class})
@@ -178,14 +189,14 @@
 			case "trace":
 				return timeline.WriteTrace(cmd.OutOrStdout(), events)
 			}
-			return fmt.Errorf("--format: found %q, want text, json or trace", format)
+			return fmt.Errorf("--format: got %q, want text, json or trace", format)
 		},
 	}
 	f.add(cmd)
-	cmd.Flags().StringVar(&format, "format", "text", "text, json (a line each) or trace (Chrome's format)")
-	cmd.Flags().StringVar(&request, "request", "", "only this request")
-	cmd.Flags().StringVar(&class, "class", "", "only this class")
-	cmd.Flags().StringVar(&name, "name", "", "only the box of this name")
+	cmd.Flags().StringVar(&format, "format", "text", "output format: text, json (one object per line) or trace (Chrome trace format)")
+	cmd.Flags().StringVar(&request, "request", "", "show only events of this request")
+	cmd.Flags().StringVar(&class, "class", "", "show only events of this class")
+	cmd.Flags().StringVar(&name, "name", "", "show only events of the box with this name")
 	return cmd
 }
 
@@ -193,12 +204,12 @@
 	var f boxFlags
 	cmd := &cobra.Command{
 		Use:   "explain REQUEST",
-		Short: "Tell in sentences what happened to one request, and why",
+		Short: "Explain in sentences what happened to a request and why",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id, err := strconv.ParseUint(args[0], 16, 64)
 			if err != nil {
-				return fmt.Errorf("request: found %q, want the 16 hex digits of the X-Request-Id header", args[0])
+				return fmt.Errorf("request: got %q, want the 16 hex digits of the X-Request-Id header", args[0])
 			}
 			events, err := f.gather(cmd, &wire.TimelineRequest{Request: args[0]})
 			if err != nil {
@@ -215,7 +226,7 @@
 	var f boxFlags
 	cmd := &cobra.Command{
 		Use:   "drain",
-		Short: "Begin a planned stop of the boxes given",
+		Short: "Start a graceful stop of the given boxes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return f.each(cmd.Context(), cmd.ErrOrStderr(), func(ctx context.Context, c *ops.Client) error {
@@ -234,7 +245,7 @@
 func settingsCommand() *cobra.Command {
 	check := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Say what is wrong with a daemon's settings",
+		Short: "Validate a daemon's settings file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := settings.Load(args[0])
@@ -245,7 +256,7 @@
 			return nil
 		},
 	}
-	cmd := &cobra.Command{Use: "settings", Short: "Check a daemon's settings"}
+	cmd := &cobra.Command{Use: "settings", Short: "Validate a daemon's settings"}
 	cmd.AddCommand(check)
 	return cmd
 }
--- a/cmd/doormast/capacity.go
+++ b/cmd/doormast/capacity.go
@@ -1,5 +1,7 @@
 package main
 
+// This file defines the commands that measure resource use and compute the capacity page.
+
 import (
 	"encoding/json"
 	"fmt"
@@ -13,15 +15,15 @@
 func capacityCommand() *cobra.Command {
 	measure := &cobra.Command{
 		Use:   "measure FILE",
-		Short: "Measure the slopes and write them to FILE, in about two minutes",
+		Short: "Measure the resource use per unit of load and write it to FILE (about two minutes)",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := capacity.Measure(func(what string) { fmt.Fprintf(cmd.ErrOrStderr(), "measuring %s\n", what) })
+			s, err := capacity.Measure(func(step string) { fmt.Fprintf(cmd.ErrOrStderr(), "measuring %s\n", step) })
 			if err != nil {
 				return err
 			}
-			if before, err := capacity.Load(args[0]); err == nil {
-				s.Sweeps = before.Sweeps
+			if previous, err := capacity.Load(args[0]); err == nil {
+				s.Sweeps = previous.Sweeps // sweeps are entered by hand; keep those of the file
 			}
 			b, err := json.MarshalIndent(s, "", "  ")
 			if err != nil {
@@ -32,7 +34,7 @@
 	}
 	page := &cobra.Command{
 		Use:   "page FILE",
-		Short: "Work out the capacity page from the slopes in FILE",
+		Short: "Compute the capacity page from the measurements in FILE",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := capacity.Load(args[0])
@@ -42,7 +44,7 @@
 			return capacity.WritePage(cmd.OutOrStdout(), s)
 		},
 	}
-	cmd := &cobra.Command{Use: "capacity", Short: "Measure slopes and work out what the target size needs"}
+	cmd := &cobra.Command{Use: "capacity", Short: "Measure resource use and compute what the target size needs"}
 	cmd.AddCommand(measure, page)
 	return cmd
 }
--- a/cmd/doormast/experiment.go
+++ b/cmd/doormast/experiment.go
@@ -1,5 +1,7 @@
 package main
 
+// This file defines the command that compares scheduling policies in simulation.
+
 import (
 	"encoding/json"
 	"fmt"
@@ -11,12 +13,12 @@
 )
 
 func experimentCommand() *cobra.Command {
-	var lines, only string
+	var jsonFile, scenario string
 	var policies []string
 	var seeds int
 	cmd := &cobra.Command{
 		Use:   "experiment FILE",
-		Short: "Measure the decisions on a virtual clock, against baselines",
+		Short: "Compare scheduling policies with baselines in simulated time",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := experiment.Load(args[0])
@@ -29,28 +31,29 @@
 			if len(policies) > 0 {
 				s.Policies = policies
 			}
-			if only != "" {
-				s.Only(only)
+			if scenario != "" {
+				s.Only(scenario)
 			}
 			results := experiment.Run(s, func(r experiment.Result) {
 				fmt.Fprintf(cmd.ErrOrStderr(), "done: %s, %s, seed %d, %.1f s\n", r.Scenario, r.Policy, r.Seed, r.Elapsed)
 			})
-			if lines != "" {
-				if err := writeLines(lines, results); err != nil {
+			if jsonFile != "" {
+				if err := writeJSONLines(jsonFile, results); err != nil {
 					return err
 				}
 			}
 			return experiment.WriteTable(cmd.OutOrStdout(), s, results)
 		},
 	}
-	cmd.Flags().StringVar(&lines, "json", "", "also write each run as a JSON line to this file")
-	cmd.Flags().StringVar(&only, "scenario", "", "run this scenario only")
+	cmd.Flags().StringVar(&jsonFile, "json", "", "also write each run to this file, as one JSON object per line")
+	cmd.Flags().StringVar(&scenario, "scenario", "", "run this scenario only")
 	cmd.Flags().StringSliceVar(&policies, "policy", nil, "run these policies only")
-	cmd.Flags().IntVar(&seeds, "seeds", 0, "number of seeds, instead of the file's")
+	cmd.Flags().IntVar(&seeds, "seeds", 0, "number of seeds; overrides the file's value")
 	return cmd
 }
 
-func writeLines(file string, results []experiment.Result) error {
+// writeJSONLines writes each result as a JSON object on a line of its own.
+func writeJSONLines(file string, results []experiment.Result) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
--- a/cmd/doormast/main.go
+++ b/cmd/doormast/main.go
@@ -1,4 +1,4 @@
-// Command doormast is the operators' client.
+// Command doormast is the command-line client for operators of the doormast router.
 package main
 
 import (
--- a/cmd/doormast/main_test.go
+++ b/cmd/doormast/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// TestCommands runs the client's commands that need no box.
+// TestCommands checks the output and errors of commands without a running box.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	edited := filepath.Join(dir, "edited.json")
@@ -33,18 +33,18 @@
 		want string
 	}{
 		{"check", []string{"table", "check", example}, "", true, "good"},
-		{"check finds", []string{"table", "check", edit(`"floor": 0.15`, `"floor": 0.9`)}, "", false, "edited.json:4: classes[0].floor"},
+		{"check reports an error", []string{"table", "check", edit(`"floor": 0.15`, `"floor": 0.9`)}, "", false, "edited.json:4: classes[0].floor"},
 		{"show", []string{"table", "show", example}, "", true, "letter"},
 		{"key", []string{"table", "key"}, "example\n", true, "50d858e0"},
 		{"settings", []string{"settings", "check", "../../examples/box.json"}, "", true, "box b1 of domain d1"},
-		{"no such file", []string{"table", "check", "nowhere.json"}, "", false, "nowhere.json"},
-		{"box needed", []string{"status"}, "", false, "box"},
-		{"nobody answers", []string{"status", "--box", "127.0.0.1:1"}, "", false, "no box answered"},
-		{"bad request id", []string{"explain", "xyz", "--box", "127.0.0.1:1"}, "", false, "16 hex digits"},
+		{"missing file", []string{"table", "check", "nowhere.json"}, "", false, "nowhere.json"},
+		{"missing box flag", []string{"status"}, "", false, "box"},
+		{"no box answers", []string{"status", "--box", "127.0.0.1:1"}, "", false, "no box answered"},
+		{"invalid request ID", []string{"explain", "xyz", "--box", "127.0.0.1:1"}, "", false, "16 hex digits"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			if c.name == "check finds" {
+			if c.name == "check reports an error" {
 				edit(`"floor": 0.15`, `"floor": 0.9`)
 			}
 			out, err := run(c.in, c.args...)
@@ -53,7 +53,7 @@
 				out += err.Error()
 			}
 			if !strings.Contains(out, c.want) {
-				t.Errorf("%q does not say %q", out, c.want)
+				t.Errorf("output %q does not contain %q", out, c.want)
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 		is.NoErr(err)
 		is.Equal(out, "upstream engine1: slots: 8 -> 9\n")
 	})
-	t.Run("an edit that undoes another's", func(t *testing.T) {
+	t.Run("edit undoes another change", func(t *testing.T) {
 		is := is.New(t)
 		_, err := run("", "table", "check", example, "--base", example, "--against", edit(`"slots": 8`, `"slots": 9`))
 		is.True(err != nil)
--- a/cmd/doormast/relay.go
+++ b/cmd/doormast/relay.go
@@ -1,6 +1,6 @@
 package main
 
-// This file defines the operators' commands for boxes that relay.
+// This file defines the operator commands for boxes that relay opaque requests.
 
 import (
 	"context"
@@ -27,51 +27,52 @@
 	return cmd
 }
 
-// states asks boxes how they see themselves. One that does not answer is named, and
-// the others are still asked.
-func states(ctx context.Context, errOut io.Writer, boxes []string) ([]*wire.StateResponse, error) {
+// fetchStates fetches the state of each box. It writes the error of a failed call to
+// errOut and continues with the next box. It returns an error only if all calls fail.
+func fetchStates(ctx context.Context, errOut io.Writer, boxes []string) ([]*wire.StateResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var all []*wire.StateResponse
-	var failed []error
+	var errs []error
 	for _, box := range boxes {
 		resp, err := wire.NewMirrorsClient(http.DefaultClient, "http://"+box).State(ctx, connect.NewRequest(&wire.StateRequest{}))
 		if err != nil {
 			fmt.Fprintf(errOut, "box %s: %v\n", box, err)
-			failed = append(failed, err)
+			errs = append(errs, err)
 			continue
 		}
 		all = append(all, resp.Msg)
 	}
 	if len(all) == 0 {
-		return nil, errors.Join(errors.New("no box answered"), errors.Join(failed...))
+		return nil, errors.Join(errors.New("no box answered"), errors.Join(errs...))
 	}
 	return all, nil
 }
 
-func boxesFlag(cmd *cobra.Command, boxes *[]string) {
-	cmd.Flags().StringSliceVar(boxes, "box", nil, "IP:port of a box's control side; may be given several times")
+// addBoxFlag adds the required flag that selects the boxes to call.
+func addBoxFlag(cmd *cobra.Command, boxes *[]string) {
+	cmd.Flags().StringSliceVar(boxes, "box", nil, "IP:port of a box's control listener; may be repeated")
 	_ = cmd.MarkFlagRequired("box")
 }
 
-// micros reads a time of the wire.
+// micros converts a duration in microseconds, the unit of wire messages.
 func micros(us uint64) time.Duration { return time.Duration(us) * time.Microsecond }
 
 func relayStatusCommand() *cobra.Command {
 	var boxes []string
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show what boxes believe and what is under way",
+		Short: "Show the state of boxes, their upstreams and retry budgets, and the traffic between boxes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all, err := states(cmd.Context(), cmd.ErrOrStderr(), boxes)
+			all, err := fetchStates(cmd.Context(), cmd.ErrOrStderr(), boxes)
 			if err != nil {
 				return err
 			}
 			return showStates(cmd.OutOrStdout(), all)
 		},
 	}
-	boxesFlag(cmd, &boxes)
+	addBoxFlag(cmd, &boxes)
 	return cmd
 }
 
@@ -79,24 +80,25 @@
 	var boxes []string
 	cmd := &cobra.Command{
 		Use:   "table",
-		Short: "Show the rows of the document in force on a box",
+		Short: "Show the routes of the configuration document in force on a box",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all, err := states(cmd.Context(), cmd.ErrOrStderr(), boxes)
+			all, err := fetchStates(cmd.Context(), cmd.ErrOrStderr(), boxes)
 			if err != nil {
 				return err
 			}
 			return showRoutes(cmd.OutOrStdout(), all[0])
 		},
 	}
-	boxesFlag(cmd, &boxes)
+	addBoxFlag(cmd, &boxes)
 	return cmd
 }
 
-// showRoutes prints the rows of the document that a box has in force.
+// showRoutes prints the version and the routes of the configuration document that is in
+// force on a box.
 func showRoutes(w io.Writer, s *wire.StateResponse) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(tw, "version %d on %s, known to be the newest %v ago\n", s.Version, s.Box, micros(s.ConfirmedAge).Round(time.Millisecond))
+	fmt.Fprintf(tw, "version %d on %s, last confirmed as the newest %v ago\n", s.Version, s.Box, micros(s.ConfirmedAge).Round(time.Millisecond))
 	fmt.Fprintln(tw, "ROUTE\tHOST\tPREFIX\tREPEAT\tRANK\tTARGET\tTIMEOUT\tATTEMPTS\tPUBLIC\tSERVICES")
 	for _, r := range s.Routes {
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%v\t%v\t%d\t%v\t%s\n", r.Name, r.Host, r.Prefix, r.Repeat, r.Rank,
@@ -105,8 +107,8 @@
 	return tw.Flush()
 }
 
-// readLogs reads the files given, or the standard input, in the order of the lines'
-// times.
+// readLogs reads the given log files, or standard input if there are none, and returns
+// their lines merged in time order.
 func readLogs(cmd *cobra.Command, files []string) ([]oplog.Line, error) {
 	if len(files) == 0 {
 		lines, _, err := oplog.Read(cmd.InOrStdin())
@@ -123,7 +125,7 @@
 	return oplog.Merge(logs...), nil
 }
 
-// readLog reads one file.
+// readLog reads one log file.
 func readLog(file string) ([]oplog.Line, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -137,7 +139,7 @@
 func relayExplainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST [FILE...]",
-		Short: "Tell from the boxes' logs, files or a pipe, what happened to a request and why",
+		Short: "Explain from the boxes' logs (files or standard input) what happened to a request and why",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			lines, err := readLogs(cmd, args[1:])
@@ -153,7 +155,7 @@
 	var part string
 	cmd := &cobra.Command{
 		Use:   "timeline [FILE...]",
-		Short: "Show the lines of all boxes in one order",
+		Short: "Show the log lines of all boxes, merged in time order",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			lines, err := readLogs(cmd, args)
 			if err != nil {
@@ -167,14 +169,14 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&part, "part", "", "only this part, such as document, upstream, group, request")
+	cmd.Flags().StringVar(&part, "part", "", "show only lines of this part, such as document, upstream, group or request")
 	return cmd
 }
 
 func relayCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Say what is wrong with a relaying box's settings",
+		Short: "Validate the settings file of a relaying box",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := settings.LoadRelay(args[0])
--- a/cmd/doormast/placing.go
+++ b/cmd/doormast/relay_experiment.go
@@ -1,6 +1,7 @@
 package main
 
-// This file defines the command that compares ways of placing prompts.
+// This file defines `relay experiment`, which compares policies for assigning prompts to
+// upstreams.
 
 import (
 	"github.com/spf13/cobra"
@@ -12,7 +13,7 @@
 	var seeds int
 	cmd := &cobra.Command{
 		Use:   "experiment FILE",
-		Short: "Compare ways of deciding where prompts go, on a virtual clock",
+		Short: "Compare policies for assigning prompts to upstreams in simulated time",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := placing.Load(args[0])
@@ -25,6 +26,6 @@
 			return placing.Compare(cmd.OutOrStdout(), s)
 		},
 	}
-	cmd.Flags().IntVar(&seeds, "seeds", 0, "number of seeds, instead of the file's")
+	cmd.Flags().IntVar(&seeds, "seeds", 0, "number of seeds; overrides the file's value")
 	return cmd
 }
--- a/cmd/doormast/relay_test.go
+++ b/cmd/doormast/relay_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestStatusShowsTheLifeOfEachUpstream(t *testing.T) {
+func TestStatusShowsUpstreamStartTime(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(showStates(&out, []*wire.StateResponse{{Box: "b1", Upstreams: []*wire.UpstreamRow{{Id: "u1", Born: 1790000000123}, {Id: "u2"}}}}))
@@ -45,7 +45,7 @@
 	is.True(strings.Contains(out.String(), "not known"))
 }
 
-func TestStatusShowsWhatIsWithheld(t *testing.T) {
+func TestStatusShowsWithheldContents(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(showStates(&out, []*wire.StateResponse{{Box: "b1"}, {Box: "b2", Withheld: []*wire.WithheldRow{{Content: "78a6f68a54cd7cce", Ended: 2, Left: 299999000}}}}))
@@ -61,7 +61,7 @@
 	is.True(strings.Contains(text, "b2 s 40 5 3"))
 }
 
-func TestStatusShowsWhatBoxesHaveSent(t *testing.T) {
+func TestStatusShowsTraffic(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(showStates(&out, []*wire.StateResponse{
--- a/cmd/doormast/soak.go
+++ b/cmd/doormast/soak.go
@@ -1,6 +1,6 @@
 package main
 
-// This file defines the command that soaks boxes on one machine.
+// This file defines the command that runs a soak test with boxes on one machine.
 
 import (
 	"errors"
@@ -18,7 +18,7 @@
 	var seeds int
 	cmd := &cobra.Command{
 		Use:   "soak --daemon FILE",
-		Short: "Run real boxes under random faults and check the promises",
+		Short: "Run real boxes under random faults and check the router's guarantees",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			failed := 0
@@ -33,29 +33,29 @@
 				cfg.Seed++
 			}
 			if failed > 0 {
-				return errors.New("a promise was broken")
+				return errors.New("a guarantee was violated")
 			}
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&cfg.Daemon, "daemon", "", "the program doormastd")
+	cmd.Flags().StringVar(&cfg.Daemon, "daemon", "", "path of the doormastd executable")
 	cmd.Flags().Uint64Var(&cfg.Seed, "seed", 1, "the first seed")
-	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, one after the other")
-	cmd.Flags().DurationVar(&cfg.For, "for", 20*time.Second, "how long each")
-	cmd.Flags().IntVar(&cfg.Boxes, "boxes", 4, "boxes")
-	cmd.Flags().IntVar(&cfg.Upstreams, "upstreams", 5, "upstreams")
-	cmd.Flags().IntVar(&cfg.Callers, "callers", 16, "callers")
-	cmd.Flags().IntVar(&cfg.Net, "net", 77, "third number of the loopback addresses")
-	cmd.Flags().StringVar(&cfg.Dir, "keep", "", "folder for settings and logs, which are kept")
+	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of seeds, run one after another")
+	cmd.Flags().DurationVar(&cfg.For, "for", 20*time.Second, "duration of the run of each seed")
+	cmd.Flags().IntVar(&cfg.Boxes, "boxes", 4, "number of boxes")
+	cmd.Flags().IntVar(&cfg.Upstreams, "upstreams", 5, "number of upstreams")
+	cmd.Flags().IntVar(&cfg.Callers, "callers", 16, "number of concurrent callers")
+	cmd.Flags().IntVar(&cfg.Net, "net", 77, "third octet of the loopback addresses; give concurrent runs different values")
+	cmd.Flags().StringVar(&cfg.Dir, "keep", "", "directory in which settings and logs are kept")
 	_ = cmd.MarkFlagRequired("daemon")
 	return cmd
 }
 
-// soakOnce runs one seed; settings and logs of one that fails are kept, and all where
-// a folder for them is given.
+// soakOnce runs one seed and reports whether all guarantees held. Settings and logs are
+// kept if the seed fails or if a directory is given for them.
 func soakOnce(cmd *cobra.Command, cfg soak.Config) (bool, error) {
-	kept := cfg.Dir != ""
-	if !kept {
+	keep := cfg.Dir != ""
+	if !keep {
 		dir, err := os.MkdirTemp("", "soak")
 		if err != nil {
 			return false, err
@@ -71,7 +71,7 @@
 		fmt.Fprintf(cmd.OutOrStdout(), "logs: %s\n", cfg.Dir)
 		return false, nil
 	}
-	if kept {
+	if keep {
 		return true, nil
 	}
 	return true, os.RemoveAll(cfg.Dir)
--- a/cmd/doormast/status.go
+++ b/cmd/doormast/status.go
@@ -1,7 +1,7 @@
 package main
 
-// This file defines how `relay status` prints boxes, the upstreams as one of them sees them,
-// and what boxes have sent each other. The invariant: what is not known is said to be so.
+// This file defines the output of `relay status`: the boxes, the upstreams as the first box
+// sees them, and the traffic between boxes. Invariant: an unknown value is printed as such.
 
 import (
 	"fmt"
@@ -14,13 +14,13 @@
 	"github.com/doormast/doormast/wire"
 )
 
-// column is a column of a table of rows of type T.
+// column defines one column of a table whose rows have type T.
 type column[T any] struct {
 	title string
 	value func(T) string
 }
 
-// boxColumns are those of the boxes.
+// boxColumns are the columns of the table of boxes.
 var boxColumns = []column[*wire.StateResponse]{
 	{"BOX", func(s *wire.StateResponse) string { return s.Box }},
 	{"DOMAIN", func(s *wire.StateResponse) string { return s.Domain }},
@@ -36,24 +36,24 @@
 	{"CUT OFF", func(s *wire.StateResponse) string { return count(s.Memory.GetCutOff()) }},
 }
 
-// upstreamColumns are those of the upstreams.
+// upstreamColumns are the columns of the table of upstreams.
 var upstreamColumns = []column[*wire.UpstreamRow]{
 	{"UPSTREAM", func(u *wire.UpstreamRow) string { return u.Id }},
 	{"SERVICE", func(u *wire.UpstreamRow) string { return u.Service }},
 	{"ADDRESS", func(u *wire.UpstreamRow) string { return u.Address }},
 	{"DOMAIN", func(u *wire.UpstreamRow) string { return u.Domain }},
 	{"STATE", upstreamState},
-	{"LANE", laneOf},
+	{"LANE", upstreamLane},
 	{"OPEN", func(u *wire.UpstreamRow) string { return count(u.Open) }},
 	{"UNREAD TOKENS", func(u *wire.UpstreamRow) string { return count(u.Unread) }},
 	{"HELD", func(u *wire.UpstreamRow) string { return count(u.Held) }},
 	{"MEMORY", func(u *wire.UpstreamRow) string { return orNotKnown(u.Memory, count) }},
-	{"LIMIT", limitOf},
-	{"WAY", func(u *wire.UpstreamRow) string { return orNotKnown(u.Way, wayOf) }},
-	{"BORN", func(u *wire.UpstreamRow) string { return orNotKnown(u.Born, bornAt) }},
+	{"LIMIT", formatLimit},
+	{"WAY", func(u *wire.UpstreamRow) string { return orNotKnown(u.Way, formatMicros) }},
+	{"BORN", func(u *wire.UpstreamRow) string { return orNotKnown(u.Born, formatUnixMilli) }},
 }
 
-// trafficColumns are those of what a box has sent, after its name.
+// trafficColumns are the columns of the table of messages sent, after the box's name.
 var trafficColumns = []column[*wire.TrafficRow]{
 	{"HAS SENT", func(t *wire.TrafficRow) string { return t.Kind }},
 	{"TO BOXES OF", func(t *wire.TrafficRow) string { return t.Reach }},
@@ -61,7 +61,7 @@
 	{"BYTES", func(t *wire.TrafficRow) string { return count(t.Bytes) }},
 }
 
-// retryColumns are those of the retry budgets, after the box's name.
+// retryColumns are the columns of the table of retry budgets, after the box's name.
 var retryColumns = []column[*wire.RetryRow]{
 	{"RETRIES OF SERVICE", func(r *wire.RetryRow) string { return r.Service }},
 	{"REQUESTS", func(r *wire.RetryRow) string { return count(r.Taken) }},
@@ -69,16 +69,17 @@
 	{"LEFT", func(r *wire.RetryRow) string { return count(r.Left) }},
 }
 
-// withheldColumns are those of what the boxes withhold, after the box's name.
+// withheldColumns are the columns of the table of withheld request contents, after the
+// box's name.
 var withheldColumns = []column[*wire.WithheldRow]{
 	{"WITHHOLDS", func(c *wire.WithheldRow) string { return c.Content }},
 	{"UPSTREAMS ENDED", func(c *wire.WithheldRow) string { return count(c.Ended) }},
 	{"FOR", func(c *wire.WithheldRow) string { return micros(c.Left).Round(time.Second).String() }},
 }
 
-// showStates prints the boxes, the upstreams as the first of them sees them, their retry budgets, the contents that the
-// boxes withhold, and what they have sent each other since they started, those that sent nothing
-// of a kind so far left out.
+// showStates prints the boxes, the upstreams as the first box sees them, and per box the
+// retry budgets, the withheld contents and the traffic to other boxes since the start. A
+// box has a traffic row only for the kinds of messages that it has sent.
 func showStates(w io.Writer, all []*wire.StateResponse) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	showTable(tw, boxColumns, all)
@@ -90,7 +91,7 @@
 	return tw.Flush()
 }
 
-// showByBox prints the rows of each box behind its name.
+// showByBox prints a table of the rows of all boxes, with the box name as first column.
 func showByBox[T any](w io.Writer, columns []column[T], all []*wire.StateResponse, rows func(*wire.StateResponse) []T) {
 	fmt.Fprintln(w, "\nBOX\t"+titles(columns))
 	for _, s := range all {
@@ -100,7 +101,7 @@
 	}
 }
 
-// showTable prints the titles and a line for each row.
+// showTable prints the column titles and one line per row.
 func showTable[T any](w io.Writer, columns []column[T], rows []T) {
 	fmt.Fprintln(w, titles(columns))
 	for _, row := range rows {
@@ -108,6 +109,7 @@
 	}
 }
 
+// titles returns the column titles, separated by tabs.
 func titles[T any](columns []column[T]) string {
 	list := make([]string, len(columns))
 	for i, c := range columns {
@@ -116,6 +118,7 @@
 	return strings.Join(list, "\t")
 }
 
+// cells returns the values of one row, separated by tabs.
 func cells[T any](columns []column[T], row T) string {
 	list := make([]string, len(columns))
 	for i, c := range columns {
@@ -126,7 +129,7 @@
 
 func count[N uint32 | uint64](n N) string { return strconv.FormatUint(uint64(n), 10) }
 
-// orNotKnown prints a value, of which 0 stands for one that is not known.
+// orNotKnown formats a value; 0 means that the value is unknown.
 func orNotKnown[N int64 | uint64](n N, text func(N) string) string {
 	if n == 0 {
 		return "not known"
@@ -134,13 +137,14 @@
 	return text(n)
 }
 
-// bornAt is a moment in Unix ms.
-func bornAt(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339Nano) }
+// formatUnixMilli formats a time in Unix milliseconds as RFC 3339 in UTC.
+func formatUnixMilli(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339Nano) }
 
-// wayOf is a time in microseconds.
-func wayOf(us uint64) string { return micros(us).Round(10 * time.Microsecond).String() }
+// formatMicros formats a duration in microseconds, rounded to 10 µs.
+func formatMicros(us uint64) string { return micros(us).Round(10 * time.Microsecond).String() }
 
-// boxMemory is what a box keeps on behalf of callers and upstreams, and the most that it may.
+// boxMemory formats the memory that a box uses to buffer data for callers and upstreams,
+// and its limit if there is one.
 func boxMemory(m *wire.MemoryRow) string {
 	const kilobyte = 1 << 10
 	if m.GetBound() == 0 {
@@ -149,7 +153,7 @@
 	return fmt.Sprintf("%d of %d KB", m.GetUsed()/kilobyte, m.GetBound()/kilobyte)
 }
 
-// retriesLeft is how many retries the service with the fewest has left at a box.
+// retriesLeft returns the smallest number of retries that any service has left at a box.
 func retriesLeft(s *wire.StateResponse) string {
 	if len(s.Retries) == 0 {
 		return "no requests yet"
@@ -157,6 +161,7 @@
 	return count(s.BudgetLeft)
 }
 
+// upstreamState returns the state of an upstream; the first matching state wins.
 func upstreamState(u *wire.UpstreamRow) string {
 	switch {
 	case u.Leaving:
@@ -173,8 +178,9 @@
 	return "ready"
 }
 
-// limitOf is the limit that an upstream names, and what the box that tells may send under it.
-func limitOf(u *wire.UpstreamRow) string {
+// formatLimit formats the rate limit that an upstream announces, the share of it that the
+// reporting box may use, and the age of the announcement.
+func formatLimit(u *wire.UpstreamRow) string {
 	l := u.Limit
 	if l == nil {
 		return "none"
@@ -182,8 +188,8 @@
 	return fmt.Sprintf("%g/s, %d in %v here, %v old", l.PerSecond, l.Ration, micros(l.Span).Round(time.Millisecond), micros(l.Age).Round(time.Second))
 }
 
-// laneOf is the kind of requests that an upstream is kept for.
-func laneOf(u *wire.UpstreamRow) string {
+// upstreamLane returns the kind of requests for which an upstream is reserved.
+func upstreamLane(u *wire.UpstreamRow) string {
 	if u.Tight {
 		return "tight streams"
 	}
--- a/cmd/doormast/table.go
+++ b/cmd/doormast/table.go
@@ -1,5 +1,7 @@
 package main
 
+// This file defines the commands that check, print and compare routing tables.
+
 import (
 	"fmt"
 	"os"
@@ -10,11 +12,12 @@
 )
 
 func tableCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "table", Short: "Check, show and compare tables"}
+	cmd := &cobra.Command{Use: "table", Short: "Validate, show and compare routing tables"}
 	cmd.AddCommand(tableCheckCommand(), tableShowCommand(), tableDiffCommand(), tableKeyCommand())
 	return cmd
 }
 
+// readTable reads and parses a table file.
 func readTable(file string) (*table.Table, error) {
 	source, err := os.ReadFile(file)
 	if err != nil {
@@ -27,10 +30,10 @@
 	var base, current string
 	cmd := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Say what is wrong with a table, or cannot be met together",
-		Long: "Say what is wrong with a table, or cannot be met together.\n\n" +
-			"With --against CURRENT and --base BASE, where FILE is an edit of BASE and CURRENT is\n" +
-			"in force by now, also say which changes of others the edit would undo.",
+		Short: "Report errors in a table, and requirements that cannot be met together",
+		Long: "Report errors in a table, and requirements that cannot be met together.\n\n" +
+			"With --against CURRENT and --base BASE, where FILE is an edited copy of BASE and CURRENT\n" +
+			"is the table now in force, also report which changes of others the edit would undo.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := readTable(args[0])
@@ -46,12 +49,13 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&current, "against", "", "table that is in force")
-	cmd.Flags().StringVar(&base, "base", "", "table that the edit was made from; default is that in force")
+	cmd.Flags().StringVar(&current, "against", "", "table that is now in force")
+	cmd.Flags().StringVar(&base, "base", "", "table from which the edit was made (default: the value of --against)")
 	return cmd
 }
 
-// checkAgainst fails if an edit undoes what others changed since its base.
+// checkAgainst prints each change from base to current that the edit would undo, and fails
+// if there is one. Without a base file, the current table is the base.
 func checkAgainst(cmd *cobra.Command, edit *table.Table, baseFile, currentFile string) error {
 	current, err := readTable(currentFile)
 	if err != nil {
@@ -76,7 +80,7 @@
 func tableShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show FILE",
-		Short: "Print a table like a spreadsheet",
+		Short: "Print a table in aligned columns",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := readTable(args[0])
@@ -91,7 +95,7 @@
 func tableDiffCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff A B",
-		Short: "Say what changes from table A to table B, by row and column",
+		Short: "List the changes from table A to table B by row and column",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := readTable(args[0])
@@ -113,12 +117,12 @@
 func tableKeyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "key",
-		Short: "Read a bearer key from standard input and print the hash that the table holds",
+		Short: "Read a bearer key from standard input and print the hash to store in the table",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var key string
 			if _, err := fmt.Fscanln(cmd.InOrStdin(), &key); err != nil {
-				return fmt.Errorf("want a key on standard input: %w", err)
+				return fmt.Errorf("read key from standard input: %w", err)
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), table.HashKey(key))
 			return nil
