--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one of the stand-ins as a process: the platform, an
-// engine or a plain service. It is for tests and trying things out.
+// Command standin runs a simulated platform, inference engine or plain HTTP service
+// as a process, for tests and manual trials.
 package main
 
 import (
@@ -18,31 +18,31 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "standin", Short: "Run a stand-in for what surrounds doormast", SilenceUsage: true}
+	root := &cobra.Command{Use: "standin", Short: "Run a simulated platform, engine or service", SilenceUsage: true}
 	root.AddCommand(platformCommand(), engineCommand(), plainCommand())
 	if err := root.Execute(); err != nil {
 		os.Exit(1)
 	}
 }
 
-// addresser is what all stand-ins have.
-type addresser interface {
+// server is a running simulated service.
+type server interface {
 	Address() string
 	Close() error
 }
 
-// serve says where the stand-in listens and waits for a signal.
-func serve(s addresser) error {
+// serve prints the address on which s listens and closes s on SIGTERM or SIGINT.
+func serve(s server) error {
 	fmt.Println(s.Address())
-	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	<-signals
+	stop := make(chan os.Signal, 1)
+	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
+	<-stop
 	return s.Close()
 }
 
 func platformCommand() *cobra.Command {
 	var address, tableFile, listFile string
-	cmd := &cobra.Command{Use: "platform", Short: "Publish a table and a list", RunE: func(*cobra.Command, []string) error {
+	cmd := &cobra.Command{Use: "platform", Short: "Publish a routing table and, optionally, a list of boxes", RunE: func(*cobra.Command, []string) error {
 		p, err := standin.NewPlatform(address)
 		if err != nil {
 			return err
@@ -69,16 +69,16 @@
 		}
 		return serve(p)
 	}}
-	cmd.Flags().StringVar(&address, "listen", "127.0.0.1:0", "IP:port")
-	cmd.Flags().StringVar(&tableFile, "table", "", "table file")
-	cmd.Flags().StringVar(&listFile, "list", "", "list file")
+	cmd.Flags().StringVar(&address, "listen", "127.0.0.1:0", "IP:port to listen on")
+	cmd.Flags().StringVar(&tableFile, "table", "", "file of the table to publish")
+	cmd.Flags().StringVar(&listFile, "list", "", "JSON file that lists the boxes and the leaving upstreams")
 	_ = cmd.MarkFlagRequired("table")
 	return cmd
 }
 
 func engineCommand() *cobra.Command {
 	cfg := standin.EngineConfig{}
-	cmd := &cobra.Command{Use: "engine", Short: "Generate tokens", RunE: func(*cobra.Command, []string) error {
+	cmd := &cobra.Command{Use: "engine", Short: "Simulate an inference engine", RunE: func(*cobra.Command, []string) error {
 		e, err := standin.NewEngine(cfg)
 		if err != nil {
 			return err
@@ -86,25 +86,25 @@
 		return serve(e)
 	}}
 	f := cmd.Flags()
-	f.StringVar(&cfg.Address, "listen", "127.0.0.1:0", "IP:port")
-	f.StringVar(&cfg.Model, "model", "standin", "model's name")
-	f.IntVar(&cfg.Slots, "slots", 8, "answers generated at once")
-	f.DurationVar(&cfg.Pace, "pace", 20*time.Millisecond, "time for one token")
+	f.StringVar(&cfg.Address, "listen", "127.0.0.1:0", "IP:port to listen on")
+	f.StringVar(&cfg.Model, "model", "standin", "name of the model served")
+	f.IntVar(&cfg.Slots, "slots", 8, "maximum number of answers generated concurrently")
+	f.DurationVar(&cfg.Pace, "pace", 20*time.Millisecond, "time per generated token")
 	f.DurationVar(&cfg.Prefill, "prefill", 50*time.Millisecond, "time before the first token")
-	f.DurationVar(&cfg.ReportLag, "report-lag", 0, "age of what reports say")
-	f.BoolVar(&cfg.ChecksFence, "checks-fence", true, "refuse orders with an old fence")
+	f.DurationVar(&cfg.ReportLag, "report-lag", 0, "age of the data in load reports")
+	f.BoolVar(&cfg.ChecksFence, "checks-fence", true, "reject orders with an outdated fencing token")
 	return cmd
 }
 
 func plainCommand() *cobra.Command {
 	var address string
-	cmd := &cobra.Command{Use: "plain", Short: "Count executions", RunE: func(*cobra.Command, []string) error {
+	cmd := &cobra.Command{Use: "plain", Short: "Run a plain service that counts executions", RunE: func(*cobra.Command, []string) error {
 		p, err := standin.NewPlain(address)
 		if err != nil {
 			return err
 		}
 		return serve(p)
 	}}
-	cmd.Flags().StringVar(&address, "listen", "127.0.0.1:0", "IP:port")
+	cmd.Flags().StringVar(&address, "listen", "127.0.0.1:0", "IP:port to listen on")
 	return cmd
 }
