--- a/timeline/invariants.go
+++ b/timeline/invariants.go
@@ -19,11 +19,11 @@
 
 // Names of the promises checked here.
 const (
-	PromiseTiers    = "no higher tier gives way to a lower one"
-	PromiseOneEnd   = "each request ends exactly once"
-	PromiseTruth    = "what was refused did not run"
-	PromiseOnce     = "not repeatable runs at most once"
-	PromiseRevision = "a table never reverts"
+	PromiseTiers        = "no higher tier gives way to a lower one"
+	InvariantSingleEnd  = "each request ends exactly once"
+	PromiseTruth        = "what was refused did not run"
+	InvariantAtMostOnce = "not repeatable runs at most once"
+	PromiseRevision     = "a table never reverts"
 )
 
 // Check returns every violation found in events, which must be in one order.
@@ -74,7 +74,7 @@
 	case Refused:
 		c.refused(e)
 		c.end(e)
-	case Answered, Unknown, Left:
+	case Answered, Unknown, Disconnected:
 		c.end(e)
 	}
 }
@@ -95,10 +95,10 @@
 	h.sent++
 	// A resumed answer goes on with the same run; Value counts what it had.
 	if h.sent > 1 && e.Value == 0 && !c.repeatable(e.Class) {
-		c.fail(PromiseOnce, e, "sent %d times", h.sent)
+		c.fail(InvariantAtMostOnce, e, "sent %d times", h.sent)
 	}
 	if h.ended != "" {
-		c.fail(PromiseOneEnd, e, "sent after it was %s", h.ended)
+		c.fail(InvariantSingleEnd, e, "sent after it was %s", h.ended)
 	}
 }
 
@@ -127,7 +127,7 @@
 		return
 	}
 	if h.ended != "" {
-		c.fail(PromiseOneEnd, e, "%s after it was %s", e.Kind, h.ended)
+		c.fail(InvariantSingleEnd, e, "%s after it was %s", e.Kind, h.ended)
 	}
 	h.ended = e.Kind
 }
@@ -141,7 +141,7 @@
 		case Received:
 			open[e.Request] = true
 			order = append(order, e.Request)
-		case Answered, Refused, Unknown, Left:
+		case Answered, Refused, Unknown, Disconnected:
 			delete(open, e.Request)
 		}
 	}
