--- a/cmd/doormast/soak.go
+++ b/cmd/doormast/soak.go
@@ -41,7 +41,7 @@
 	cmd.Flags().StringVar(&cfg.Daemon, "daemon", "", "path of the doormastd executable")
 	cmd.Flags().Uint64Var(&cfg.Seed, "seed", 1, "the first seed")
 	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of seeds, run one after another")
-	cmd.Flags().DurationVar(&cfg.For, "for", 20*time.Second, "duration of the run of each seed")
+	cmd.Flags().DurationVar(&cfg.Duration, "for", 20*time.Second, "duration of the run of each seed")
 	cmd.Flags().IntVar(&cfg.Boxes, "boxes", 4, "number of boxes")
 	cmd.Flags().IntVar(&cfg.Upstreams, "upstreams", 5, "number of upstreams")
 	cmd.Flags().IntVar(&cfg.Callers, "callers", 16, "number of concurrent callers")
