--- a/cell/finish.go
+++ b/cell/finish.go
@@ -20,7 +20,7 @@
 		return
 	}
 	l.callerLeft = true
-	n.record(l.event(timeline.Left))
+	n.record(l.event(timeline.Disconnected))
 	switch l.state {
 	case stateLeased, stateSending, stateRunning:
 		l.cancelling = true
@@ -85,7 +85,7 @@
 
 // release returns the slot to its owner, unless this box keeps it.
 func (n *Node) release(l *localRequest, r Result) {
-	if r.Outcome == decide.Answered && !r.Notice.Any() && n.keepSlot(l) {
+	if r.Outcome == decide.Answered && !r.Notice.HasContent() && n.keepSlot(l) {
 		return
 	}
 	outcome := r.Outcome
@@ -93,7 +93,7 @@
 		outcome = decide.Draining
 	}
 	n.noteUpstreamNotice(l, r.Notice)
-	m := &Release{Notice: r.Notice, Set: l.set, ID: l.slot, Upstream: l.upstream, Tokens: r.Tokens, Outcome: outcome, Pace: r.Pace, First: r.First, Attempt: l.slotAttempt}
+	m := &Release{Notice: r.Notice, Set: l.set, ID: l.slot, Upstream: l.upstream, Tokens: r.Tokens, Outcome: outcome, TimePerToken: r.TimePerToken, TimeToFirstToken: r.TimeToFirstToken, Attempt: l.slotAttempt}
 	if l.owner != "" {
 		n.deliver(l.owner, m)
 	}
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -75,7 +75,7 @@
 
 func (n *Node) takeOwnership(set string) {
 	cfg := n.cfg.Pool
-	cfg.Learn = n.timing.Learn
+	cfg.LearnPeriod = n.timing.OwnerLearnTime
 	if cfg.RetainAbove == 0 {
 		cfg.RetainAbove = keepSlotsAbove
 	}
@@ -97,7 +97,7 @@
 	delete(n.pools, set)
 	delete(n.orders, set)
 	delete(n.dirty, set)
-	n.record(timeline.Event{Kind: timeline.Disowning, Set: set})
+	n.record(timeline.Event{Kind: timeline.OwnershipLost, Set: set})
 }
 
 // configurePool applies the rules and upstreams of the table to a pool.
@@ -273,7 +273,7 @@
 func (n *Node) onRelease(m *Release) {
 	if p := n.pools[m.Set]; p != nil {
 		p.ApplyNotice(n.now, m.Upstream, m.Notice)
-		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, TimePerToken: m.Pace, TimeToFirstToken: m.First, Attempt: m.Attempt})
+		p.Release(n.now, m.ID, decide.Usage{Outcome: m.Outcome, Tokens: m.Tokens, TimePerToken: m.TimePerToken, TimeToFirstToken: m.TimeToFirstToken, Attempt: m.Attempt})
 		n.dirty[m.Set] = true
 	}
 }
@@ -283,7 +283,7 @@
 	if p == nil {
 		return
 	}
-	if m.WaitingCount > 0 && !m.Full && n.now-n.lastSent[from] >= n.timing.Holding {
+	if m.WaitingCount > 0 && !m.Full && n.now-n.lastSent[from] >= n.timing.WaitingRenewInterval {
 		n.sendHeartbeat([]string{from}) // a box with waiting bids needs to hear that the owner is alive
 	}
 	if m.Full {
--- a/core.go
+++ b/core.go
@@ -120,7 +120,7 @@
 	now := b.clock.Boot()
 	switch n.kind {
 	case noticeReceived:
-		b.stamps.See(b.clock.Wall(), n.received.Stamp)
+		b.stamps.Observe(b.clock.Wall(), n.received.Stamp)
 		for _, m := range n.received.Messages {
 			b.node.Receive(now, n.received.Sender, n.received.Boot, m)
 		}
@@ -209,7 +209,7 @@
 	b.history.setList(l)
 	for _, e := range l.Boxes {
 		if e.Name != b.cfg.Settings.Box {
-			b.book.set(e.Name, e.Control, e.Ops)
+			b.addresses.set(e.Name, e.Control, e.Ops)
 			b.link.SetAddress(e.Name, e.Control)
 		}
 	}
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -51,7 +51,7 @@
 	go f.on(a)
 	return true
 }
-func (f *fakeCore) Left(id uint64)              { f.left <- id }
+func (f *fakeCore) Disconnected(id uint64)      { f.left <- id }
 func (f *fakeCore) Mint(context.Context) string { return "minted" }
 func (f *fakeCore) Healthy() bool               { return f.table != nil }
 func (f *fakeCore) Metrics() []byte             { return []byte("metric 1\n") }
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	core := &fakeCore{table: parsed, on: on, left: make(chan uint64, 10), refused: make(map[decide.Reason]int)}
-	s, err := Listen(Config{Address: "127.0.0.1:0", Core: core, MaxBody: 2000, MaxHeaders: 4096, MaxConns: 50, ReadWait: 5 * time.Second, WriteWait: 5 * time.Second, Buffer: 4})
+	s, err := Listen(Config{Address: "127.0.0.1:0", Core: core, MaxBody: 2000, MaxHeaders: 4096, MaxConns: 50, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, Buffer: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -287,11 +287,11 @@
 	is := is.New(t)
 	var s *Server
 	s, _ = start(t, func(a Arrival) {
-		<-time.After(2 * s.cfg.WriteWait)
+		<-time.After(2 * s.cfg.WriteTimeout)
 		_ = a.Exchange.Event([]byte("one"))
 		a.Exchange.Done()
 	})
-	s.cfg.WriteWait = 20 * time.Millisecond
+	s.cfg.WriteTimeout = 20 * time.Millisecond
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for range 2 {
@@ -324,7 +324,7 @@
 	for len(pushed) < 4 {
 		time.Sleep(time.Millisecond)
 	}
-	x.Leave()
+	x.Disconnect()
 	n := 0
 	for range pushed {
 		n++
@@ -332,7 +332,7 @@
 	if n > 5 {
 		t.Errorf("%d events accepted for a caller that reads none, want at most 5", n)
 	}
-	if err := x.Event(nil); !errors.Is(err, ErrLeft) {
-		t.Errorf("got error %v, want ErrLeft", err)
+	if err := x.Event(nil); !errors.Is(err, ErrDisconnected) {
+		t.Errorf("got error %v, want ErrDisconnected", err)
 	}
 }
--- a/internal/caller/serve.go
+++ b/internal/caller/serve.go
@@ -55,7 +55,7 @@
 	for {
 		e, ok := x.next()
 		switch {
-		case !ok || e.kind == endLeft:
+		case !ok || e.kind == endDisconnected:
 			ctx.SetConnectionClose()
 			return
 		case e.kind == endRefused:
@@ -83,7 +83,7 @@
 		s.unwatch(x.ID)
 		s.open.Add(-1)
 	}
-	if !ok || first.kind == endLeft {
+	if !ok || first.kind == endDisconnected {
 		done()
 		ctx.SetConnectionClose()
 		return
@@ -108,10 +108,10 @@
 	// The connection may serve another request, whose answer may take longer to begin.
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }()
 	for {
-		_ = conn.SetWriteDeadline(time.Now().Add(s.cfg.WriteWait))
+		_ = conn.SetWriteDeadline(time.Now().Add(s.cfg.WriteTimeout))
 		if err := writePiece(w, e); err != nil {
-			x.Leave()
-			s.cfg.Core.Left(x.ID)
+			x.Disconnect()
+			s.cfg.Core.Disconnected(x.ID)
 			return
 		}
 		if e.kind != pieceEvent {
@@ -164,13 +164,13 @@
 	var disconnected []uint64
 	for id, w := range s.watched {
 		if closedByPeer(w.conn) {
-			w.exchange.Leave()
+			w.exchange.Disconnect()
 			disconnected = append(disconnected, id)
 			delete(s.watched, id)
 		}
 	}
 	s.mu.Unlock()
 	for _, id := range disconnected {
-		s.cfg.Core.Left(id)
+		s.cfg.Core.Disconnected(id)
 	}
 }
