--- a/experiment/placing/engine.go
+++ b/experiment/placing/engine.go
@@ -1,9 +1,9 @@
 package placing
 
-// This file defines the model of an engine: it works in steps, reads prompts in chunks
-// between the tokens of what runs, the more urgent first, and keeps what it has read as
-// far as its memory goes. The invariant: what is kept and what runs fit its memory, as
-// long as one request does.
+// This file defines the model of an engine with chunked prefill: each step generates one token
+// for every running request and prefills one chunk of a prompt, the most urgent first. Shared
+// prompt parts are cached, least recently used evicted first. The invariant: cached parts and
+// running requests fit the engine's memory, as long as one request does.
 
 import (
 	"slices"
@@ -16,42 +16,42 @@
 type job struct {
 	class   *ClassSpec
 	request balance.Request
-	out     int // tokens of its answer
+	out     int // tokens of the whole answer
 	end     time.Duration
 	done    func(now time.Duration, whole bool)
 	first   func(now time.Duration)
 	event   func(now time.Duration)
 
-	fetchWay  time.Duration          // to the engine that follows
-	from      *engine                // that its shared part may be fetched from, or nil
-	elsewhere func(part uint64) bool // another engine keeps it
+	fetchRTT  time.Duration          // to the engine in from
+	from      *engine                // engine that the shared part may be fetched from, or nil
+	elsewhere func(part uint64) bool // reports whether another engine has the part cached
 	admitted  bool
-	unread    int // prompt tokens, once it is admitted
-	made      int // tokens of the answer
+	unread    int // prompt tokens left to prefill, once admitted
+	made      int // tokens generated so far
 }
 
-// keptPart is a part of a prompt in an engine's memory.
-type keptPart struct {
+// cachedPart is a prompt part in an engine's cache.
+type cachedPart struct {
 	id     uint64
 	tokens int
 }
 
-// engine is one modelled engine.
+// engine is one simulated engine.
 type engine struct {
 	spec     *EngineSpec
 	domain   int
-	waiting  []*job // by urgency, then in the order of their arrival
+	waiting  []*job // by urgency, then by arrival
 	running  []*job
-	kept     []keptPart // the one unused the longest first
-	chunk    *job       // whose prompt the step under way reads
-	reads    int        // tokens of it
+	kept     []cachedPart // least recently used first
+	chunk    *job         // job whose prompt the current step prefills, or nil
+	reads    int          // prompt tokens prefilled by the current step
 	stepping bool
 
-	readAgain int // shared tokens read though another engine kept them
-	fetched   int // tokens moved here
+	readAgain int // shared tokens prefilled although another engine had them cached
+	fetched   int // tokens fetched from other engines
 }
 
-// add takes a job, behind those that are as urgent.
+// add queues a job behind those of the same urgency.
 func (e *engine) add(j *job) {
 	at := slices.IndexFunc(e.waiting, func(o *job) bool { return o.request.Urgency > j.request.Urgency })
 	if at < 0 {
@@ -60,8 +60,8 @@
 	e.waiting = slices.Insert(e.waiting, at, j)
 }
 
-// admit looks, when a job's prompt is about to be read, what of it is kept here or can be
-// fetched. It returns how long fetching takes.
+// admit determines, before a job's prefill, which tokens are cached here or can be fetched.
+// It returns the time that fetching takes.
 func (e *engine) admit(j *job) time.Duration {
 	j.admitted = true
 	shared := j.request.Parts[0]
@@ -72,21 +72,22 @@
 	case j.from != nil && j.from.holds(shared.ID):
 		j.unread -= shared.Tokens
 		e.fetched += shared.Tokens
-		e.keep(keptPart{shared.ID, shared.Tokens})
-		return j.fetchWay + time.Duration(float64(shared.Tokens)/e.spec.FetchRate*float64(time.Millisecond))
+		e.keep(cachedPart{shared.ID, shared.Tokens})
+		return j.fetchRTT + time.Duration(float64(shared.Tokens)/e.spec.FetchRate*float64(time.Millisecond))
 	case j.elsewhere(shared.ID):
 		e.readAgain += shared.Tokens
 	}
 	return 0
 }
 
+// holds reports whether a part is cached.
 func (e *engine) holds(id uint64) bool {
-	return slices.ContainsFunc(e.kept, func(k keptPart) bool { return k.id == id })
+	return slices.ContainsFunc(e.kept, func(k cachedPart) bool { return k.id == id })
 }
 
-// use marks a kept part as the one used last; false means that it is not kept.
+// use marks a part as the most recently used. It reports whether the part is cached.
 func (e *engine) use(id uint64) bool {
-	i := slices.IndexFunc(e.kept, func(k keptPart) bool { return k.id == id })
+	i := slices.IndexFunc(e.kept, func(k cachedPart) bool { return k.id == id })
 	if i < 0 {
 		return false
 	}
@@ -95,8 +96,8 @@
 	return true
 }
 
-// keep puts a part into memory; what was unused the longest gives way.
-func (e *engine) keep(k keptPart) {
+// keep caches a part and evicts the least recently used ones until memory suffices.
+func (e *engine) keep(k cachedPart) {
 	if e.use(k.id) {
 		return
 	}
@@ -114,7 +115,7 @@
 	}
 }
 
-// begin starts a step and returns how long it takes; 0 means that there is nothing to do.
+// begin starts a step and returns its duration, or 0 if there is no work.
 func (e *engine) begin(now time.Duration) time.Duration {
 	e.dropLate(now)
 	e.chunk, e.reads = nil, 0
@@ -133,7 +134,7 @@
 	return fetch + e.spec.Step.Std() + time.Duration(len(e.running))*e.spec.StepEach.Std() + read
 }
 
-// dropLate ends what its caller no longer waits for.
+// dropLate ends the jobs whose callers have disconnected, since their patience is over.
 func (e *engine) dropLate(now time.Duration) {
 	late := func(j *job) bool {
 		if now < j.end {
@@ -146,7 +147,7 @@
 	e.running = slices.DeleteFunc(e.running, late)
 }
 
-// finish ends the step: what runs has made a token, and a part of a prompt is read.
+// finish ends the step: each running job has one more token, and the chunk is prefilled.
 func (e *engine) finish(now time.Duration) {
 	e.running = slices.DeleteFunc(e.running, func(j *job) bool {
 		j.made++
@@ -170,6 +171,6 @@
 	}
 	e.waiting = slices.Delete(e.waiting, i, i+1)
 	e.running = append(e.running, j)
-	e.keep(keptPart{j.request.Parts[0].ID, j.request.Parts[0].Tokens})
+	e.keep(cachedPart{j.request.Parts[0].ID, j.request.Parts[0].Tokens})
 	j.first(now)
 }
--- a/experiment/placing/lanes_test.go
+++ b/experiment/placing/lanes_test.go
@@ -8,7 +8,8 @@
 	"github.com/doormast/doormast/internal/jsonc"
 )
 
-// kind is engines with who uses them: letters are long, chats are tight streams.
+// kind is a kind of engines and its two classes: letters have long prompts, chats are
+// latency-sensitive streams.
 type kind struct {
 	name         string
 	engine       EngineSpec
@@ -17,7 +18,7 @@
 
 func millis(x float64) jsonc.Duration { return jsonc.Duration(x * float64(time.Millisecond)) }
 
-// kinds are engines with many slots, with few, and with few whose readers leave little room.
+// kinds returns engines with many slots, with few, and with few that prefill leaves little capacity.
 func kinds() []kind {
 	letter := ClassSpec{Name: "letter", Urgency: 1, Parts: 300, Shared: 5000, Own: 6600, Out: 380, Event: 9,
 		Target: millis(2000), Gap: millis(1200), Patience: millis(12000)}
@@ -38,13 +39,13 @@
 	return []kind{many, few, crowded}
 }
 
-// A burst of tight streams beside few long prompts, and the reverse, are replayed before engines
-// of three kinds: both sides are served in time, whichever of them comes in a burst.
+// Simulates a burst of chats beside few letters, and the reverse, on three kinds of engines: both
+// classes must be served in time, whichever of them has the burst.
 func TestLanesFollowBurstsOnEitherSide(t *testing.T) {
 	for _, c := range []struct {
 		burst        string
 		factor       float64
-		letter, chat [3]float64 // that are in time at the least, by kind
+		letter, chat [3]float64 // minimum share in time, by kind
 	}{
 		{"chat", 4, [3]float64{0.98, 0.98, 0.88}, [3]float64{0.98, 0.97, 0.90}},
 		{"letter", 3, [3]float64{0.98, 0.96, 0.84}, [3]float64{0.98, 0.96, 0.95}},
@@ -60,8 +61,8 @@
 	}
 }
 
-// A burst of letters comes as one of chats ends, when the lane is at its largest: means over 8
-// seeds, since each of the two sides differs by 0.03 from seed to seed.
+// A burst of letters starts as one of chats ends, when the lane is at its largest. Compares means
+// over 8 seeds, since each share varies by 0.03 between seeds.
 func TestALaneGivesWayToTheNextBurst(t *testing.T) {
 	const seeds = 8
 	var letter, chat float64
@@ -78,8 +79,8 @@
 	}
 }
 
-// Where nothing is kept for tight streams, they are late beside a burst of letters.
-func TestWhatLanesAreFor(t *testing.T) {
+// Without engines reserved for them, chats must be late more often during a burst of letters.
+func TestLanesKeepChatsInTime(t *testing.T) {
 	k := kinds()[2]
 	burst := BurstSpec{"letter", 3, millis(3000), millis(9000)}
 	_, with := inTime(k, nil, burst)
@@ -89,12 +90,12 @@
 	}
 }
 
-// inTime is what share of the letters and of the chats are in time.
+// inTime returns the shares of the letters and of the chats that are in time.
 func inTime(k kind, off balance.Off, bursts ...BurstSpec) (letter, chat float64) {
 	return inTimeOf(k, off, 1, bursts...)
 }
 
-// inTimeOf is the same with another seed.
+// inTimeOf is inTime with the given seed.
 func inTimeOf(k kind, off balance.Off, seed uint64, bursts ...BurstSpec) (letter, chat float64) {
 	s := &Spec{Seeds: 1, Duration: millis(12000), Domains: 3, Boxes: 6, Tell: millis(50), Engine: k.engine,
 		Classes: []ClassSpec{k.letter, k.chat}, Bursts: bursts}
--- a/experiment/placing/placing_test.go
+++ b/experiment/placing/placing_test.go
@@ -14,7 +14,7 @@
 	"github.com/doormast/doormast/internal/jsonc"
 )
 
-// small is a spec that plays in a moment.
+// small returns a spec that runs quickly.
 func small() *Spec {
 	return &Spec{
 		Name: "small", Seeds: 1, Duration: jsonc.Duration(5 * time.Second), Domains: 2, Boxes: 4, Tell: jsonc.Duration(100 * time.Millisecond),
@@ -28,7 +28,7 @@
 	}
 }
 
-// All ways see the same requests, each of which has one end, and a run repeats.
+// Checks that all ways get the same requests, that each ends once, and that runs are deterministic.
 func TestAllWaysSeeTheSameRequests(t *testing.T) {
 	is := is.New(t)
 	var sent []int
@@ -47,7 +47,7 @@
 	is.True(sent[0] > 10 && sent[1] > 10)
 }
 
-// Boxes that tell each other which engine was sent what read fewer parts again than
+// Boxes that exchange which engine was sent which part must not prefill more tokens again than
 // boxes that decide alone.
 func TestTellingPartsSavesReading(t *testing.T) {
 	is := is.New(t)
@@ -58,8 +58,8 @@
 	is.True(told.Classes[0].InTime >= alone.Classes[0].InTime)
 }
 
-// The same over several seeds. Deciders that divided the engines each by itself, unlike boxes,
-// read 64,200 tokens again and 17,400 alone, since a long part moved whenever they differed.
+// The same over several seeds. With deciders that each reserved engines on their own, 64,200 tokens
+// were prefilled again, and 17,400 without exchange: a long part moved whenever the plans differed.
 func TestTellingPartsSavesReadingOverSeeds(t *testing.T) {
 	is := is.New(t)
 	s := small()
@@ -72,7 +72,7 @@
 	is.True(2*told <= alone)
 }
 
-// regional is a small spec of two regions that lie far apart, with parts that are soon read.
+// regional returns a small spec of two distant regions, with parts that prefill quickly.
 func regional() *Spec {
 	s := small()
 	s.Regions, s.Engine.Count, s.Ways.Region = 2, 8, jsonc.Duration(60*time.Millisecond)
@@ -82,8 +82,8 @@
 	return s
 }
 
-// A home for each region sends nothing between them; the cost of distance sends less than a home
-// over all; and all see the same requests.
+// Placing within each region must send nothing between regions, and the cost of distance must send
+// less than placing over all engines regardless of distance. Runs are deterministic.
 func TestDistanceSavesBytesBetweenRegions(t *testing.T) {
 	is := is.New(t)
 	var bytes []int
@@ -97,7 +97,7 @@
 	is.True(cost < overAll)
 }
 
-// engineJob is a job whose ends are noted.
+// engineJob returns a job that logs its first token and its end.
 func engineJob(urgency int, part uint64, shared, own, out int, log *[]string, name string) *job {
 	j := &job{class: &ClassSpec{Event: 1}, out: out, end: time.Hour, elsewhere: func(uint64) bool { return false }}
 	j.request = balance.Request{Urgency: urgency, Tokens: shared + own, Parts: []balance.Part{{ID: part, Tokens: shared}, {ID: 99, Tokens: own}}}
@@ -113,7 +113,7 @@
 	return j
 }
 
-// play runs an engine until it has nothing to do, and returns how long that took.
+// play runs an engine until it has no work, and returns the virtual time that this took.
 func play(e *engine) time.Duration {
 	now := time.Duration(0)
 	for {
@@ -130,7 +130,7 @@
 	return &engine{spec: &EngineSpec{Slots: 2, Step: jsonc.Duration(time.Millisecond), ReadRate: 10, ReadChunk: 1000, Memory: 5000, FetchRate: 100}}
 }
 
-func TestAnEngineReadsTheMoreUrgentFirst(t *testing.T) {
+func TestEnginePrefillsMoreUrgentFirst(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	var log []string
@@ -141,14 +141,14 @@
 	is.Equal(strings.Join(log, ", "), "urgent first, urgent done, slow first, slow done, slow too first, slow too done")
 }
 
-func TestAnEngineKeepsWhatItHasRead(t *testing.T) {
+func TestEngineCachesSharedParts(t *testing.T) {
 	is := is.New(t)
 	e, other := testEngine(), testEngine()
 	var log []string
 	e.add(engineJob(0, 1, 2000, 100, 1, &log, "a"))
 	cold := play(e)
 	e.add(engineJob(0, 1, 2000, 100, 1, &log, "b"))
-	is.True(play(e) < cold/5) // only its own part is read
+	is.True(play(e) < cold/5) // only the part that is not shared is prefilled
 	j := engineJob(0, 1, 2000, 100, 1, &log, "c")
 	j.from = e
 	other.add(j)
@@ -161,7 +161,7 @@
 	third.add(j)
 	play(third)
 	is.Equal(third.readAgain, 2000)
-	for part := range uint64(4) { // what was unused the longest gives way
+	for part := range uint64(4) { // evicts the least recently used part
 		e.add(engineJob(0, 10+part, 2000, 100, 1, &log, "more"))
 		play(e)
 	}
@@ -169,7 +169,7 @@
 	is.True(e.holds(13))
 }
 
-func TestAnEngineDropsWhatNobodyWaitsFor(t *testing.T) {
+func TestEngineDropsAbandonedJobs(t *testing.T) {
 	is := is.New(t)
 	e := testEngine()
 	var log []string
--- a/experiment/placing/report.go
+++ b/experiment/placing/report.go
@@ -1,6 +1,6 @@
 package placing
 
-// This file defines what a run tells, and the table of all ways.
+// This file defines the results of a run, and the table that compares the ways of deciding.
 
 import (
 	"fmt"
@@ -8,28 +8,28 @@
 	"text/tabwriter"
 )
 
-// Count is what became of a class's requests.
+// Count is the number of a class's requests by outcome.
 type Count struct {
-	InTime  int // whole, the first event and all pauses in time
-	Late    int // whole
-	Failed  int // their callers had left
-	Refused int // twice
+	InTime  int // complete, with the first event and all gaps within their targets
+	Late    int // complete, but late
+	Failed  int // the caller disconnected first
+	Refused int // and refused again on the retry
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Classes   []Count // in the order of the spec
-	ReadAgain int     // tokens of shared parts read though another engine kept them
-	Fetched   int     // tokens moved between engines
-	// BytesDomains and BytesRegions are what requests and answers put on the links between
-	// domains of a region, and between regions.
+	ReadAgain int     // tokens of shared parts prefilled although another engine had them cached
+	Fetched   int     // tokens transferred between engines
+	// BytesDomains and BytesRegions are the bytes of requests and answers on links between
+	// the domains of a region, and between regions.
 	BytesDomains, BytesRegions int
 }
 
-// percent is the whole that a share in 100 is taken of.
+// percent converts a fraction to a percentage.
 const percent = 100
 
-// share is a part of a class's requests, in 100.
+// share returns n as a percentage of the class's requests.
 func (c Count) share(n int) float64 {
 	all := c.InTime + c.Late + c.Failed + c.Refused
 	if all == 0 {
@@ -38,7 +38,7 @@
 	return percent * float64(n) / float64(all)
 }
 
-// add adds up two results of the same spec.
+// add adds another result of the same spec to r.
 func (r *Result) add(o Result) {
 	if r.Classes == nil {
 		r.Classes = make([]Count, len(o.Classes))
@@ -55,10 +55,10 @@
 	r.BytesRegions += o.BytesRegions
 }
 
-// Compare runs all ways with all seeds and writes a table: by class the share in time,
-// late, and not served, in 100, then the shared tokens read again and moved, in
-// thousands a seed, and where there are several regions the kilobytes between domains of one
-// and between regions.
+// Compare runs all ways of deciding with all seeds and writes a table. For each class it has the
+// percentages in time, late and not served; then the shared tokens prefilled again and
+// transferred, in thousands per seed; and, with several regions, the kilobytes per seed between
+// the domains of a region and between regions.
 func Compare(w io.Writer, s *Spec) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, s.Name)
--- a/experiment/placing/run.go
+++ b/experiment/placing/run.go
@@ -1,7 +1,7 @@
 package placing
 
-// This file defines a run: arrivals, decisions and steps of engines in the order of
-// their times. The invariant: each request that arrives has one end.
+// This file defines a run as a discrete-event simulation of arrivals, placement decisions and
+// engine steps. The invariant: each request that arrives ends exactly once.
 
 import (
 	"container/heap"
@@ -12,15 +12,15 @@
 	"github.com/doormast/doormast/balance"
 )
 
-// happening is something that is due.
-type happening struct {
+// scheduledEvent is a function that is due at a virtual time.
+type scheduledEvent struct {
 	at    time.Duration
-	order int // of two at the same time, the one that was planned first goes first
+	order int // for the same time, events run in the order of scheduling
 	do    func(now time.Duration)
 }
 
-// agenda is what is due, the next first.
-type agenda []happening
+// agenda is the heap of scheduled events, the next one first.
+type agenda []scheduledEvent
 
 var _ heap.Interface = (*agenda)(nil)
 
@@ -39,7 +39,7 @@
 func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
 // Push implements heap.Interface.
-func (a *agenda) Push(x any) { *a = append(*a, x.(happening)) }
+func (a *agenda) Push(x any) { *a = append(*a, x.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
 func (a *agenda) Pop() any {
@@ -49,7 +49,7 @@
 	return h
 }
 
-// run is one way with one seed.
+// run is the simulation of one way of deciding with one seed.
 type run struct {
 	spec    *Spec
 	way     Way
@@ -62,9 +62,9 @@
 	result  Result
 }
 
-// Run plays a way with a seed.
+// Run simulates a way of deciding with a seed. The result is deterministic.
 func Run(s *Spec, w Way, seed uint64) Result {
-	const stream = 7 // apart from other uses of the same seed
+	const stream = 7 // separates this random stream from others with the same seed
 	r := &run{spec: s, way: w, random: rand.New(rand.NewPCG(seed, stream)), engines: make(map[string]*engine)}
 	r.result.Classes = make([]Count, len(s.Classes))
 	for i := range s.Engine.Count {
@@ -75,10 +75,10 @@
 		r.arrivals(i)
 	}
 	for at := time.Duration(0); at < s.Duration.Std(); at += s.Tell.Std() {
-		r.plan(at, func(now time.Duration) { r.way.tell(now, r.list) })
+		r.plan(at, func(now time.Duration) { r.way.exchange(now, r.list) })
 	}
 	for len(r.agenda) > 0 {
-		h := heap.Pop(&r.agenda).(happening)
+		h := heap.Pop(&r.agenda).(scheduledEvent)
 		h.do(h.at)
 	}
 	for _, e := range r.engines {
@@ -88,13 +88,14 @@
 	return r.result
 }
 
+// plan schedules do at a virtual time.
 func (r *run) plan(at time.Duration, do func(time.Duration)) {
 	r.planned++
-	heap.Push(&r.agenda, happening{at, r.planned, do})
+	heap.Push(&r.agenda, scheduledEvent{at, r.planned, do})
 }
 
-// arrivals plans a class's requests, before anything is decided, so that all ways see
-// the same ones.
+// arrivals schedules all requests of a class before any decision, so that all ways of
+// deciding get the same ones.
 func (r *run) arrivals(class int) {
 	c := &r.spec.Classes[class]
 	for at := time.Duration(0); ; {
@@ -113,7 +114,7 @@
 	}
 }
 
-// factor is how much more a class sends at a time.
+// factor returns the multiple of a class's rate at a time, from the bursts.
 func (r *run) factor(class string, at time.Duration) float64 {
 	f := 1.0
 	for _, b := range r.spec.Bursts {
@@ -124,7 +125,8 @@
 	return f
 }
 
-// decide places a request, or refuses it: its caller comes back once, as it was told.
+// decide places a request, or refuses it. The caller retries once, after the time that the
+// refusal states.
 func (r *run) decide(now, arrived time.Duration, j *job, class, box int, again bool) {
 	count := &r.result.Classes[class]
 	d := r.ofBox[box]
@@ -144,7 +146,7 @@
 	r.send(now, arrived, j, count, d, box%r.spec.Domains, choice)
 }
 
-// send hands a request to its engine and counts what becomes of it.
+// send passes a request to its engine and counts its outcome.
 func (r *run) send(now, arrived time.Duration, j *job, count *Count, d *decider, domain int, choice balance.Choice) {
 	e := r.engines[choice.Upstream.ID]
 	way := r.spec.way(domain, e.domain)
@@ -174,7 +176,7 @@
 	}
 	j.from, j.elsewhere = r.engines[choice.FetchFrom], r.keptBesides(e)
 	if j.from != nil {
-		j.fetchWay = r.spec.way(j.from.domain, e.domain)
+		j.fetchRTT = r.spec.way(j.from.domain, e.domain)
 	}
 	e.add(j)
 	if !e.stepping {
@@ -183,7 +185,7 @@
 	}
 }
 
-// countBytes counts what a request and its answer put on the links between domains.
+// countBytes counts the bytes of a request and its answer on links between domains.
 func (r *run) countBytes(j *job, from, to int) {
 	switch {
 	case from == to:
@@ -194,7 +196,8 @@
 	}
 }
 
-// keptBesides reports whether an engine other than e keeps a part.
+// keptBesides returns a function that reports whether an engine other than e has a part
+// cached.
 func (r *run) keptBesides(e *engine) func(uint64) bool {
 	return func(id uint64) bool {
 		for _, o := range r.engines {
@@ -206,7 +209,7 @@
 	}
 }
 
-// step begins an engine's next step, as long as it has work.
+// step starts an engine's next step, and schedules those that follow while it has work.
 func (r *run) step(now time.Duration, e *engine) {
 	took := e.begin(now)
 	if took == 0 {
--- a/experiment/placing/spec.go
+++ b/experiment/placing/spec.go
@@ -1,13 +1,13 @@
-// Package placing compares ways of deciding where prompts go. The fleets of package
-// balance that ship are run for several boxes before modelled engines on a virtual
-// clock, with seeded arrivals; every way sees the same ones.
+// Package placing compares ways of deciding which engine gets a prompt, by discrete-event
+// simulation. The production fleets (package balance) of several boxes place seeded arrivals
+// on modelled engines; every way gets the same arrivals.
 //
-// It models no machine, socket or failure: what boxes tell each other takes a set time,
-// and that is all. What it leaves out the users' bench shows.
+// Machines, sockets and failures are not modelled: an exchange between boxes takes a set time.
+// The users' bench covers what is left out.
 package placing
 
-// This file defines an experiment as it is written. The invariant: what Load returns has
-// passed every check.
+// This file defines the specification of an experiment. The invariant: a Spec returned by Load
+// has passed every check.
 
 import (
 	"fmt"
@@ -15,22 +15,22 @@
 	"github.com/doormast/doormast/internal/jsonc"
 )
 
-// Spec describes an experiment, as written in JSON with comments.
+// Spec describes an experiment; its file is JSON with comments.
 type Spec struct {
 	Name     string         `json:"name"`
 	Seeds    int            `json:"seeds"`
 	Duration jsonc.Duration `json:"duration"` // of arrivals
 	Domains  int            `json:"domains"`
-	Regions  int            `json:"regions"` // the domains are divided into, in turn
+	Regions  int            `json:"regions"` // number of regions; domains are assigned to them in turn
 	Ways     WaySpec        `json:"ways"`
 	Boxes    int            `json:"boxes"`  // in all
-	Tell     jsonc.Duration `json:"tell"`   // between two tells of a box, and how long one takes
+	Tell     jsonc.Duration `json:"tell"`   // interval and delay of the exchange of state between boxes
 	Engine   EngineSpec     `json:"engine"` // all are alike
 	Classes  []ClassSpec    `json:"classes"`
 	Bursts   []BurstSpec    `json:"bursts"`
 }
 
-// WaySpec says how long the ways are, there and back.
+// WaySpec holds network round-trip times.
 type WaySpec struct {
 	Domain jsonc.Duration `json:"domain"` // to another failure domain
 	Region jsonc.Duration `json:"region"` // to another region
@@ -40,12 +40,12 @@
 type EngineSpec struct {
 	Count     int            `json:"count"`      // in all
 	Slots     int            `json:"slots"`      // requests it runs at once
-	Step      jsonc.Duration `json:"step"`       // of one token for all that run
-	StepEach  jsonc.Duration `json:"step_each"`  // what each of them adds
-	ReadRate  float64        `json:"read_rate"`  // prompt tokens in a ms
-	ReadChunk int            `json:"read_chunk"` // prompt tokens that are read within a step at most
+	Step      jsonc.Duration `json:"step"`       // time of one token for all running requests
+	StepEach  jsonc.Duration `json:"step_each"`  // additional time for each running request
+	ReadRate  float64        `json:"read_rate"`  // prompt tokens prefilled per ms
+	ReadChunk int            `json:"read_chunk"` // maximum prompt tokens prefilled in a step
 	Memory    int            `json:"memory"`     // tokens
-	FetchRate float64        `json:"fetch_rate"` // tokens that are fetched from another engine in a ms
+	FetchRate float64        `json:"fetch_rate"` // tokens fetched from another engine per ms
 }
 
 // ClassSpec describes what callers of a class send.
@@ -53,10 +53,10 @@
 	Name     string         `json:"name"`
 	Urgency  int            `json:"urgency"` // 0 is the most urgent
 	Rate     float64        `json:"rate"`    // requests a second
-	Parts    int            `json:"parts"`   // different shared parts
+	Parts    int            `json:"parts"`   // number of distinct shared parts
 	Shared   int            `json:"shared"`  // tokens of a shared part
-	Own      int            `json:"own"`     // tokens of a prompt besides, a mean
-	Out      int            `json:"out"`     // tokens of an answer, a mean
+	Own      int            `json:"own"`     // mean prompt tokens beyond the shared part
+	Out      int            `json:"out"`     // mean tokens of an answer
 	Event    int            `json:"event"`   // tokens of an event
 	Bytes    int            `json:"bytes"`   // of a request and its answer
 	Target   jsonc.Duration `json:"target"`  // to the first event
@@ -64,7 +64,7 @@
 	Patience jsonc.Duration `json:"patience"`
 }
 
-// BurstSpec is a time in which a class sends more.
+// BurstSpec multiplies a class's rate by Factor between From and To.
 type BurstSpec struct {
 	Class  string         `json:"class"`
 	Factor float64        `json:"factor"`
@@ -72,8 +72,8 @@
 	To     jsonc.Duration `json:"to"`
 }
 
-// Load reads an experiment. The error is of type jsonc.Problems, or says why the file
-// cannot be read.
+// Load reads and checks an experiment file. The error is of type jsonc.Problems if the content
+// is invalid, otherwise it is that of reading the file.
 func Load(file string) (*Spec, error) {
 	s := &Spec{Seeds: 3, Domains: 1, Regions: 1}
 	if err := jsonc.LoadChecked(file, s, s.check); err != nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// class is the number of a class, or -1.
+// class returns the index of a class, or -1.
 func (s *Spec) class(name string) int {
 	for i, c := range s.Classes {
 		if c.Name == name {
--- a/experiment/placing/way.go
+++ b/experiment/placing/way.go
@@ -1,7 +1,7 @@
 package placing
 
-// This file defines the ways of deciding that are compared. The invariant: they differ
-// in who decides and what that one knows, and in nothing else.
+// This file defines the compared ways of deciding. The invariant: they differ only in which box
+// decides and in what it knows.
 
 import (
 	"fmt"
@@ -16,12 +16,12 @@
 type Way struct {
 	Name  string
 	Owner owner
-	Loads bool // boxes tell each other what they have under way
-	Parts bool // and which engine was sent which part
+	Loads bool // boxes exchange their engines' loads
+	Parts bool // boxes exchange which engine was sent which part
 	Off   balance.Off
 }
 
-// owner is who decides about a request.
+// owner is the box that decides about a request.
 type owner uint8
 
 const (
@@ -59,18 +59,18 @@
 type decider struct {
 	fleet  *balance.Fleet
 	domain int
-	loads  map[balance.LoadKey]balance.Load // as told last
+	loads  map[balance.LoadKey]balance.Load // as reported in the last exchange
 }
 
-// serviceName is that of the one service.
+// serviceName is the name of the only service.
 const serviceName = "engines"
 
-// deciders makes those of a way, and says which one each box asks.
+// deciders returns a way's deciders, and the decider of each box.
 func (w Way) deciders(s *Spec) (list []*decider, ofBox []*decider) {
 	newDecider := func(domain int) *decider {
 		d := &decider{domain: domain, fleet: balance.NewFleet(balance.Config{Domain: domainName(domain), Regions: regions(s),
 			Tuning: balance.DefaultTuning, Off: w.Off, FirstStart: w.Parts || w.Owner != eachBox})}
-		s.showWays(d)
+		s.addRTTSamples(d)
 		for i := range s.Engine.Count {
 			if w.mayUse(s, domain, i%s.Domains) {
 				d.fleet.Put(0, balance.Upstream{ID: engineName(i), Service: serviceName, Address: engineName(i),
@@ -99,7 +99,7 @@
 	return list, ofBox
 }
 
-// mayUse reports whether who decides in one domain may use the engines of another.
+// mayUse reports whether a decider in one domain may use the engines of another.
 func (w Way) mayUse(s *Spec, domain, other int) bool {
 	switch w.Owner {
 	case ofTheDomain:
@@ -110,7 +110,7 @@
 	return true
 }
 
-// regions names the region of each domain; none where there is one.
+// regions returns the region's name by domain, or nil if there is only one region.
 func regions(s *Spec) map[string]string {
 	if s.Regions <= 1 {
 		return nil
@@ -122,10 +122,10 @@
 	return all
 }
 
-// region is that of a domain.
+// region returns the region of a domain.
 func (s *Spec) region(domain int) int { return domain % max(1, s.Regions) }
 
-// way is how long the way between two domains takes, there and back.
+// way returns the round-trip time between two domains.
 func (s *Spec) way(a, b int) time.Duration {
 	switch {
 	case a == b:
@@ -136,8 +136,8 @@
 	return s.Ways.Region.Std()
 }
 
-// showWays lets a decider see connections to all domains come up.
-func (s *Spec) showWays(d *decider) {
+// addRTTSamples gives a decider round-trip samples for all domains.
+func (s *Spec) addRTTSamples(d *decider) {
 	const connections = 3
 	for other := range s.Domains {
 		for range connections {
@@ -146,8 +146,9 @@
 	}
 }
 
-// tell lets deciders hear what the others said at the last tell, and say anew.
-func (w Way) tell(now time.Duration, list []*decider) {
+// exchange gives each decider the loads that the others reported in the previous exchange, and
+// collects new reports.
+func (w Way) exchange(now time.Duration, list []*decider) {
 	all := make(map[balance.LoadKey]balance.Load)
 	for _, d := range list {
 		addLoads(all, d.loads)
@@ -156,7 +157,7 @@
 		others := make(map[balance.LoadKey]balance.Load)
 		if w.Loads {
 			others = maps.Clone(all)
-			takeLoads(others, d.loads)
+			subtractLoads(others, d.loads)
 		}
 		d.fleet.SetRemoteLoads(others)
 	}
@@ -172,13 +173,13 @@
 	}
 }
 
-// divide has deciders keep engines for tight streams. Where loads are told, all go by the
-// first one's division and hear what the others see of classes, as boxes do of their lead.
+// divide lets deciders reserve engines for latency-sensitive streams. If loads are exchanged, all
+// use the first decider's plan and get the others' class statistics, as boxes do with a leader.
 func (w Way) divide(now time.Duration, list []*decider) {
 	var told balance.LanePlan
 	for _, d := range list {
 		if w.Loads {
-			d.fleet.NoteClasses(classesOfOthers(list, d))
+			d.fleet.NoteClasses(otherClassStats(list, d))
 		}
 		d.fleet.SizeLanes(now, told)
 		if w.Loads && told == nil {
@@ -187,8 +188,8 @@
 	}
 }
 
-// classesOfOthers adds up what all deciders but one see of classes.
-func classesOfOthers(list []*decider, but *decider) []balance.ClassStats {
+// otherClassStats returns the summed class statistics of all deciders except one.
+func otherClassStats(list []*decider, but *decider) []balance.ClassStats {
 	sums := make(map[balance.ClassKey]balance.ClassStats)
 	for _, o := range list {
 		if o == but {
@@ -210,8 +211,8 @@
 	}
 }
 
-// takeLoads takes loads off a sum that they are part of.
-func takeLoads(from, loads map[balance.LoadKey]balance.Load) {
+// subtractLoads subtracts loads from a sum that includes them.
+func subtractLoads(from, loads map[balance.LoadKey]balance.Load) {
 	for key, l := range loads {
 		from[key] = from[key].Minus(l)
 	}
